--- a/features/adapter_runner.py
+++ b/features/adapter_runner.py
@@ -1,15 +1,15 @@
-"""A runner on the stage of adapters: what it holds, what runs, and the one order under way."""
+"""A simulated runner: its models and adapters, its requests, and its one order under way."""
 
 import typing as t
 
 from rookspring_core.effects import SendOrder
 
-PLACES = 8
+ADAPTER_SLOTS = 8
 UNLOAD_S = 0.2
 STORE_LOAD_S = 8.0
 DISK_LOAD_S = 2.0
-# How often an unload looks whether what it waits for has ended.
-LOOK_S = 0.05
+# How often an unload checks whether the requests that it waits for have ended.
+UNLOAD_POLL_S = 0.05
 
 After = t.Callable[[float, t.Callable[[], None]], None]
 
@@ -17,7 +17,7 @@
 class Runner:
     """One runner, which carries out one order at a time.
 
-    :param after: has something happen after so many seconds.
+    :param after: schedules a call after a number of seconds.
     """
 
     def __init__(self, name: str, models: t.Iterable[str], after: After) -> None:
@@ -25,7 +25,7 @@
         self.models = list(models)
         self.disk = set(self.models)
         self.adapters: list[str] = []
-        # Requests that run, with what they use and what tells their node how they end.
+        # Running requests, with the model or adapter that they use, and a callback that ends them.
         self.runs: dict[str, str] = {}
         self.ends: dict[str, t.Callable[[bool], None]] = {}
         self.taken = 0
@@ -34,22 +34,22 @@
         self._after = after
 
     def uses(self, name: str) -> bool:
-        """Say whether a run uses an adapter, or a model or an adapter of it."""
+        """Tell whether a running request uses an adapter, or a model or one of its adapters."""
         return any(one == name or one.startswith(f"{name}/") for one in self.runs.values())
 
     def take(self, order: SendOrder) -> str:
-        """Give the answer to an order, and begin to carry it out."""
+        """Begin to carry out an order, and return the answer to it."""
         if self.order is not None or order.token[1] != self.taken or not self.alive:
             return "409"
         name = order.model_version or order.model
         held = name in (self.adapters if order.model_version else self.models)
         if held == (order.action == "load"):
-            # It is so already; such an order is not counted.
+            # Nothing has to be done; such an order is not counted.
             return "done"
         self.taken += 1
         if order.action == "load" and order.model_version:
             self.adapters.append(name)
-            assert len(self.adapters) <= PLACES, "an adapter beyond its runner's places"
+            assert len(self.adapters) <= ADAPTER_SLOTS, "more adapters than slots at the runner"
             return "202"
         if order.action == "unload" and order.model_version and not self.uses(name):
             self.adapters.remove(name)
@@ -59,10 +59,10 @@
         return "202"
 
     def _carry_out(self, order: SendOrder) -> None:
-        """Go on with an order: a load takes its time, an unload waits for what runs."""
+        """Continue an order: a load takes its time, an unload waits for running requests."""
         name = order.model_version or order.model
         if order.action == "unload" and self.uses(name):
-            self._after(LOOK_S, lambda: self._carry_out(order))
+            self._after(UNLOAD_POLL_S, lambda: self._carry_out(order))
             return
         length_s = UNLOAD_S
         if order.action == "load":
--- a/features/adapter_stage.py
+++ b/features/adapter_stage.py
@@ -1,9 +1,9 @@
-"""A hot model with more adapters than places, on a virtual clock: who is served, and when.
+"""Simulation of a model with more requested adapters than adapter slots, on a virtual clock.
 
-The reducers are the real ones: a lease holder and entry nodes. Runners, callers, the ways
-between them and the store's lease are stand-ins, with the delays that matter here: nodes tell
-what their requests use every 0.4 s, reports lag by 0.2 s, an endpoint carries out one order at
-a time, and an unload waits for what runs.
+The lease holder and the entry nodes run the real reducers. Runners, callers, the network and
+the store's lease are simulated, with the delays that matter here: nodes share what their
+requests use every 0.4 s, reports lag by 0.2 s, an endpoint carries out one order at a time,
+and an unload waits for running requests.
 """
 
 import heapq
@@ -11,8 +11,8 @@
 import random
 import typing as t
 
+from adapter_runner import ADAPTER_SLOTS
 from adapter_runner import DISK_LOAD_S
-from adapter_runner import PLACES
 from adapter_runner import STORE_LOAD_S
 from adapter_runner import Runner
 from relay_harness import LIMITS
@@ -53,7 +53,7 @@
 from rookspring_core.routes import RouteTable
 from rookspring_core.routes import ServiceSize
 
-WAY_S = 0.001
+NETWORK_S = 0.001
 BEAT_S = 0.4
 TICK_S = 0.1
 REPORT_LAG_S = 0.2
@@ -62,33 +62,33 @@
 # The hot model's adapters; the models are of 60 GB, two or three to a runner of 200 GB.
 ADAPTERS = 20
 MODEL_MB = 60_000.0
-# What callers bear, as the sheets have it: they come back once after a refusal.
+# The callers' limits by the users' requirements; they retry once after a refusal.
 OBJECTIVE_S = 0.8
 PATIENCE_S = 0.2
 DEADLINE_S = 10.0
 RUN_S = (0.3, 1.5)
-# Streams say something this often; a runner that is silent for longer is taken for dark.
+# How often a stream makes progress; a runner that is silent for much longer counts as failed.
 PROGRESS_S = 0.25
 
 
 class Caller(t.NamedTuple):
-    """One request of a caller, who comes back once."""
+    """One request of a caller, who retries once."""
 
     key: str
     name: str
     deadline_at: float
-    back: bool
+    retried: bool
 
 
 class Try(t.NamedTuple):
-    """One try for a model or adapter, and what became of it."""
+    """One request for a model or adapter, and whether it was served."""
 
     at: float
     served: bool
 
 
 class Node(RelayHarness):
-    """A reducer on the stage."""
+    """A node of the simulation, around a real reducer."""
 
     def __init__(self, stage: "Stage", name: str) -> None:
         self.stage = stage
@@ -104,10 +104,10 @@
 
 
 class Stage:
-    """The nodes, runners and callers, and what they saw.
+    """The simulated nodes, runners and callers, and the results of their requests.
 
-    :param held: the models of each runner.
-    :param lost_share: of the orders that get no answer, and are carried out 1 to 3 s late.
+    :param held: the models of each runner, joined by ``+``.
+    :param lost_share: share of orders that get no answer and are carried out 1 to 3 s late.
     """
 
     def __init__(self, held: t.Sequence[str], seed: int, lost_share: float = 0.0) -> None:
@@ -115,7 +115,7 @@
         self.random = random.Random(seed)
         self.lost_share = lost_share
         self.tries: dict[str, list[Try]] = {}
-        # Requests for these run for so long, in seconds; others for a time within ``RUN_S``.
+        # How long requests for a name run, in seconds; by default a random time within ``RUN_S``.
         self.run_s: dict[str, float] = {}
         self.left: list[AdapterLeft] = []
         self.orders: list[tuple[float, SendOrder]] = []
@@ -132,7 +132,7 @@
         self.begin()
 
     def begin(self) -> None:
-        """List the endpoints, have a node take the lease, and let time go by until its turn."""
+        """List the endpoints, have a node take the lease, and run until it may give orders."""
         names = {model for runner in self.runners.values() for model in runner.models}
         for node in self.nodes:
             node.submit(RouteTableSeen(self.now, make_table(sorted(names))))
@@ -150,15 +150,15 @@
     # Time.
 
     def at(self, moment: float, call: t.Callable[[], None]) -> None:
-        """Have something happen at a moment."""
+        """Schedule a call at a time."""
         heapq.heappush(self._queue, (moment, next(self._order), call))
 
     def after(self, seconds: float, call: t.Callable[[], None]) -> None:
-        """Have something happen after a while."""
+        """Schedule a call after some seconds."""
         self.at(self.now + seconds, call)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run the scheduled calls of some seconds."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             moment, _, call = heapq.heappop(self._queue)
@@ -167,12 +167,12 @@
         self.now = end
 
     def tick(self, node: Node) -> None:
-        """Let a node do what is due."""
+        """Send a node its tick, every ``TICK_S``."""
         node.submit(Ticked(self.now))
         self.after(TICK_S, lambda: self.tick(node))
 
     def beat(self, node: Node) -> None:
-        """Have a node tell the holder of its requests."""
+        """Send a node's heartbeat to the lease holder, every ``BEAT_S``."""
         self.after(BEAT_S, lambda: self.beat(node))
         if node is self.holder:
             return
@@ -191,12 +191,12 @@
             urgent=tuple(control.urgent.meter.rates.items()),
             missed=tuple(control.missed.meter.rates.items()),
         )
-        self.after(WAY_S, lambda: self.holder.submit(heard._replace(at=self.now)))
+        self.after(NETWORK_S, lambda: self.holder.submit(heard._replace(at=self.now)))
 
     # Endpoints.
 
     def relist(self) -> None:
-        """Have all nodes see the list of endpoints."""
+        """Send the list of live endpoints to all nodes."""
         rows = tuple(
             BoxListed(one.name, one.name, "z", "runner", "live", "llm")
             for one in self.runners.values()
@@ -206,20 +206,20 @@
             node.submit(BoxListCame(self.now, rows))
 
     def lose(self, name: str, silent: bool = False) -> None:
-        """Lose a runner; its entry goes a moment later.
+        """Fail a runner; its entry in the list is removed a second later.
 
-        :param silent: what ran there is not reset, so that it is known to fail only at its
-            deadline.
+        :param silent: connections are not reset, so that running requests fail only at their
+            deadlines.
         """
         runner = self.runners[name]
         runner.alive = False
         for key in list(runner.runs):
             end = runner.ends[key]
-            self.after(DEADLINE_S if silent else WAY_S, lambda end=end: end(False))
+            self.after(DEADLINE_S if silent else NETWORK_S, lambda end=end: end(False))
         self.after(1.0, self.relist)
 
     def report(self, runner: Runner):
-        """Give a runner's report as it is now."""
+        """Return a runner's report as of now."""
         report = self.holder.report(
             runner.name,
             runner.models,
@@ -238,19 +238,22 @@
     # Effects.
 
     def perform(self, node: Node, effect) -> None:
-        """Do what a node asks for."""
+        """Carry out an effect of a node's reducer."""
         match effect:
             case WriteLease():
                 answer = LeaseWritten(self.now, self.now, effect.nonce, True, effect.version + 1)
-                self.after(WAY_S, lambda: node.submit(answer))
+                self.after(NETWORK_S, lambda: node.submit(answer))
             case Want():
-                self.after(WAY_S, lambda: self.holder.submit(ModelWanted(self.now, *effect)))
+                self.after(NETWORK_S, lambda: self.holder.submit(ModelWanted(self.now, *effect)))
             case ShareReport() if node is self.holder:
                 for other in self.nodes[1:]:
-                    self.after(WAY_S, lambda other=other: other.submit(effect.report))
+                    self.after(NETWORK_S, lambda other=other: other.submit(effect.report))
             case ShareComing():
                 for other in self.nodes[1:]:
-                    self.after(WAY_S, lambda other=other: self.tell_coming(other, effect))
+                    self.after(
+                        NETWORK_S,
+                        lambda other=other: self.tell_coming(other, effect),
+                    )
             case ReadReport():
                 self.read(node, effect)
             case Remind():
@@ -260,18 +263,18 @@
                 self.orders.append((self.now, effect))
                 self.send_order(node, effect)
             case Dispatch():
-                self.after(WAY_S, lambda: self.start_run(node, effect))
+                self.after(NETWORK_S, lambda: self.start_run(node, effect))
             case Refuse():
                 self.refuse(effect)
             case AdapterLeft():
                 self.left.append(effect)
 
     def tell_coming(self, node: Node, told: ShareComing) -> None:
-        """Tell a node of a load under way."""
+        """Send a node the notice of a load under way."""
         node.submit(ComingHeard(self.now, told.endpoint, told.model, told.in_s))
 
     def read(self, node: Node, effect: ReadReport) -> None:
-        """Read a runner's own report, as it was a moment before."""
+        """Read a runner's own report, which arrives with a lag."""
         runner = self.runners[effect.endpoint]
         if not runner.alive:
             return
@@ -283,7 +286,7 @@
         self.after(max(0.0, effect.after_s - REPORT_LAG_S), look)
 
     def send_order(self, node: Node, order: SendOrder) -> None:
-        """Have a runner take an order, now or late."""
+        """Deliver an order to its runner, at once or late and without an answer."""
         runner = self.runners[order.endpoint]
 
         def answer(taken, reason):
@@ -294,14 +297,14 @@
             self.after(self.random.uniform(1.0, 3.0), lambda: runner.take(order))
             return
         taken = runner.take(order)
-        self.after(WAY_S * 2, lambda: answer(taken != "409", taken))
+        self.after(NETWORK_S * 2, lambda: answer(taken != "409", taken))
 
     # Requests.
 
-    def ask(self, name: str, tokens: int = 1000, key: str = "", back: bool = False) -> None:
-        """Have a caller ask for a model or adapter at some node."""
+    def ask(self, name: str, tokens: int = 1000, key: str = "", retried: bool = False) -> None:
+        """Send a request for a model or adapter to a random node."""
         key = key or f"r{next(self._order)}"
-        caller = Caller(key, name, self.now + DEADLINE_S, back)
+        caller = Caller(key, name, self.now + DEADLINE_S, retried)
         self._callers[key] = caller
         node = self.random.choice(self.nodes)
         model, slash, _ = name.partition("/")
@@ -322,19 +325,19 @@
         node.submit(arrived)
 
     def refuse(self, refusal: Refuse) -> None:
-        """A caller is refused: the first time it comes back when it was told to."""
+        """Handle a refusal: the caller retries once, at the time that it was told."""
         caller = self._callers.pop(refusal.request_id)
         self.note(caller, served=False)
-        if caller.back or refusal.outcome != "not_run":
+        if caller.retried or refusal.outcome != "not_run":
             return
-        after_s = max(0.05, refusal.retry_after_s) + WAY_S
-        self.after(after_s, lambda: self.ask(caller.name, key=f"{caller.key}b", back=True))
+        after_s = max(0.05, refusal.retry_after_s) + NETWORK_S
+        self.after(after_s, lambda: self.ask(caller.name, key=f"{caller.key}b", retried=True))
 
     def note(self, caller: Caller, served: bool) -> None:
-        """Note what became of a try."""
+        """Record whether a request was served."""
         self.tries.setdefault(caller.name, []).append(Try(self.now, served))
 
-    def _turn_away(self, node: Node, effect: Dispatch, name: str, held: bool) -> None:
+    def _reject(self, node: Node, effect: Dispatch, name: str, held: bool) -> None:
         if not held:
             model, slash, _ = name.partition("/")
             lacks = Notice(misdirected=True)
@@ -343,7 +346,7 @@
         node.submit(AttemptFailed(self.now, effect.request_id, effect.attempt, True, True, "421"))
 
     def start_run(self, node: Node, effect: Dispatch) -> None:
-        """Have a runner begin a request, if it holds what that needs."""
+        """Start a request at its runner, or fail it if the runner lacks the model or adapter."""
         runner = self.runners[effect.endpoint]
         key = (effect.request_id, effect.attempt)
         caller = self._callers[effect.request_id]
@@ -353,7 +356,7 @@
         name = (runner.order.model_version or runner.order.model) if runner.order else ""
         node.submit(AttemptStarted(self.now, *key))
         if not runner.alive or not held or (going and name in (caller.name, model)):
-            self.after(WAY_S, lambda: self._turn_away(node, effect, caller.name, held))
+            self.after(NETWORK_S, lambda: self._reject(node, effect, caller.name, held))
             return
         runner.runs[effect.request_id] = caller.name
 
@@ -376,10 +379,10 @@
         length_s = self.run_s.get(caller.name, self.random.uniform(*RUN_S))
         self.after(length_s, lambda: end(True) if runner.alive else None)
 
-    # What is asked of it.
+    # Results.
 
     def starved(self) -> list[str]:
-        """List what was asked for four times or more over 8 s, and never served."""
+        """List the models and adapters requested four times or more over 8 s and never served."""
         return sorted(
             name
             for name, tries in self.tries.items()
@@ -388,8 +391,8 @@
             and not any(one.served for one in tries)
         )
 
-    def most_in_vain(self, adapters: bool) -> tuple[int, str]:
-        """Give how many tries for one adapter, or one model, were in vain in a row at most."""
+    def longest_failure_run(self, adapters: bool) -> tuple[int, str]:
+        """Return the longest run of failed requests for one adapter, or model, and its name."""
         worst = (0, "")
         for name, tries in self.tries.items():
             if ("/" in name) != adapters:
@@ -401,46 +404,49 @@
         return worst
 
     def served_share(self) -> float:
-        """Give the part of all callers who were served, at once or once they came back."""
+        """Return the share of requests that were served; a retry counts as another request."""
         served = sum(one.served for tries in self.tries.values() for one in tries)
         asked = sum(len(tries) for tries in self.tries.values())
         return served / max(1, asked)
 
     def unused_share(self) -> float:
-        """Give the part of the adapters unloaded that no request was seen to use."""
+        """Return the share of the unloaded adapters that no request was known to use."""
         if not self.left:
             return 0.0
         return sum(not one.used for one in self.left) / len(self.left)
 
 
 def make_table(models: t.Sequence[str], version: int = 2) -> RouteTable:
-    """Declare models, each with its adapters."""
+    """Return a route table with models of equal size."""
     sizes = {
         name: ModelSize(name, MODEL_MB, STORE_LOAD_S, 50.0, 1.2, DISK_LOAD_S) for name in models
     }
-    engine = EngineSize(200_000.0, PLACES, 2.0, sizes)
+    engine = EngineSize(200_000.0, ADAPTER_SLOTS, 2.0, sizes)
     services = {"llm": ServiceSize(engine)}
     return RouteTable(version, {}, services, LIMITS)
 
 
-def ask_in_turn(stage: Stage, seconds: float, per_s: float, others: t.Sequence[str] = ()) -> None:
-    """Ask for the hot model's adapters by chance, and for other models now and then.
+def request_at_random(
+    stage: Stage, seconds: float, per_s: float, others: t.Sequence[str] = ()
+) -> None:
+    """Request random adapters of the hot model, and other models every 2 to 6 s.
 
-    :param others: each asked for every 4 s or so.
+    :param per_s: mean requests a second for the adapters.
+    :param others: the other models.
     """
     end = stage.now + seconds
 
-    def again() -> None:
+    def request_adapter() -> None:
         if stage.now < end:
             stage.ask(f"m/a{stage.random.randrange(ADAPTERS) + 1}")
-            stage.after(stage.random.expovariate(per_s), again)
+            stage.after(stage.random.expovariate(per_s), request_adapter)
 
-    def other(name: str) -> None:
+    def request_model(name: str) -> None:
         if stage.now < end:
             stage.ask(name)
-            stage.after(stage.random.uniform(2.0, 6.0), lambda: other(name))
+            stage.after(stage.random.uniform(2.0, 6.0), lambda: request_model(name))
 
-    again()
+    request_adapter()
     for name in others:
-        stage.after(stage.random.uniform(0.0, 4.0), lambda name=name: other(name))
+        stage.after(stage.random.uniform(0.0, 4.0), lambda name=name: request_model(name))
     stage.run(seconds + 3.0)
--- a/features/lease_handover.feature
+++ b/features/lease_handover.feature
@@ -1,16 +1,16 @@
-Feature: While nodes are stopped one after the other somebody gives orders again soon
+Feature: Orders resume soon while nodes are stopped one after the other
 
-  # Guards against many seconds without any order while boxes are stopped in turn: each holder that
-  # stopped before it might give orders had the next one wait as if orders had just been given, so
-  # that models and adapters which were asked for stood nowhere meanwhile.
+  # Guards against many seconds without any order while boxes are stopped in turn: a holder that stopped
+  # before its turn to give orders made the next one wait the whole gap again, as if orders had just been
+  # given. Requested models and adapters were resident nowhere meanwhile.
 
-  Scenario Outline: what a holder had to wait for is waited for once
+  Scenario Outline: the gap between orders of two holders passes once
     Given <nodes> nodes that contend for the lease
-    When whoever holds it is stopped as planned, <times> times, <apart> s apart
-    Then nobody gave orders for <most> s at most
-    And no fence is used by two nodes, none falls, and orders lie 3 s apart
+    When the lease holder is stopped as planned, <times> times, <apart> s apart
+    Then at most <most> s passed without orders
+    And each fence belongs to one node, fences rise, and orders of two nodes are 3 s apart
 
-    # 3.3 s between orders of two holders, and 1 s for the lease to pass on the way.
+    # 3.3 s between orders of two holders, and 1 s for the lease to change hands.
     Examples:
       | nodes | times | apart | most |
       | 9     | 1     | 1.3   | 4.3  |
@@ -20,12 +20,12 @@
       | 9     | 3     | 2.9   | 4.3  |
       | 69    | 4     | 1.3   | 4.3  |
 
-  # Guards against a second lost at each hand-over: nodes that have never read the lease wrote upon nothing,
-  # lost, and asked again only when their next write was due.
-  Scenario Outline: a freed lease is taken soon, also by nodes that have never read it
+  # Guards against a second lost at each hand-over: nodes that had never read the lease wrote without a
+  # valid version, failed, and tried again only when their next write was due.
+  Scenario Outline: a released lease is acquired soon, even by nodes that have never read it
     Given <nodes> nodes that contend for the lease
-    When whoever holds it is stopped as planned
-    Then another node holds it within 0.6 s
+    When the lease holder is stopped as planned
+    Then another node holds the lease within 0.6 s
 
     Examples:
       | nodes |
--- a/features/placement_world.py
+++ b/features/placement_world.py
@@ -1,8 +1,8 @@
-"""Model runners under the lease holder's placement, on a clock of their own.
+"""Simulation of runners under the lease holder's placement policy, on a virtual clock.
 
-Models are asked for at rates that move on, and there are fewer places than models. Orders take
-their time; some are carried out seconds late, and runners are lost. What a model is asked for
-while it stands nowhere is noted.
+Rates of requests move between models, and the runners have room for fewer models than there
+are. Orders take time, some are carried out seconds late, and runners are lost. The simulation
+records how long a model is requested while it is resident nowhere.
 """
 
 import dataclasses
@@ -21,24 +21,24 @@
 RUNNER_GB = 200.0
 RUNNER_RATE = 4_000.0
 REQUEST_TOKENS = 1_500.0
-# How long orders take, in seconds: from the runner's disk, the weight store, and an unload.
-NEAR_S = 1.5
-FAR_S = 8.0
+# How long orders take, in seconds: loads from the runner's disk and the weight store, and unloads.
+DISK_LOAD_S = 1.5
+STORE_LOAD_S = 8.0
 UNLOAD_S = 0.7
-# How much later a late order is carried out, in seconds, and for how long a lost runner is away.
+# How much later a late order ends, in seconds, and how long a lost runner is down.
 LATE_S = (2.0, 8.0)
-AWAY_S = 4.0
+DOWN_S = 4.0
 LOST_SHARE = 0.02
-# From one move of the demand to the next, in seconds.
+# Time between two changes of the demand, in seconds.
 SHIFT_S = (6.0, 15.0)
-# A model that was asked for so often in vain counts as passed over: after three times it is to take
-# the place of one that is asked for as much.
-IN_VAIN = 6
+# Requests without a replica from which on a model counts as passed over. After three of them its
+# aged demand is to suffice to replace a model with as much demand.
+UNSERVED_MIN = 6
 
 
 @dataclasses.dataclass
 class Order:
-    """An order under way: when it ought to be over, and when it is."""
+    """An order under way, with its predicted and its actual end."""
 
     action: str
     model: str
@@ -48,69 +48,73 @@
 
 @dataclasses.dataclass
 class Runner:
-    """What a runner holds, has on its disk, and is carrying out."""
+    """A runner's models in memory and on disk, and its order under way."""
 
     disk: set
     held: set = dataclasses.field(default_factory=set)
     order: Order | None = None
     room_for: str = ""
-    away_until: float = 0.0
+    down_until: float = 0.0
 
 
 class PlacementWorld:
-    """Models, runners and demand, drawn by a seed."""
+    """Models, runners and demand, drawn at random from a seed.
+
+    :param late: share of the orders that are carried out late.
+    :param hot: number of models with high demand.
+    """
 
     def __init__(self, seed, late, models=14, runners=5, hot=4):
-        self.drawn = random.Random(seed)
+        self.random = random.Random(seed)
         self.late = late
         self.now = 0.0
         names = [f"m{number}" for number in range(models)]
         self.models = {name: ModelSpec("", MODEL_GB, engine="llm") for name in names}
         self.runners = {
-            f"e{number}": Runner(set(self.drawn.sample(names, self.drawn.randint(3, 9))))
+            f"e{number}": Runner(set(self.random.sample(names, self.random.randint(3, 9))))
             for number in range(runners)
         }
-        for number, name in enumerate(self.drawn.sample(names, 2 * runners)):
+        for number, name in enumerate(self.random.sample(names, 2 * runners)):
             self.runners[f"e{number % runners}"].held.add(name)
-        rates = [self.drawn.uniform(800.0, 2500.0) for _ in range(hot)]
-        rates += [self.drawn.uniform(60.0, 400.0) for _ in range(models - hot)]
-        self.demand = dict(zip(self.drawn.sample(names, models), rates, strict=True))
-        self.shift_at = self.drawn.uniform(*SHIFT_S)
+        rates = [self.random.uniform(800.0, 2500.0) for _ in range(hot)]
+        rates += [self.random.uniform(60.0, 400.0) for _ in range(models - hot)]
+        self.demand = dict(zip(self.random.sample(names, models), rates, strict=True))
+        self.shift_at = self.random.uniform(*SHIFT_S)
         self.levels = dict.fromkeys(names, 0.0)
-        self.owed = {}
-        # When absent models were asked for since they stood last.
-        self.in_vain = {}
-        # The longest time for which a model was asked for in vain, often enough, and which.
+        self.deficits = {}
+        # Times of the requests for each model since it was last resident.
+        self.unserved = {}
+        # The longest time over which an absent model had ``UNSERVED_MIN`` requests, and which one.
         self.longest = (0.0, "")
 
     def run(self, seconds):
         while self.now < seconds:
             self.now += PLAN_S
-            self._shift()
-            self._lose()
+            self._shift_demand()
+            self._lose_runner()
             self._carry_out()
-            self._ask()
+            self._request()
             self._note_waits()
-            for move in find_placement(defaults.RELAY_PLACEMENT)(self._given()):
+            for move in find_placement(defaults.RELAY_PLACEMENT)(self._plan_input()):
                 self._order(move)
 
-    def _there(self):
-        return {name: one for name, one in self.runners.items() if one.away_until <= self.now}
+    def _available(self):
+        return {name: one for name, one in self.runners.items() if one.down_until <= self.now}
 
-    def _shift(self):
+    def _shift_demand(self):
         if self.now < self.shift_at:
             return
-        self.shift_at = self.now + self.drawn.uniform(*SHIFT_S)
+        self.shift_at = self.now + self.random.uniform(*SHIFT_S)
         rates = list(self.demand.values())
-        self.drawn.shuffle(rates)
+        self.random.shuffle(rates)
         self.demand = dict(zip(self.demand, rates, strict=True))
 
-    def _lose(self):
-        there = self._there()
-        if self.drawn.random() >= LOST_SHARE or len(there) < len(self.runners):
+    def _lose_runner(self):
+        available = self._available()
+        if self.random.random() >= LOST_SHARE or len(available) < len(self.runners):
             return
-        runner = there[self.drawn.choice(sorted(there))]
-        runner.away_until = self.now + AWAY_S
+        runner = available[self.random.choice(sorted(available))]
+        runner.down_until = self.now + DOWN_S
         runner.held, runner.order, runner.room_for = set(), None, ""
 
     def _carry_out(self):
@@ -125,42 +129,42 @@
             else:
                 runner.held.discard(order.model)
 
-    def _ask(self):
+    def _request(self):
         for name, rate in self.demand.items():
-            asked = self.drawn.random() < min(1.0, rate * PLAN_S / REQUEST_TOKENS)
-            came = REQUEST_TOKENS / PLAN_S if asked else 0.0
-            gain = 0.4 if came > self.levels[name] else 0.15
-            if asked:
-                self.in_vain.setdefault(name, []).append(self.now)
-            self.levels[name] += (came - self.levels[name]) * gain
+            requested = self.random.random() < min(1.0, rate * PLAN_S / REQUEST_TOKENS)
+            tokens_per_s = REQUEST_TOKENS / PLAN_S if requested else 0.0
+            gain = 0.4 if tokens_per_s > self.levels[name] else 0.15
+            if requested:
+                self.unserved.setdefault(name, []).append(self.now)
+            self.levels[name] += (tokens_per_s - self.levels[name]) * gain
 
     def _note_waits(self):
-        stands = {model for one in self._there().values() for model in one.held}
+        resident = {model for one in self._available().values() for model in one.held}
         for name, level in self.levels.items():
-            if name in stands:
-                self.owed.pop(name, None)
-                self.in_vain.pop(name, None)
+            if name in resident:
+                self.deficits.pop(name, None)
+                self.unserved.pop(name, None)
                 continue
-            self.owed[name] = self.owed.get(name, 0.0) + level * PLAN_S
-            asked = self.in_vain.get(name, ())
-            if len(asked) >= IN_VAIN:
-                self.longest = max(self.longest, (asked[-1] - asked[0], name))
+            self.deficits[name] = self.deficits.get(name, 0.0) + level * PLAN_S
+            times = self.unserved.get(name, ())
+            if len(times) >= UNSERVED_MIN:
+                self.longest = max(self.longest, (times[-1] - times[0], name))
 
-    def _given(self):
-        rooms = tuple(self._room(name, one) for name, one in self._there().items())
+    def _plan_input(self):
+        snapshots = tuple(self._snapshot(name, one) for name, one in self._available().items())
         return PlanInput(
             self.models,
-            rooms,
+            snapshots,
             self.levels,
             PolicySpec(loads_per_s=2.0),
             self.levels,
             urgent={name: level / 2.0 for name, level in self.levels.items()},
             longest_s=2.0,
-            owed=dict(self.owed),
+            owed=dict(self.deficits),
             declined={},
         )
 
-    def _room(self, name, runner):
+    def _snapshot(self, name, runner):
         order = runner.order
         left_s = order.due_at + defaults.RUNNER_BUSY_S - self.now if order else 0.0
         coming = {order.model} if order is not None and order.action == "load" else set()
@@ -173,13 +177,13 @@
             resident=frozenset((model, "") for model in runner.held),
             coming=frozenset((model, "") for model in coming),
             busy=order is not None,
-            load_s={model: self._takes_s(runner, model) for model in self.models},
+            load_s={model: self._load_time_s(runner, model) for model in self.models},
             free_in_s=left_s if left_s >= 0.0 else math.inf,
             room_for=runner.room_for,
         )
 
-    def _takes_s(self, runner, model):
-        return NEAR_S if model in runner.disk else FAR_S
+    def _load_time_s(self, runner, model):
+        return DISK_LOAD_S if model in runner.disk else STORE_LOAD_S
 
     def _order(self, move):
         runner = self.runners[move.endpoint]
@@ -189,8 +193,8 @@
         load = move.action == "load"
         if load and MODEL_GB * (len(runner.held) + 1) > RUNNER_GB:
             return
-        takes_s = self._takes_s(runner, model) if load else UNLOAD_S
+        takes_s = self._load_time_s(runner, model) if load else UNLOAD_S
         runner.room_for = "" if load else move.room_for
-        late_s = self.drawn.uniform(*LATE_S) if self.drawn.random() < self.late else 0.0
+        late_s = self.random.uniform(*LATE_S) if self.random.random() < self.late else 0.0
         due_at = self.now + takes_s
         runner.order = Order(move.action, model, due_at, due_at + late_s)
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -1,5 +1,5 @@
 from adapter_stage import Stage
-from adapter_stage import ask_in_turn
+from adapter_stage import request_at_random
 from behave import given
 from behave import then
 from behave import when
@@ -13,9 +13,9 @@
 from rookspring_core.events import PeerHeard
 from rookspring_core.events import Ticked
 
-# What the harness's route grants, in seconds; how often each wait is seen.
+# How long requests wait by the harness's route, in seconds; how often each wait is repeated.
 PATIENCE_S = 0.1
-SEEN_TIMES = 12
+WAIT_REPEATS = 12
 HELD = ("m+q", "n+p", "r+s")
 LOST_SHARE = 0.35
 TIMES = {1: "once", 2: "twice"}
@@ -35,12 +35,12 @@
 def adapters_wanted(context, then):
     holder = context.holder
     match then:
-        case "come at once":
+        case "are attached at once":
             want(holder, "a1")
             holder.pass_time(0.2)
-        case "nobody asks again" | "are asked for twice":
+        case "are not requested again" | "are requested twice":
             want(holder, "a1")
-            if then == "are asked for twice":
+            if then == "are requested twice":
                 holder.pass_time(0.5)
                 want(holder, "a1")
             holder.pass_time(3.0)
@@ -50,20 +50,20 @@
             want(holder, "a1")
             holder.pass_time(3.0)
         case _:
-            make_give_way(holder, used=then == "take one that was used")
+            replace_adapter(holder, used=then == "replace a used one")
 
 
-def make_give_way(holder, used):
-    """Attach a9 where a2 stood, then have it give way in its turn."""
+def replace_adapter(holder, used):
+    """Attach a9 in the slot of a2, then a8 in that of a9."""
     for adapter in ("a9", "a8"):
         use(holder, ["a3", "a9"] if used else ["a3"])
-        want_until_there(holder, adapter, ["a3"])
+        want_until_attached(holder, adapter, ["a3"])
         if adapter == "a9" and used:
             use(holder, ["a3", "a9"])
             holder.pass_time(0.2)
 
 
-def want_until_there(holder, adapter, in_use):
+def want_until_attached(holder, adapter, in_use):
     for _ in range(40):
         if holder.state.endpoints["e1"].has_adapter(f"m/{adapter}"):
             return
@@ -73,10 +73,10 @@
     raise AssertionError(f"{adapter} is not attached")
 
 
-@then("operators are told: {told}")
-def operators_told(context, told):
+@then("the log shows: {logged}")
+def log_shows(context, logged):
     got = [describe(one) for one in context.holder.told]
-    for text in told.split("; "):
+    for text in logged.split("; "):
         assert text in got, got
 
 
@@ -94,10 +94,10 @@
 @given("waits for adapters of m of {waits} s")
 def waits_seen(context, waits):
     context.node = node = RelayHarness()
-    seen = [] if waits == "none" else [float(one) for one in waits.split(", ")]
-    for number in range(SEEN_TIMES * len(seen)):
+    waits_s = [] if waits == "none" else [float(one) for one in waits.split(", ")]
+    for number in range(WAIT_REPEATS * len(waits_s)):
         node.state.adapter_waits.begin(f"m/b{number}", 0.0)
-        node.state.adapter_waits.end([f"m/b{number}"], seen[number % len(seen)])
+        node.state.adapter_waits.end([f"m/b{number}"], waits_s[number % len(waits_s)])
 
 
 @given("an endpoint with m that {does}")
@@ -110,34 +110,34 @@
         node.submit(ComingHeard(node.now, "e1", "n", seconds))
 
 
-@when("an adapter of m is asked for that is attached nowhere")
-def asked_in_vain(context):
+@when("an adapter of m is requested that is attached nowhere")
+def unattached_requested(context):
     node = context.node
     node.ask(model="m", adapter="m/a1")
     node.now += PATIENCE_S + 0.01
     node.submit(Ticked(node.now))
 
 
-@then("its caller is told to come back after {least:g} to {most:g} s")
-def told_back(context, least, most):
+@then("its caller is told to retry after {least:g} to {most:g} s")
+def told_to_retry(context, least, most):
     after_s = context.node.refused[-1].retry_after_s
     assert least - 0.06 <= after_s <= most + 0.06, after_s
 
 
-@then("the lease holder is told when that will be at the latest")
+@then("the lease holder is told by when the caller will have retried")
 def holder_told(context):
     wanted = context.node.wants[-1]
     after_s = PATIENCE_S + context.node.refused[-1].retry_after_s
     assert abs(wanted.back_s - after_s) < 0.15, (wanted.back_s, after_s)
 
 
-@given("an endpoint holding {held}, and a request for {asked}")
-def endpoint_holding(context, held, asked):
+@given("an endpoint holding {held}, and a request for {requested}")
+def endpoint_holding(context, held, requested):
     context.node = node = RelayHarness()
     node.list_endpoints(["e1"], "llm", "runner")
     node.submit(node.report("e1", (held,)))
-    model, slash, _ = asked.partition("/")
-    node.ask(model=model, adapter=asked if slash else "", tokens=1000)
+    model, slash, _ = requested.partition("/")
+    node.ask(model=model, adapter=requested if slash else "", tokens=1000)
 
 
 @when("it is refused")
@@ -148,7 +148,7 @@
     assert node.refused
 
 
-@then("it counts as missed of m: {missed}")
+@then("it counts as missed demand of m: {missed}")
 def counts_missed(context, missed):
     node = context.node
     node.now += 0.1
@@ -157,9 +157,9 @@
     assert got == (missed == "yes"), node.state.control.missed.meter.rates
 
 
-@when("a9 is attached and gives way before anyone has used it")
-def gave_way_unused(context):
-    make_give_way(context.holder, used=False)
+@when("a9 is attached and evicted before any request has used it")
+def evicted_unused(context):
+    replace_adapter(context.holder, used=False)
     context.given = len(context.holder.orders)
 
 
@@ -180,23 +180,23 @@
     assert loads and loads[0] == "m/a9", loads
 
 
-@given("an endpoint of 16 slots with m and its adapter a1, where {came} comes")
-def adapters_come(context, came):
+@given("an endpoint of 16 slots with m and its adapter a1, where {attached} is attached")
+def adapters_attached(context, attached):
     context.node = node = RelayHarness()
     node.list_endpoints(["e1"], "llm", "runner")
     node.submit(node.report("e1", ("m",), ("m/a1",), slots=16))
     node.now += 1.0
-    first, _, last = came.removeprefix("a").partition(" to a")
-    numbers = range(int(first), int(last or first) + 1) if came != "nothing" else (9,)
+    first, _, last = attached.removeprefix("a").partition(" to a")
+    numbers = range(int(first), int(last or first) + 1) if attached != "nothing" else (9,)
     adapters = ["m/a1", *(f"m/a{number}" for number in numbers)]
-    if came == "nothing":
-        # It is there from the first report on.
+    if attached == "nothing":
+        # Then a9 is attached from the first report on.
         context.node = node = RelayHarness()
         node.list_endpoints(["e1"], "llm", "runner")
     node.submit(node.report("e1", ("m",), adapters, slots=16))
 
 
-@when("{others:d} requests for a1 are there, and {later:g} s later one for a9")
+@when("{others:d} requests for a1 arrive, and {later:g} s later one for a9")
 def others_first(context, others, later):
     node = context.node
     node.now += later
@@ -205,7 +205,7 @@
     node.ask(model="m", adapter="m/a9", key="first")
 
 
-@when("prompts of {tokens} tokens for a1 are there, and then one of 900 for a9")
+@when("prompts of {tokens} tokens for a1 arrive, and then one of 900 for a9")
 def prompts_first(context, tokens):
     node = context.node
     for number, size in enumerate(tokens.split(", ")):
@@ -220,57 +220,55 @@
     assert ("first" in keys) == (then == "sent"), keys
 
 
-@given("runners holding m+q, n+p and r+s, where m has 20 adapters and a runner 8 places")
+@given("runners holding m+q, n+p and r+s, where m has 20 adapters and a runner 8 adapter slots")
 def runners_hold(context):
     context.held = HELD
 
 
-@given("nothing happens")
-@given("e2 {fate}, whose models {asked}")
-@given("a third of orders is answered by nobody and comes late")
-def trouble(context, fate="", asked=""):
-    context.fate = fate
-    context.asked = asked
+@given("there are no faults")
+@given("e2 {failure}, whose models {requested}")
+@given("a third of orders gets no answer and is taken late")
+def fault(context, failure="", requested=""):
+    context.failure = failure
+    context.requested = requested
 
 
-@when("its adapters are asked for {rate:g} times a second for 30 s, with seeds 1 to 6")
-def asked_for(context, rate):
+@when("its adapters are requested {rate:g} times a second for 30 s, with seeds 1 to 6")
+def adapters_requested(context, rate):
     lossy = "third of orders" in " ".join(step.name for step in context.scenario.steps)
     context.stages = []
     for seed in range(1, 7):
         stage = Stage(context.held, seed, LOST_SHARE if lossy else 0.0)
-        if context.fate:
-            silent = context.fate == "falls silent"
+        if context.failure:
+            silent = context.failure == "falls silent"
             stage.after(2.0, lambda stage=stage, silent=silent: stage.lose("e2", silent))
-        others = ("n", "p") if context.asked == "are asked for now and then" else ()
-        ask_in_turn(stage, 30.0, rate, others)
+        others = ("n", "p") if context.requested == "are requested at times" else ()
+        request_at_random(stage, 30.0, rate, others)
         context.stages.append(stage)
 
 
-@then("none that was asked for four times over 8 s was never served")
+@then("each that was requested four times over 8 s was served at least once")
 def none_starved(context):
     starved = [stage.starved() for stage in context.stages]
     assert not any(starved), starved
 
 
-@then(
-    "at most {adapter:d} tries in a row for one adapter were in vain, and {model:d} for one model"
-)
-def few_in_vain(context, adapter, model):
-    adapters = [stage.most_in_vain(adapters=True) for stage in context.stages]
-    models = [stage.most_in_vain(adapters=False) for stage in context.stages]
+@then("at most {adapter:d} tries in a row failed for one adapter, and {model:d} for one model")
+def few_failures(context, adapter, model):
+    adapters = [stage.longest_failure_run(adapters=True) for stage in context.stages]
+    models = [stage.longest_failure_run(adapters=False) for stage in context.stages]
     assert max(adapters)[0] <= adapter, adapters
     assert max(models)[0] <= model, models
 
 
-@then("at most {share:d} in 100 of those that were unloaded had been of no use")
+@then("at most {share:d} in 100 of the unloaded adapters had not been used")
 def few_unused(context, share):
     shares = [stage.unused_share() for stage in context.stages]
     assert sum(shares) / len(shares) <= share / 100.0, shares
 
 
-@given("runners holding m+q and n+p, where six of m's eight places are in use for 12 s")
-def places_in_use(context):
+@given("runners holding m+q and n+p, where six of m's eight adapter slots are in use for 12 s")
+def slots_in_use(context):
     context.stages = [Stage(("m+q+r", "n+p+s"), seed) for seed in range(1, 7)]
     for stage in context.stages:
         stage.run_s = {f"m/a{number}": 12.0 for number in range(1, 7)}
@@ -280,8 +278,8 @@
         stage.run(1.0)
 
 
-@when("twelve other adapters of m are asked for three times within 7 s, with seeds 1 to 6")
-def others_asked(context):
+@when("twelve other adapters of m are requested three times within 7 s, with seeds 1 to 6")
+def others_requested(context):
     for stage in context.stages:
         for number in (*range(9, 21),) * 3:
             stage.ask(f"m/a{number}")
--- a/features/steps/relay_order_steps.py
+++ b/features/steps/relay_order_steps.py
@@ -65,7 +65,7 @@
     for _ in range(round(seconds / 0.1)):
         want(holder, "a1")
         holder.pass_time(0.1)
-        # What runs goes on, so that its runner is not taken for silent.
+        # Running requests make progress, so that their runner does not count as silent.
         for one in list(holder.state.requests.values()):
             if one.running:
                 key = (one.arrived.request_id, one.attempt)
@@ -148,7 +148,7 @@
 @then("the orders are {expected}")
 def orders_are(context, expected):
     got = [f"{one.action} {one.model_version or one.model}" for one in context.holder.orders]
-    # What follows from the first orders is another matter.
+    # Orders that follow from the expected ones are not checked.
     wanted = [] if expected == "none" else expected.split(", ")
     assert got[: max(1, len(wanted))] == wanted, got
 
@@ -162,7 +162,7 @@
 @when("loads of a model of 80 GB get no answer, and one of 90 GB is asked for")
 def loads_unanswered(context):
     holder = context.holder
-    # By then the model that may come yet is not declared any more.
+    # The table that declares y no longer declares x, whose load may still arrive.
     sizes = {"m": 70_000.0, "y": 90_000.0}
     holder.answer = "lost always"
     holder.submit(RouteTableSeen(holder.now, make_table(2, sizes={"m": 70_000.0, "x": 80_000.0})))
@@ -170,7 +170,7 @@
         holder.demand("x", 5_000.0)
         holder.pass_time(0.1)
     assert holder.orders[0].model == "x", holder.orders
-    # From here on orders would be carried out; those of x may come yet.
+    # From here on orders are carried out; the loads of x may still arrive.
     for room in holder.state.residency.rooms.values():
         room.order = None
     holder.answer = "taken"
@@ -323,7 +323,7 @@
     for _ in range(round(seconds / 0.1)):
         holder.demand("x", 9000.0)
         if holder.state.requests.get("r1"):
-            # The runner goes on with its answer, so that it is not taken for silent.
+            # The running request makes progress, so that its runner does not count as silent.
             holder.submit(AttemptProgressed(holder.now, "r1", 1, 1))
         holder.pass_time(0.1)
 
@@ -407,7 +407,7 @@
     endpoint = holder.orders[0].endpoint
     holder.pass_time(after + 1.0)
     times = [at for name, at in holder.reads if name == endpoint and at >= context.ordered_at]
-    # At the first tick from then on.
+    # The report is read at the first tick after that time.
     late_s = times[0] - context.ordered_at - after
     assert -1e-6 < late_s < 0.1 + 1e-6, (times, context.ordered_at)
 
@@ -419,7 +419,7 @@
         holder.ask(model="m", key=f"r{number}")
     assert {one.endpoint for one in holder.sent} == {"e1", "e2"}, holder.sent
     holder.list_endpoints(["e2"], "llm", "runner")
-    # Less than what makes a runner count as silent.
+    # Less than the time after which a runner counts as silent.
     holder.now += 0.5
     if what == "its report":
         token = holder.state.endpoints["e1"].report.order_token
@@ -432,21 +432,21 @@
 @when("{number:d} plans are made under demand that moves")
 def plans_made(context, number):
     holder = context.holder
-    chance = random.Random(7)
-    context.bare = []
-    context.over = []
+    generator = random.Random(7)
+    context.absent = []
+    context.over_memory = []
     for step in range(number):
         busy = "m" if (step // 40) % 2 else "n"
-        holder.demand(busy, 40_000.0 * chance.random())
+        holder.demand(busy, 40_000.0 * generator.random())
         holder.pass_time(0.5)
         held = {model for runner in holder.runners.values() for model in runner["models"]}
-        context.bare += [model for model in SIZES if model not in held]
-        context.over += [name for name in holder.runners if holder.used_mb(name) > 200_000.0]
+        context.absent += [model for model in SIZES if model not in held]
+        context.over_memory += [name for name in holder.runners if holder.used_mb(name) > 200_000.0]
 
 
 @then("m and n were resident somewhere all the time and no runner was over its memory")
 def all_resident(context):
-    assert not context.bare and not context.over, (context.bare, context.over)
+    assert not context.absent and not context.over_memory, (context.absent, context.over_memory)
 
 
 @when("a request for n hangs at its runner, whose entry goes")
--- a/features/steps/swapping_steps.py
+++ b/features/steps/swapping_steps.py
@@ -21,21 +21,22 @@
 
 
 def read_runner(text):
-    """Read a runner as NAME[RESIDENT; NOTES].
+    """Parse a runner from NAME[RESIDENT; NOTES].
 
-    Notes: disk MODELS, memory MODELS, busy SECONDS, use MODELS, kept MODELS, awaited RATE,
-    coming MODELS.
+    Notes: disk MODELS, memory MODELS (local copies), busy SECONDS (until it is free; none if
+    unknown), use MODELS (in use by requests), kept MODELS (protected), coming MODELS (being
+    loaded), room MODEL (room was made for it), awaited RATE (demand for unattached adapters).
     """
     name, inside = re.fullmatch(r"(\w+)\[(.*)\]", text).groups()
     held, *notes = [part.strip() for part in inside.split(";")]
     resident = [one for one in held.split(",") if one]
-    near = dict.fromkeys(MODELS, "store")
+    copy_places = dict.fromkeys(MODELS, "store")
     busy = [note for note in notes if note.startswith("busy")]
     free_in_s = float(busy[0].partition(" ")[2] or "inf") if busy else 0.0
     for note in notes:
         place, _, models = note.partition(" ")
         if place in LOAD_S:
-            near.update(dict.fromkeys(models.split(","), place))
+            copy_places.update(dict.fromkeys(models.split(","), place))
     return placement.RunnerRoom(
         name=name,
         data_centre="z",
@@ -45,7 +46,7 @@
         resident=frozenset((one, "") for one in resident),
         coming=frozenset((one, "") for one in read_names(notes, "coming")),
         busy=bool(busy),
-        load_s={model: LOAD_S[place] for model, place in near.items()},
+        load_s={model: LOAD_S[place] for model, place in copy_places.items()},
         free_in_s=free_in_s,
         room_for=next((note[5:] for note in notes if note.startswith("room ")), ""),
         in_use=read_names(notes, "use"),
@@ -66,29 +67,29 @@
 
 @when("a plan is made for demand {rows}")
 def demand(context, rows):
-    wishes = {} if rows == "none" else dict(row.split() for row in rows.split(", "))
-    # Only what a scenario names is declared, so that nothing else is missing.
-    named = set(wishes) | {model for one in context.runners for model, _ in one.resident}
+    rates = {} if rows == "none" else dict(row.split() for row in rows.split(", "))
+    # Only models that a scenario names are declared, as all others would lack a replica.
+    named = set(rates) | {model for one in context.runners for model, _ in one.resident}
     models = {
         name: ModelSpec(version="", memory_gb=gb, engine="llm")
         for name, gb in MODELS.items()
         if name in named
     }
-    # RATE/TIMES is what a model asks for as work, and how many times that it is in tokens.
-    plain = {model: rate.partition("!")[0].rstrip("~") for model, rate in wishes.items()}
+    # RATE/TIMES: demand as work, and the factor by which it is more in tokens.
+    plain = {model: rate.partition("!")[0].rstrip("~") for model, rate in rates.items()}
     parts = {model: rate.partition("/") for model, rate in plain.items()}
     levels = {model: float(part[0]) for model, part in parts.items()}
     asked = {model: float(part[0]) * float(part[2] or 1) for model, part in parts.items()}
-    # RATE~ can wait for its model; RATE!MISSED was refused in part.
+    # RATE~: demand that can wait for a load. RATE!MISSED: demand that was refused in part.
     given_ = placement.PlanInput(
         models,
         context.runners,
         levels,
         PolicySpec(),
         asked,
-        urgent={model: 0.0 if "~" in rate else levels[model] for model, rate in wishes.items()},
+        urgent={model: 0.0 if "~" in rate else levels[model] for model, rate in rates.items()},
         longest_s=4.0,
-        missed={model: float(rate.partition("!")[2] or 0) for model, rate in wishes.items()},
+        missed={model: float(rate.partition("!")[2] or 0) for model, rate in rates.items()},
     )
     context.moves = placement.find_placement("swap")(given_)
 
@@ -105,8 +106,8 @@
     context.rate = rate
 
 
-@when("two models are wanted that are {where}")
-def two_wanted(context, where):
+@when("two models are requested that are {where}")
+def two_requested(context, where):
     holder = context.holder
     if where == "on a runner's disk":
         for runner in holder.runners.values():
@@ -114,7 +115,7 @@
     sizes = {"m": 70_000.0, "n": 60_000.0, "x": 50_000.0, "y": 50_000.0}
     table = make_table(2, sizes=sizes, loads_per_s=context.rate)
     holder.orders.clear()
-    # What was saved up at another rate does not count.
+    # Drop the budget that was accumulated at another rate.
     holder.state.control.store.begin(holder.now)
     holder.relist()
     holder.submit(RouteTableSeen(holder.now, table))
@@ -129,7 +130,7 @@
 
 
 def until(holder, demand, seconds, holds):
-    """Let time pass under some demand until something holds; gives how long that took."""
+    """Run under some demand until a condition holds, and return the time that it took."""
     for step in range(round(seconds / 0.1)):
         if holds():
             return step * 0.1
@@ -139,7 +140,7 @@
     raise AssertionError((holder.orders, holder.runners))
 
 
-@when("x is asked for and loaded, and then y, which only fits in its place")
+@when("x is requested and loaded, and then y, which only fits in its place")
 def x_then_y(context):
     holder = context.holder
     sizes = {"m": 70_000.0, "n": 60_000.0, "x": 60_000.0, "y": 60_000.0}
@@ -152,15 +153,15 @@
     context.demand |= {"x": 20.0, "y": 4_000.0}
 
 
-@then("x stays for {least:g} s, and y stands within {most:g} s")
+@then("x stays for {least:g} s, and y is resident within {most:g} s")
 def x_stays(context, least, most):
     holder, models = context.holder, context.models
     assert until(holder, context.demand, most, lambda: "x" not in models) >= least
     until(holder, context.demand, most, lambda: "y" in models)
 
 
-@when("x, which fits nowhere, is asked for {tokens:d} tokens {times:d} times in 12 s")
-def asked_in_vain(context, tokens, times):
+@when("{tokens:d} tokens of x, which fits nowhere, are requested {times:d} times in 12 s")
+def unplaceable_requested(context, tokens, times):
     holder = context.holder
     sizes = {"m": 70_000.0, "n": 60_000.0, "x": 250_000.0}
     holder.submit(RouteTableSeen(holder.now, make_table(2, sizes=sizes)))
@@ -170,25 +171,27 @@
         holder.pass_time(12.0 / times)
 
 
-@then("between {least:d} and {most:d} tokens are owed to it")
-def owed_to_it(context, least, most):
-    owed = context.holder.state.residency.owed
-    assert least <= owed["x"] <= most, owed
+@then("its deficit is between {least:d} and {most:d} tokens")
+def has_deficit(context, least, most):
+    deficits = context.holder.state.residency.owed
+    assert least <= deficits["x"] <= most, deficits
 
 
-@then("nothing is owed to m")
-def nothing_owed(context):
+@then("m has no deficit")
+def no_deficit(context):
     assert "m" not in context.holder.state.residency.owed
 
 
-@given("prompts of {tokens} tokens read in {took} ms")
+@given("prompts of {tokens} tokens with a first event after {took} ms")
 def prompts_read(context, tokens, took):
     pairs = zip(tokens.split(", "), took.split(", "), strict=True)
     context.prompts = [(int(number), float(ms) / 1000.0) for number, ms in pairs]
 
 
-@when("they are told of the model m, after 10 tokens in 40 ms and thrice 2000 in 140 ms of n")
-def told_of_models(context):
+@when(
+    "they are recorded for m, after one of 10 tokens and 40 ms and three of 2000 and 140 ms for n"
+)
+def prompts_recorded(context):
     context.paces = PaceTable()
     context.paces.note("n", 10, 0.04)
     for _ in range(3):
@@ -206,8 +209,8 @@
         node.ask(model="m", key="r0", prompt_tokens=unread)
 
 
-@when("a prompt of {tokens:d} tokens comes")
-def prompt_comes(context, tokens):
+@when("a prompt of {tokens:d} tokens arrives")
+def prompt_arrives(context, tokens):
     context.relay_node.ask(model="m", key="r1", prompt_tokens=tokens)
 
 
@@ -217,15 +220,15 @@
     assert ("r1" in keys) == (sent == "sent"), keys
 
 
-@then("m counts for {part:g} of n")
-def counts_for(context, part):
+@then("a token of m is {part:g} of the work of one of n")
+def relative_work(context, part):
     got = context.paces.relative("m")
     assert abs(got - part) < 0.01, got
     assert context.paces.relative("n") == 1.0
 
 
-@when("m reads ten times as fast as n, and 3000 tokens of each are asked for")
-def asked_of_each(context):
+@when("m reads ten times as fast as n, and 3000 tokens of each are requested")
+def both_requested(context):
     holder = context.holder
     holder.state.paces.note("m", 10, 0.04)
     for _ in range(3):
@@ -236,7 +239,7 @@
     holder.pass_time(0.1)
 
 
-@then("m is asked for a tenth of what n is, and its unread prompt is a tenth as long")
+@then("the demand for m is a tenth of that for n, and so is the length of its unread prompt")
 def tenth(context):
     state = context.holder.state
     rates = state.control.meter.rates
--- a/features/steps/trusted_report_steps.py
+++ b/features/steps/trusted_report_steps.py
@@ -7,11 +7,11 @@
 from rookspring_core.orders import usable
 from rookspring_core.rooms import without
 
-STOOD_S = 6.0
+SUSPENDED_S = 6.0
 
 
 class LaggingHolder(HolderHarness):
-    """A holder whose runner's reports may be of before its last order."""
+    """A lease holder whose runner's reports may be older than its last order."""
 
     lag = 0
 
@@ -33,17 +33,17 @@
     put_report(holder.state, view, without(view.report, "n", ""))
 
 
-@when("it takes the lease anew, and the runner's report {tells}")
-def takes_anew(context, tells):
+@when("it acquires the lease again, and the runner's report {report}")
+def acquires_again(context, report):
     holder = context.holder
     epoch = holder.state.control.acting_epoch
-    holder.lag = 1 if "before" in tells else 0
-    # It stands still until its lease has lapsed.
-    holder.now += STOOD_S
+    holder.lag = 1 if "older" in report else 0
+    # It is suspended until its lease has lapsed.
+    holder.now += SUSPENDED_S
     while holder.state.control.acting_epoch == epoch:
         holder.pass_time(0.1)
     holder.pass_time(0.3)
-    if "later" in tells:
+    if "later" in report:
         holder.lag = 0
         holder.pass_time(1.3)
 
--- a/packages/rookspring-core/src/rookspring_core/adapter_waits.py
+++ b/packages/rookspring-core/src/rookspring_core/adapter_waits.py
@@ -1,8 +1,8 @@
-"""How long it takes until an adapter that was asked for in vain is attached, as a node sees it.
+"""Estimate of how long requests wait until their adapter is attached, as seen by one node.
 
-Callers that are refused are told to come back when the adapter is likely to be there, and
-the lease holder keeps its place until they have. Told a fixed 0.4 s, callers came back a third
-of a second too early wherever more adapters were asked for than there are places.
+Refused callers are told to retry when the adapter is likely to be attached, and the lease
+holder protects the adapter until they have. With a fixed time of 0.4 s callers retried a
+third of a second too early wherever more adapters were requested than there are slots.
 """
 
 import typing as t
@@ -11,34 +11,34 @@
 
 
 class AdapterWaits:
-    """The waits for adapters of each model: what nearly all stay below, in seconds."""
+    """Running estimate, by model, of a high quantile of the waits for its adapters."""
 
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
         self._likely_s: dict[str, float] = {}
 
     def begin(self, adapter: str, now: float) -> None:
-        """An adapter is asked for that is attached nowhere; the first to ask begins its wait."""
+        """Begin the wait for an adapter that is attached nowhere, at its first request."""
         self._since.setdefault(adapter, now)
 
     def end(self, attached: t.Container[str], now: float) -> None:
-        """Take what is attached at some endpoint now."""
+        """End the waits for adapters that are attached at some endpoint now."""
         for adapter in [one for one in self._since if one in attached]:
             self._learn(adapter, now - self._since.pop(adapter))
 
     def forget_old(self, now: float) -> None:
-        """Count what has waited for long as a long wait: it may never be attached."""
+        """End waits over the longest time and count them as that: some never end otherwise."""
         for adapter, since in list(self._since.items()):
             if now - since > defaults.ADAPTER_WAIT_MOST_S:
                 del self._since[adapter]
                 self._learn(adapter, defaults.ADAPTER_WAIT_MOST_S)
 
     def likely_s(self, model: str) -> float:
-        """Give how long a wait for an adapter of a model is likely to last at most."""
+        """Return the estimated upper bound of a wait for an adapter of a model, in seconds."""
         return self._likely_s.get(model, 0.0)
 
     def _learn(self, adapter: str, wait_s: float) -> None:
-        """Move the estimate up where a wait was longer, and a little down if not."""
+        """Raise the estimate if the wait was longer, otherwise lower it by a smaller step."""
         model = adapter.partition("/")[0]
         likely_s = self._likely_s.get(model, 0.0)
         step_s = defaults.ADAPTER_WAIT_STEP * max(likely_s, defaults.COME_BACK_S)
--- a/packages/rookspring-core/src/rookspring_core/attaching.py
+++ b/packages/rookspring-core/src/rookspring_core/attaching.py
@@ -1,15 +1,16 @@
-"""Adapters come on demand: attached where a request waits for one, in a place that is free.
+"""Attaching of adapters on demand, for requests that wait for them.
 
-An endpoint has few places and carries out one order at a time, so what each of these costs
-those who wait decides who gets it:
+A want is a request's need for a model or adapter that no endpoint holds, as sent to the
+lease holder. An endpoint has few adapter slots and carries out one order at a time, so both
+are given out as follows:
 
-- Whoever has gone unserved for longest is first, so that each has its turn.
-- What was attached for a request is kept until its callers can have come back and been
-  seen; else most leave before anyone has used them.
-- Nothing is unloaded that may be in use: an unload waits for what runs, and all orders
-  there wait for it, for many seconds. So an adapter is withdrawn from new requests first;
-  once all nodes know and none uses it, it stands by: the next want takes its place at once,
-  and a want for itself takes it back without an order.
+- Wants are served in the order in which they began, so that none starves.
+- An adapter that was attached for a want is protected until its callers can have retried
+  and their use was reported; otherwise most are evicted before any request uses them.
+- Nothing is unloaded while it may be in use: an unload waits for running requests, for many
+  seconds, and blocks all other orders there. So an adapter is withdrawn from new requests
+  first. Once all nodes know of that and none uses it, it is on standby: it can be unloaded
+  at once for the next want, and be reinstated without an order if it is wanted itself.
 
 A model that is in use is withdrawn and unloaded likewise, with its adapters.
 """
@@ -42,10 +43,10 @@
 
 
 def serve_wants(state: NodeState) -> Effects:
-    """Order the adapters that requests wait for; models are the planner's."""
+    """Order the adapters that requests wait for; models are left to the planner."""
     if not settled(state):
         return []
-    effects = _review(state)
+    effects = _update_wants(state)
     wanted = state.residency.wanted
     under_way = _list_under_way(state)
     waiting = [key for key, want in wanted.items() if key[2] and not want.given_up]
@@ -55,22 +56,22 @@
     return effects + _keep_standby(state)
 
 
-def _review(state: NodeState) -> Effects:
-    """End the wants that are served, and give up those for which nobody asks now.
+def _update_wants(state: NodeState) -> Effects:
+    """End the wants that are served, and give up those that no caller waits for now.
 
-    One that was given up keeps its place in the order for a while, should it be asked for
-    again: its callers come and go while it waits for its turn.
+    A want that was given up is remembered for a while, so that it keeps its place in the
+    queue if it is requested again: callers come and go while it waits.
     """
     effects: Effects = []
     for key, want in list(state.residency.wanted.items()):
         adapter = key[2]
         quiet_s = state.now - want.asked_at
-        live = want.live(state.now)
+        active = want.live(state.now)
         if adapter and any(one.has_adapter(adapter) for one in _open_hosts(state, key)):
             effects += _end_want(state, key, "attached")
-        elif quiet_s > defaults.WANT_REMEMBERED_S or (not adapter and not live):
+        elif quiet_s > defaults.WANT_REMEMBERED_S or (not adapter and not active):
             del state.residency.wanted[key]
-        elif not live and not want.given_up:
+        elif not active and not want.given_up:
             effects += _end_want(state, key, "given up")
             state.residency.wanted[key] = want._replace(given_up=True)
     return effects
@@ -91,56 +92,56 @@
 
 
 def _serve(state: NodeState, key: WantKey) -> Effects:
-    """Order what is to be done for one want, or tell once why nothing is."""
+    """Give the order for one want, or log the reason why none is given, once."""
     _, model, adapter = key
     hosts = _open_hosts(state, key)
     ready = [one for one in hosts if usable(state, one)]
     want = state.residency.wanted[key]
-    effects = _take_back(state, hosts, adapter, want) or _attach(state, ready, key, want)
-    why = "" if effects else _why_not(state, hosts, ready)
+    effects = _reinstate(state, hosts, adapter, want) or _attach(state, ready, key, want)
+    why = "" if effects else _decline_reason(state, hosts, ready)
     if why == want.declined:
         return effects
     state.residency.wanted[key] = want._replace(declined=why)
     return [*effects, WantDeclined(adapter, why)] if why else effects
 
 
-def _why_not(state: NodeState, hosts: list[EndpointView], ready: list[EndpointView]) -> str:
-    """Say why nothing can be ordered for an adapter now."""
+def _decline_reason(state: NodeState, hosts: list[EndpointView], ready: list[EndpointView]) -> str:
+    """Return the reason why nothing can be ordered for an adapter now."""
     if not hosts:
         return "its model is on no endpoint"
     if ready:
-        return "no place can be made"
+        return "no adapter slot can be freed"
     busy = []
     for view in hosts:
-        room = state.residency.rooms.get(view.name)
-        order = room.order if room else None
+        account = state.residency.rooms.get(view.name)
+        order = account.order if account else None
         if order is not None:
             busy.append(f"{view.name}: {order.action} {order.adapter or order.model} is under way")
     return "; ".join(busy) or "no endpoint of its model can be given orders"
 
 
 def _list_under_way(state: NodeState) -> set[str]:
-    """List the adapters that are on their way to some endpoint."""
-    orders = (room.order for room in state.residency.rooms.values())
+    """Return the adapters for which a load is under way at some endpoint."""
+    orders = (account.order for account in state.residency.rooms.values())
     return {one.adapter for one in orders if one is not None and one.action == "load"}
 
 
 def note_used(state: NodeState) -> None:
-    """See which of the adapters that were attached are used, as often as nodes tell."""
+    """Mark the attached adapters that requests use, about as often as nodes report their use."""
     residency = state.residency
     if state.now - residency.used_noted_at < defaults.USED_NOTED_S:
         return
     residency.used_noted_at = state.now
     for rows in (used_rows(state), *state.control.peer_used.values()):
         for name, adapter in rows:
-            room = residency.rooms.get(name)
-            stay = room.stays.get(adapter) if room is not None else None
-            if room is not None and stay is not None and not stay.used:
-                room.stays[adapter] = stay._replace(used=True)
+            account = residency.rooms.get(name)
+            attachment = account.stays.get(adapter) if account is not None else None
+            if account is not None and attachment is not None and not attachment.used:
+                account.stays[adapter] = attachment._replace(used=True)
 
 
 def _attach(state: NodeState, hosts: list[EndpointView], key: WantKey, want: OpenWant) -> Effects:
-    """Load an adapter where the fewest are, making a place where all are taken."""
+    """Load an adapter where the fewest are attached, or free a slot there if all are taken."""
     if not hosts:
         return []
     _, model, adapter = key
@@ -148,153 +149,159 @@
     engine = engine_of(state, view)
     if engine is None or view.report is None or model not in engine.models:
         return []
-    room = state.residency.rooms[view.name]
+    account = state.residency.rooms[view.name]
     size = engine.models[model]
-    used = used_mb(engine, view.report) + doubted_mb(engine, room, state.now, adapter)
-    used += withdrawn_mb(engine, room)
-    places = _places(state, view, room, adapter)
-    if used + size.adapter_mb <= engine.memory_mb and places < engine.adapters_max:
+    used = used_mb(engine, view.report) + doubted_mb(engine, account, state.now, adapter)
+    used += withdrawn_mb(engine, account)
+    slots_taken = _count_slots(state, view, account, adapter)
+    if used + size.adapter_mb <= engine.memory_mb and slots_taken < engine.adapters_max:
         order = give_order(state, view, "load", model, adapter)
-        assert room.order is not None
-        room.order = room.order._replace(back_at=want.back_at, wanted_at=want.first_at)
+        assert account.order is not None
+        account.order = account.order._replace(back_at=want.back_at, wanted_at=want.first_at)
         return [order]
-    return _make_place(state, view, room)
+    return _free_slot(state, view, account)
 
 
-def _places(state: NodeState, view: EndpointView, room: Room, but: str = "") -> int:
-    """Count the places that are taken, or may be by a load of another adapter that comes late."""
-    doubted = doubted_places(room, state.now, but)
-    return len(adapters_at(view)) + doubted + len(room.withdrawn_adapters())
+def _count_slots(state: NodeState, view: EndpointView, account: Room, but: str = "") -> int:
+    """Count the adapter slots that are taken, or may be by unanswered loads of other adapters."""
+    doubted = doubted_places(account, state.now, but)
+    return len(adapters_at(view)) + doubted + len(account.withdrawn_adapters())
 
 
-def _make_place(state: NodeState, view: EndpointView, room: Room) -> Effects:
-    """Unload what stands by, or have more stand by: at most as many as wants wait.
+def _free_slot(state: NodeState, view: EndpointView, account: Room) -> Effects:
+    """Unload an adapter on standby, or withdraw one more: at most as many as wants wait.
 
-    What is in use and waits for its requests to end does not keep idle ones from making
-    room; else a few such hold up all places of an endpoint.
+    Withdrawn adapters that are still in use don't count against that limit for idle ones;
+    otherwise a few of them would block all adapter slots of an endpoint.
     """
     in_use = list_used(state)
-    idle = [one for one in room.going_adapters() if (view.name, one) not in in_use]
-    for adapter in sorted(idle, key=lambda one: room.withdrawn[one]):
-        if state.now - room.withdrawn[adapter] >= defaults.WITHDRAWN_TOLD_S:
-            left = _end_stay(state, view, room, adapter)
+    idle = [one for one in account.going_adapters() if (view.name, one) not in in_use]
+    for adapter in sorted(idle, key=lambda one: account.withdrawn[one]):
+        if state.now - account.withdrawn[adapter] >= defaults.WITHDRAWN_TOLD_S:
+            left = _end_stay(state, view, account, adapter)
             return [*left, give_order(state, view, "unload", *split_name(adapter))]
     waiting = sum(1 for key, want in state.residency.wanted.items() if key[2] and not want.given_up)
-    ranked = _list_least_missed(state, view, room, in_use)
+    ranked = _list_least_missed(state, view, account, in_use)
     if not ranked or len(idle) >= waiting:
         return []
     if (view.name, ranked[0]) in in_use:
-        if len(room.going_adapters()) >= min(defaults.WITHDRAWN_MAX, waiting):
+        if len(account.going_adapters()) >= min(defaults.WITHDRAWN_MAX, waiting):
             return []
-        state.record(view.name, f"withdraw {ranked[0]}", "all places are in use")
-    return [_withdraw_adapter(state, view, room, ranked[0])]
+        state.record(view.name, f"withdraw {ranked[0]}", "all adapter slots are in use")
+    return [_withdraw_adapter(state, view, account, ranked[0])]
 
 
 def _list_least_missed(
-    state: NodeState, view: EndpointView, room: Room, in_use: set[tuple[str, str]]
+    state: NodeState, view: EndpointView, account: Room, in_use: set[tuple[str, str]]
 ) -> list[str]:
-    """List the adapters that may be withdrawn: the idle first, then the least asked for."""
+    """List the adapters that may be withdrawn: idle ones first, then by demand, lowest first."""
     levels = state.control.forecast.levels
-    free = [one for one in adapters_at(view) if not room.keeps(one, state.now)]
+    free = [one for one in adapters_at(view) if not account.keeps(one, state.now)]
     return sorted(free, key=lambda one: ((view.name, one) in in_use, levels.get(one, 0.0), one))
 
 
-def _withdraw_adapter(state: NodeState, view: EndpointView, room: Room, adapter: str) -> Effect:
+def _withdraw_adapter(state: NodeState, view: EndpointView, account: Room, adapter: str) -> Effect:
     assert view.report is not None
-    room.withdraw(adapter, state.now)
+    account.withdraw(adapter, state.now)
     return put_report(state, view, without(view.report, split_name(adapter)[0], adapter))
 
 
 def _keep_standby(state: NodeState) -> Effects:
-    """Have idle adapters stand by where all places are taken and more are asked for.
+    """Put idle adapters on standby where all slots are taken and other adapters are wanted.
 
-    A want is then served in two orders of some 30 ms. Otherwise it first waits until all
-    nodes have heard of a withdrawal, for longer than its requests wait.
+    A want is then served by two orders of about 30 ms each. Otherwise it would first wait
+    until all nodes know of a withdrawal, which takes longer than its requests wait.
     """
     effects: Effects = []
-    pressed = {
+    contended = {
         view.name: view
         for key, want in state.residency.wanted.items()
         if key[2] and state.now - want.asked_at <= defaults.PRESSED_S
         for view in _open_hosts(state, key)
     }
-    in_use = list_used(state) if pressed else set()
-    for name, view in pressed.items():
-        room = state.residency.rooms.get(name)
+    in_use = list_used(state) if contended else set()
+    for name, view in contended.items():
+        account = state.residency.rooms.get(name)
         engine = engine_of(state, view)
-        if room is None or not room.trusted or engine is None or view.report is None:
+        if account is None or not account.trusted or engine is None or view.report is None:
             continue
-        idle_going = [one for one in room.going_adapters() if (name, one) not in in_use]
+        idle_going = [one for one in account.going_adapters() if (name, one) not in in_use]
         lacking = defaults.STANDBY - len(idle_going)
-        if lacking <= 0 or _places(state, view, room) < engine.adapters_max:
+        if lacking <= 0 or _count_slots(state, view, account) < engine.adapters_max:
             continue
-        ranked = _list_least_missed(state, view, room, in_use)
+        ranked = _list_least_missed(state, view, account, in_use)
         idle = [one for one in ranked if (name, one) not in in_use]
-        effects += [_withdraw_adapter(state, view, room, one) for one in idle[:lacking]]
+        effects += [_withdraw_adapter(state, view, account, one) for one in idle[:lacking]]
     return effects
 
 
-def _end_stay(state: NodeState, view: EndpointView, room: Room, adapter: str) -> Effects:
-    """An adapter gives its place away: say whether it was of use.
+def _end_stay(state: NodeState, view: EndpointView, account: Room, adapter: str) -> Effects:
+    """End the attachment of an adapter that is to be unloaded, and report whether it was used.
 
-    One that nobody used has served none of those who waited for it, so its want goes on
-    since when it began, and is not the last in line when they ask again.
+    If no request used it, the callers that waited for it are still unserved. Its want then
+    keeps the time at which it began, so that it is not last in the queue when they retry.
     """
-    stay = room.stays.pop(adapter, None)
-    if stay is None:
+    attachment = account.stays.pop(adapter, None)
+    if attachment is None:
         return []
-    if not stay.used and stay.wanted_at < state.now:
+    if not attachment.used and attachment.wanted_at < state.now:
         key = (view.service, split_name(adapter)[0], adapter)
         want = state.residency.wanted.get(key)
-        want = want or OpenWant(stay.wanted_at, state.now, times=0, given_up=True)
-        first_at = min(want.first_at, stay.wanted_at)
+        want = want or OpenWant(attachment.wanted_at, state.now, times=0, given_up=True)
+        first_at = min(want.first_at, attachment.wanted_at)
         state.residency.wanted[key] = want._replace(first_at=first_at)
-    return [AdapterLeft(view.name, adapter, state.now - stay.since, stay.used)]
+    return [AdapterLeft(view.name, adapter, state.now - attachment.since, attachment.used)]
 
 
-def _take_back(
+def _reinstate(
     state: NodeState, hosts: list[EndpointView], adapter: str, want: OpenWant
 ) -> Effects:
-    """Let requests use an adapter again that was withdrawn and is there yet.
+    """Reinstate an adapter that was withdrawn but is not unloaded yet.
 
-    That needs no order, so it goes while a model is being loaded there as well.
+    That needs no order, so it is possible even while a model is being loaded there.
     """
     for view in hosts:
-        room = state.residency.rooms.get(view.name)
-        if room is None or view.report is None or adapter not in room.going_adapters():
+        account = state.residency.rooms.get(view.name)
+        if account is None or view.report is None or adapter not in account.going_adapters():
             continue
-        if room.order is not None and room.order.adapter == adapter:
+        if account.order is not None and account.order.adapter == adapter:
             continue
-        del room.withdrawn[adapter]
+        del account.withdrawn[adapter]
         kept_until = max(state.now, want.back_at) + defaults.PLACE_KEPT_S
-        stay = room.stays.get(adapter, Stay(state.now, kept_until, wanted_at=want.first_at))
-        room.stays[adapter] = stay._replace(kept_until=kept_until)
+        attachment = account.stays.get(
+            adapter, Stay(state.now, kept_until, wanted_at=want.first_at)
+        )
+        account.stays[adapter] = attachment._replace(kept_until=kept_until)
         report = view.report._replace(adapters=(*view.report.adapters, adapter))
         return [put_report(state, view, report)]
     return []
 
 
 def unload_withdrawn(state: NodeState) -> Effects:
-    """Unload models that were withdrawn and that nobody uses any more."""
+    """Order the unload of withdrawn models that no request uses any more."""
     effects: Effects = []
-    rooms = {name: room for name, room in state.residency.rooms.items() if room.withdrawn_models()}
-    in_use = list_used(state) if rooms else set()
-    for name, room in rooms.items():
+    accounts = {
+        name: account
+        for name, account in state.residency.rooms.items()
+        if account.withdrawn_models()
+    }
+    in_use = list_used(state) if accounts else set()
+    for name, account in accounts.items():
         view = state.endpoints.get(name)
         if view is None or not usable(state, view):
             continue
-        for model in room.withdrawn_models():
-            told = state.now - room.withdrawn[model] >= defaults.WITHDRAWN_TOLD_S
-            if told and (name, model) not in in_use:
+        for model in account.withdrawn_models():
+            known_to_all = state.now - account.withdrawn[model] >= defaults.WITHDRAWN_TOLD_S
+            if known_to_all and (name, model) not in in_use:
                 effects.append(give_order(state, view, "unload", model, ""))
                 break
     return effects
 
 
 def used_rows(state: NodeState) -> tuple[tuple[str, str], ...]:
-    """Give the adapters and models that this node's requests use, each with its endpoint.
+    """Return the adapters and models that this node's requests use, each with its endpoint.
 
-    A request that waits for room at an endpoint uses the adapter there as well.
+    A request that waits for room counts as a use of its adapter at each endpoint with it.
     """
     rows: set[tuple[str, str]] = set()
     for one in state.requests.values():
@@ -313,7 +320,7 @@
 
 
 def list_used(state: NodeState) -> set[tuple[str, str]]:
-    """Give the adapters and models that any node's requests use, as far as heartbeats tell."""
+    """Return the adapters and models that requests of any node use, as known from heartbeats."""
     in_use = set(used_rows(state))
     for rows in state.control.peer_used.values():
         in_use.update(rows)
--- a/packages/rookspring-core/src/rookspring_core/demand.py
+++ b/packages/rookspring-core/src/rookspring_core/demand.py
@@ -1,8 +1,8 @@
-"""Forecast of each model's demand: fast up, slow down.
+"""Forecast of each model's demand, which rises fast and falls slowly.
 
-Nodes tell the tokens a second that they were asked for by model; the lease
-holder adds them up and smooths the sum. Rising demand is believed within
-seconds, since late answers cost more than an idle replica.
+Each node shares its requested tokens a second by model; the lease holder sums and smooths
+them. The forecast follows rising demand within seconds, since late answers cost more than
+an idle replica.
 """
 
 import math
@@ -12,7 +12,7 @@
 
 
 class Pace(t.NamedTuple):
-    """How fast demand is believed, as time constants in seconds."""
+    """Time constants of the smoothing of demand, in seconds."""
 
     rise_s: float = defaults.DEMAND_RISE_TAU_S
     fall_s: float = defaults.DEMAND_FALL_TAU_S
@@ -26,24 +26,24 @@
         self.pace = pace or Pace()
         self.levels: dict[str, float] = {}
 
-    def update(self, seen: t.Mapping[str, float], passed: float) -> None:
-        """Move each level towards what was seen.
+    def update(self, measured: t.Mapping[str, float], passed: float) -> None:
+        """Move each level towards the measured rate.
 
         :param passed: seconds since the last update.
         """
-        for model in set(self.levels) | set(seen):
+        for model in set(self.levels) | set(measured):
             level = self.levels.get(model, 0.0)
-            now = seen.get(model, 0.0)
-            tau = self.pace.rise_s if now > level else self.pace.fall_s
-            level += (now - level) * (1.0 - math.exp(-passed / tau))
-            if level < 1e-3 and now <= 0.0:
+            rate = measured.get(model, 0.0)
+            tau = self.pace.rise_s if rate > level else self.pace.fall_s
+            level += (rate - level) * (1.0 - math.exp(-passed / tau))
+            if level < 1e-3 and rate <= 0.0:
                 self.levels.pop(model, None)
             else:
                 self.levels[model] = level
 
 
 class DemandMeter:
-    """Tokens asked of this node by model, as a rate over a few seconds."""
+    """Smoothed rate of the tokens requested at this node, by model."""
 
     def __init__(self, pace: Pace | None = None) -> None:
         self.pace = pace or Pace()
@@ -51,11 +51,11 @@
         self.rates: dict[str, float] = {}
 
     def add(self, model: str, tokens: float) -> None:
-        """Count a request that was asked for, admitted or not."""
+        """Count a request, whether it is admitted or not."""
         self._sums[model] = self._sums.get(model, 0.0) + tokens
 
     def roll(self, passed: float) -> None:
-        """Turn the sums of the last ``passed`` seconds into rates."""
+        """Update the rates with the sums of the last ``passed`` seconds."""
         gain = min(1.0, passed / self.pace.meter_s)
         for model in set(self._sums) | set(self.rates):
             rate = self._sums.get(model, 0.0) / max(passed, 1e-6)
@@ -78,38 +78,35 @@
 
 
 class DemandStream:
-    """One kind of demand: metered here, heard from the other nodes, and forecast.
-
-    :param pace: how fast it is believed.
-    """
+    """One kind of demand: measured here, received from the other nodes, and forecast."""
 
     def __init__(self, pace: Pace | None = None) -> None:
         self.meter = DemandMeter(pace)
         self.forecast = Forecast(pace)
-        self._heard: dict[str, dict[str, float]] = {}
+        self._peer_rates: dict[str, dict[str, float]] = {}
 
     def use_pace(self, pace: Pace) -> None:
-        """Believe it at another pace from now on."""
+        """Use other time constants from now on."""
         self.meter.pace = pace
         self.forecast.pace = pace
 
     def hear(self, peer: str, rates: t.Iterable[tuple[str, float]]) -> None:
-        """Take another node's rates, in tokens a second by model."""
-        self._heard[peer] = dict(rates)
+        """Store another node's rates, in tokens a second by model."""
+        self._peer_rates[peer] = dict(rates)
 
     def sum_of(self, peers: t.Iterable[str]) -> dict[str, float]:
-        """Add up this node's rates and those that some others have told."""
-        heard = (self._heard.get(peer, {}) for peer in peers)
-        return add_rates([self.meter.rates, *heard])
+        """Return the sum of this node's rates and those received from some other nodes."""
+        received = (self._peer_rates.get(peer, {}) for peer in peers)
+        return add_rates([self.meter.rates, *received])
 
     def forget(self, peer: str) -> None:
-        """Drop what a node that is gone has told."""
-        self._heard.pop(peer, None)
+        """Drop the rates of a node that is gone."""
+        self._peer_rates.pop(peer, None)
 
     def restart(self) -> None:
-        """Begin the forecast anew, as a new lease holder does."""
+        """Start the forecast anew, as a new lease holder does."""
         self.forecast = Forecast(self.forecast.pace)
 
     def sum_up(self, passed: float) -> None:
-        """Add up what all nodes tell, and move the forecast towards it."""
-        self.forecast.update(add_rates([self.meter.rates, *self._heard.values()]), passed)
+        """Move the forecast towards the sum of all nodes' rates."""
+        self.forecast.update(add_rates([self.meter.rates, *self._peer_rates.values()]), passed)
--- a/packages/rookspring-core/src/rookspring_core/leases.py
+++ b/packages/rookspring-core/src/rookspring_core/leases.py
@@ -1,13 +1,16 @@
-"""The lease that names the one node which controls endpoints and publishes.
+"""The lease, whose holder is the one node that controls endpoints and publishes.
 
-It is one object in the platform, renewed by conditional update. Its expiry is
-judged on the observer's own monotonic clock, from the last change it saw; no
-clock is ever compared with another node's. See ``docs/design/fencing.md``.
+It is one object in the platform, renewed by conditional update. Each observer judges its
+expiry by its own monotonic clock, from the last change that it saw; clocks of two nodes are
+never compared. See ``docs/design/fencing.md``.
 
-The platform's store may come back from an older copy, which begins an era. Each era has a
-lease object of its own: no copy holds it, and no write upon a version of an earlier era can
-meet it. The holder of before makes it at once and goes on; all others count a whole term from
-when they heard of the era. An epoch is a number that rises over eras as well.
+The platform's store may be restored from an older copy, which begins an era. Each era has a
+lease object of its own, which no copy contains and no conditional write from an earlier era
+can match. The current holder creates it at once and continues; all other nodes first wait a
+whole lease term from when they learnt of the era. Epochs increase across eras too.
+
+The turn of a holder begins once the gap since the last possible order of the previous holder
+has passed; before that it must not give orders.
 """
 
 import typing as t
@@ -20,9 +23,9 @@
 class LeaseWish(t.NamedTuple):
     """A lease write that is due.
 
-    :param settled: its holder may give orders already, by its terms' ``gap_s``.
-    :param turn_in_s: where the lease is given up, how soon another may give orders; None
-        else.
+    :param settled: the holder's turn has begun, so it may give orders.
+    :param turn_in_s: if the lease is released, seconds until another holder may give
+        orders; otherwise None.
     """
 
     version: int
@@ -36,10 +39,10 @@
 class LeaseTerms(t.NamedTuple):
     """Times of a lease, in seconds; all nodes of a deployment have the same.
 
-    :param margin_s: how long before the end its holder stops to act.
-    :param gap_s: between the last act of one holder and the first order of the next.
-    :param resumable: a box that was restarted goes on with its own lease at once; only
-        where a box is one holder whichever process runs on it.
+    :param margin_s: how long before its expiry the holder stops acting.
+    :param gap_s: least time from the last act of one holder to the first order of the next.
+    :param resumable: a restarted box resumes its own lease at once; only valid where a box
+        is the same holder whichever process runs on it.
     """
 
     ttl_s: float = defaults.LEASE_TTL_S
@@ -49,9 +52,9 @@
     resumable: bool = False
 
 
-# Epochs of an era of the store; the first of the next one is greater than them all.
+# Number of epochs reserved for each era of the store, so that those of the next are greater.
 EPOCHS_PER_ERA = 1_000_000
-# A relay node is one holder whichever process runs on its box.
+# A relay's box is the same holder whichever process runs on it.
 RELAY_TERMS = LeaseTerms(
     defaults.RELAY_LEASE_TTL_S,
     defaults.RELAY_LEASE_RENEW_S,
@@ -66,7 +69,7 @@
 
     def __init__(self, terms: LeaseTerms | None = None) -> None:
         self.terms = terms or LeaseTerms()
-        # Of the store: how often it has come back from a copy.
+        # How often the store was restored from a copy.
         self.era = 0
         self.version = -1
         self.holder = ""
@@ -74,14 +77,14 @@
         self.changed_at: float | None = None
         self.held_until = -1e9
         self.own_epoch = 0
-        # From when on this node may give orders, once it holds the lease.
+        # When this node may start to give orders, if it holds the lease.
         self.turn_at = -1e9
         self._settled = False
-        # How soon after it was given up another may give orders; None where it was not told.
+        # How soon after its release another may give orders; None if the release has no time.
         self._turn_in_s: float | None = None
-        # The epoch that this node has let go for good, having lapsed.
+        # The epoch that this node has forfeited after its lease lapsed.
         self.ended = 0
-        # The epoch that another holder told to have ended, and when that was heard.
+        # The last epoch that another holder declared ended, and when this node learnt of it.
         self._end = (0, 0.0)
         self._count = 0
         self._pending: tuple[str, float, int] | None = None
@@ -89,17 +92,18 @@
         self._asked_version = -1
 
     def holding(self, now: float) -> bool:
-        """Say whether this node may act as the holder, with time to spare."""
+        """Tell whether this node may act as the holder; ends ``margin_s`` before expiry."""
         return now < self.held_until
 
     def unanswered(self, now: float) -> bool:
-        """Say whether a write has had no answer for so long that a read is to settle it."""
+        """Tell whether a write has had no answer for so long that a read is to settle it."""
         return self._pending is not None and now - self._asked_at >= defaults.LEASE_ANSWER_S
 
     def begin_era(self, era: int, at: float) -> None:
-        """Take that the store came back from a copy.
+        """Start an era, as the store was restored from a copy.
 
-        Its holder goes on in the same epoch: it alone can have held it when the era began.
+        The holder continues in the same epoch: no other node can have held it when the era
+        began.
         """
         if era <= self.era:
             return
@@ -113,11 +117,11 @@
         self._asked_at = -1e9
 
     def _absent(self) -> bool:
-        """Say whether nobody has written the lease in this era, which is not the first."""
+        """Tell whether this is a later era than the first and its lease is not written yet."""
         return self.version == 0 and self.era > 0
 
     def see(self, event: LeaseSeen, name: str) -> None:
-        """Take the lease object as read. It settles a write of unknown fate."""
+        """Apply the lease object as read; this also settles a write of unknown outcome."""
         if event.era != self.era:
             return
         if self._pending is not None and event.nonce == self._pending[0]:
@@ -138,7 +142,7 @@
             self.held_until = -1e9
 
     def answer(self, event: LeaseWritten, name: str) -> bool:
-        """Take the answer to a write.
+        """Apply the answer to a write.
 
         :return: whether this node has just become the holder.
         """
@@ -155,7 +159,7 @@
         return self._win(asked_at, event.version, epoch, name)
 
     def _note_outdated(self) -> None:
-        """Another has written since: look at the lease again, then ask at once if it is free."""
+        """Have the lease read again, and written at once if free, as another node has written."""
         self.held_until = -1e9
         self._asked_at = -1e9
         if self.version == self._asked_version:
@@ -169,12 +173,15 @@
         self.epoch = max(self.epoch, epoch)
         self.own_epoch = epoch
         self.changed_at = asked_at
-        # Observers count from when they saw it, which is after it was asked for.
+        # Observers count from when they see the write, which is later than when it was sent.
         self.held_until = asked_at + self.terms.ttl_s - self.terms.margin_s
         return new
 
     def wish(self, now: float, name: str, incarnation: str, candidate: bool) -> LeaseWish | None:
-        """Say which write is due now, if any."""
+        """Return the lease write that is due now, if any.
+
+        :param candidate: whether this node may take a free lease.
+        """
         if self.version < 0 or now - self._asked_at < self.terms.renew_s:
             return None
         holding = self.holding(now)
@@ -191,18 +198,18 @@
         return LeaseWish(self.version, epoch, nonce, now >= self.turn_at, self.era)
 
     def _next_epoch(self) -> int:
-        """Give an epoch that nobody has had, also in the seconds that a copy lacks."""
+        """Return an epoch that was never used, even in the seconds that a restored copy lacks."""
         return max(self.epoch, self.era * EPOCHS_PER_ERA) + 1
 
     def _own(self, name: str) -> bool:
-        """Say whether the lease is this box's own, from before a restart or a lapse."""
+        """Tell whether the lease belongs to this box, from before a restart or a lapse."""
         return self.terms.resumable and self.holder == name
 
     def _next_turn(self, now: float, name: str) -> float:
-        """Give the moment from which orders keep the gap to those of the holder before.
+        """Return the time from which orders keep the gap to those of the previous holder.
 
-        A holder's last act lies ``margin_s`` before the end of its lease at an observer.
-        One that gave the lease up may have acted just before.
+        A holder's last act is at least ``margin_s`` before its lease expires at an observer.
+        If it released the lease, it may have acted just before the release.
         """
         if not self._absent():
             if self.epoch == 0:
@@ -221,24 +228,25 @@
         return max(now, last_act + self.terms.gap_s)
 
     def _turn_after_release(self, now: float, turn_in_s: float) -> float:
-        """Give the moment from which orders keep the gap to those before a release.
+        """Return the time from which orders keep the gap to those before a release.
 
-        A holder that gave the lease up before its own turn has ordered nothing, so what it
-        had to wait for is waited for once, however many such holders come in a row.
+        A holder that released the lease before its own turn has ordered nothing. Its successor
+        only waits for the rest of that time, so the gap passes once, however many such holders
+        follow each other.
         """
         freed_at = now if self.changed_at is None else self.changed_at
         return max(now, freed_at + turn_in_s)
 
     def _free(self, now: float) -> bool:
-        # Whoever held it when an era began may do so for a term yet.
+        # The holder at the start of an era may still hold the lease for a term.
         if not self._absent() and (self.holder == "" or self._end[0] == self.epoch):
             return True
         return self.changed_at is not None and now - self.changed_at > self.terms.ttl_s
 
     def forfeit(self) -> None:
-        """Let a lapsed lease go for good, so that others may be told that it has ended.
+        """Give up a lapsed lease for good, so that others can be told that its epoch has ended.
 
-        A renewal that is answered late does not bring its epoch back.
+        A renewal that is answered late does not revive that epoch.
         """
         self.ended = self.own_epoch
         self.own_epoch = 0
@@ -246,12 +254,12 @@
         self._pending = None
 
     def note_end(self, epoch: int, at: float) -> None:
-        """Take another holder's word that its epoch has ended; it acts in it no more."""
+        """Record that another holder has declared its epoch ended, and no longer acts in it."""
         if epoch > self._end[0]:
             self._end = (epoch, at)
 
     def give_up(self, now: float) -> LeaseWish | None:
-        """Free the lease at a planned stop, so that no time-out has to pass."""
+        """Release the lease at a planned stop, so that its successor need not await expiry."""
         if self.held_until < 0:
             return None
         self.held_until = -1e9
--- a/packages/rookspring-core/src/rookspring_core/memory.py
+++ b/packages/rookspring-core/src/rookspring_core/memory.py
@@ -1,8 +1,8 @@
 """Ledger of one endpoint's memory, kept by the lease holder.
 
-``held + promised + doubtful + reserve <= capacity`` holds after every event.
-What was ordered counts from before the order leaves until a report made after
-it says otherwise; what is to be freed counts until a report shows it gone.
+``held + ordered + late orders + reserve <= capacity`` holds after every event. The memory
+of a load counts from before the order is sent until a report made after it shows the
+outcome; the memory of an unload counts until a report shows it gone.
 """
 
 import typing as t
@@ -14,7 +14,7 @@
 
 
 class PendingOrder:
-    """The one order that is on its way to an endpoint."""
+    """An order that was sent to an endpoint and that no report reflects yet."""
 
     __slots__ = ("accepted", "action", "answered_at", "gb", "key", "sent_at", "sequence", "token")
 
@@ -32,9 +32,9 @@
 
 
 class Doubt(t.NamedTuple):
-    """An order that may arrive yet, at an endpoint that does not check.
+    """An order that may still arrive at an endpoint that does not check orders.
 
-    A late load may take memory; a late unload may take a replica away.
+    A late load may take memory; a late unload may remove a replica.
     """
 
     action: str
@@ -67,67 +67,67 @@
 
     @property
     def reserve_gb(self) -> float:
-        """Working memory that is never promised to weights."""
+        """Return the working memory that is never promised to weights, in gigabytes."""
         return self.capacity_gb * defaults.MEMORY_RESERVE_SHARE
 
     def committed(self) -> float:
-        """Give all memory that is held, promised or in doubt, in gigabytes."""
+        """Return the memory that is held, or that sent or late orders may take, in gigabytes."""
         amounts = dict(self.held)
-        for doubt in self.doubts:
-            if doubt.action != "unload":
-                amounts[doubt.key] = max(amounts.get(doubt.key, 0.0), doubt.gb)
+        for late_order in self.doubts:
+            if late_order.action != "unload":
+                amounts[late_order.key] = max(amounts.get(late_order.key, 0.0), late_order.gb)
         for order in self.orders():
             if order.action in ("load", "attach"):
                 amounts[order.key] = max(amounts.get(order.key, 0.0), order.gb)
         return sum(amounts.values())
 
     def orders(self) -> list[PendingOrder]:
-        """List the orders that no report reflects yet: accepted ones, then the one on its way."""
+        """List the orders that no report reflects yet: accepted ones, then the pending one."""
         return [*self.accepted, self.pending] if self.pending else list(self.accepted)
 
     def keys_of(self, action: str) -> set[Weights]:
-        """Give the weights that orders of one action, not yet reflected, are about."""
+        """Return the weights of the orders of one action that no report reflects yet."""
         return {order.key for order in self.orders() if order.action == action}
 
     def uncertain(self) -> set[Weights]:
-        """Give the weights that a late unload may take away yet."""
-        return {doubt.key for doubt in self.doubts if doubt.action == "unload"}
+        """Return the weights that a late unload may still remove."""
+        return {late_order.key for late_order in self.doubts if late_order.action == "unload"}
 
     def staying(self) -> set[Weights]:
-        """Give the resident weights that no order, sent or late, takes away."""
+        """Return the resident weights that no order, sent or late, removes."""
         return self.resident - self.keys_of("unload") - self.uncertain()
 
     def free(self) -> float:
-        """Give the memory that may still be promised, in gigabytes."""
+        """Return the memory that may still be promised, in gigabytes."""
         return self.capacity_gb - self.reserve_gb - self.committed()
 
     def ready(self) -> bool:
-        """Say whether an order may be given: fenced, read back, and none on its way."""
+        """Tell whether an order may be given: fenced, reported since, and none pending."""
         return self._fenced() and self.usable and self.pending is None
 
     def _fenced(self) -> bool:
-        """Say whether this holder's fence stands and a report made behind it has come.
+        """Tell whether this holder's fence is set and a report made after it has arrived.
 
-        A report from before the fence may lack the last order of the holder before.
+        A report from before the fence may lack the last order of the previous holder.
         """
         if self.checks_orders:
             return self.sealed and self.seen_token >= self.seal_token
         return self.claimed and self.report_made_at > self.claimed_at
 
     def seal(self, token: tuple[int, int]) -> None:
-        """The endpoint took the seal; what it reports from then on is the truth."""
+        """Record that the endpoint accepted the seal; reports made after it can be relied on."""
         self.sealed = True
         self.seal_token = token
         self.pending = None
 
     def claim(self, now: float) -> None:
-        """The record is this holder's alone."""
+        """Record that the endpoint's intent record now belongs to this holder."""
         self.claimed = True
         self.claimed_at = now
         self.pending = None
 
     def take_report(self, report: EndpointReported, sizes: t.Mapping[Weights, float]) -> None:
-        """Reconcile with what the endpoint says it holds."""
+        """Reconcile the ledger with a report of the endpoint."""
         made_at = report.at - report.age_s
         if made_at <= self.report_made_at:
             return
@@ -143,59 +143,59 @@
         self.held = {key: self._size_of(key, sizes) for key in keys}
         known = sum(self.held.values())
         if report.held_gb > known + 1e-6:
-            # Something unknown lies there, so it counts in full.
+            # The endpoint holds more than its listed weights; the rest counts in full.
             self.held[("unknown", "")] = report.held_gb - known
         self.usable = True
-        self._resolve(made_at, report)
+        self._drop_settled(made_at, report)
 
     def _size_of(self, key: Weights, sizes: t.Mapping[Weights, float]) -> float:
-        """Give the size of what an endpoint holds, declared still or not.
+        """Return the size of held weights, whether they are still declared or not.
 
-        A late order may bring a version that is declared no more; its size is
-        known from the order, and taking it for unknown would count it twice.
+        A late order may load a version that is no longer declared. Its size is known from the
+        order; as unknown memory it would be counted twice.
         """
         if key in sizes:
             return sizes[key]
-        ordered = [order.gb for order in self.orders() if order.key == key and order.gb]
-        doubted = [doubt.gb for doubt in self.doubts if doubt.key == key]
-        return max([*ordered, *doubted, self.held.get(key, 0.0)])
+        ordered_sizes = [order.gb for order in self.orders() if order.key == key and order.gb]
+        late_sizes = [late_order.gb for late_order in self.doubts if late_order.key == key]
+        return max([*ordered_sizes, *late_sizes, self.held.get(key, 0.0)])
 
     def _restart(self, report: EndpointReported) -> None:
         self.incarnation = report.incarnation
         self.sealed = False
         self.seen_token = (0, 0)
         if self.pending is not None and not report.checks_orders:
-            self._doubt(self.pending)
+            self._add_late_order(self.pending)
         self.pending = None
         self.accepted = []
 
-    def _resolve(self, made_at: float, report: EndpointReported) -> None:
+    def _drop_settled(self, made_at: float, report: EndpointReported) -> None:
         order = self.pending
         if order is not None and self._settled(order, made_at, report):
             self.pending = None
         self.accepted = [one for one in self.accepted if not self._settled(one, made_at, report)]
-        self.doubts = [doubt for doubt in self.doubts if made_at <= doubt.until]
+        self.doubts = [late_order for late_order in self.doubts if made_at <= late_order.until]
 
     def _settled(self, order: PendingOrder, made_at: float, report: EndpointReported) -> bool:
         if report.checks_orders:
-            # Its highest token tells that the order was taken, or was overtaken
-            # by a later one and can never be.
+            # A token as high shows that the order was taken, or that a later one was, after
+            # which it can't be taken any more.
             return report.order_token >= order.token
         if order.accepted is None or order.answered_at is None:
             return False
         return made_at > order.answered_at
 
-    def _doubt(self, order: PendingOrder) -> None:
-        """Reckon with an order's late or second arrival at an endpoint that does not check."""
+    def _add_late_order(self, order: PendingOrder) -> None:
+        """Count an order as one that may arrive late, or a second time."""
         if order.action in ("load", "attach", "unload"):
             until = order.sent_at + defaults.LATE_ORDER_BOUND_S
             self.doubts.append(Doubt(order.action, order.key, order.gb, until))
 
     def intent_rows(self) -> tuple[tuple[str, str, str, float], ...]:
-        """Give all that may arrive yet, for the endpoint's record in the platform.
+        """Return all orders that may still arrive, for the endpoint's record in the platform.
 
-        An order that was given up stands in it beside later ones, since the next
-        holder must reckon with each.
+        Orders that were given up are listed beside later ones, since the next holder must
+        count each of them.
         """
         rows = {(one.action, *one.key, one.gb) for one in self.doubts}
         order = self.pending
@@ -204,7 +204,10 @@
         return tuple(sorted(rows))
 
     def answer(self, token: tuple[int, int], accepted: bool | None, now: float) -> None:
-        """Take the answer to the order on its way; None means that none came."""
+        """Apply the answer to the pending order.
+
+        :param accepted: None if no answer came.
+        """
         order = self.pending
         if order is None or order.token != token or accepted is None:
             return
@@ -212,13 +215,13 @@
         order.answered_at = now
         self.pending = None
         if accepted:
-            # It counts until a report that was made after it.
+            # It counts until a report that was made after the answer.
             self.accepted.append(order)
             if not self.checks_orders:
-                self._doubt(order)
+                self._add_late_order(order)
 
     def give_up_order(self, now: float) -> None:
-        """Stop waiting for an endpoint that does not check: its memory stays in doubt."""
+        """Stop waiting for an answer and count the pending order as one that may arrive late."""
         if self.pending is not None:
-            self._doubt(self.pending)
+            self._add_late_order(self.pending)
             self.pending = None
--- a/packages/rookspring-core/src/rookspring_core/ordering.py
+++ b/packages/rookspring-core/src/rookspring_core/ordering.py
@@ -1,6 +1,6 @@
-"""Orders to endpoints: fencing, sending, settling, and the moves that placement wants.
+"""Orders to endpoints of the catalogue: fencing, sending, resending and planning them.
 
-Used by the lease holder alone; see ``docs/design/fencing.md``.
+Used only by the lease holder; see ``docs/design/fencing.md``.
 """
 
 from . import defaults
@@ -26,7 +26,7 @@
 
 
 def sizes_of(state: NodeState) -> dict[Weights, float]:
-    """Give the memory of each declared set of weights, in gigabytes."""
+    """Return the memory of all declared models and adapters, in gigabytes."""
     sizes = {(name, spec.version): spec.memory_gb for name, spec in state.catalogue.models.items()}
     for name, adapter in state.catalogue.adapters.items():
         sizes[(f"adapter/{name}", "")] = adapter.memory_gb
@@ -63,7 +63,7 @@
 
 
 def _claim(state: NodeState, ledger: Ledger) -> WriteIntent:
-    """Record what may arrive yet, and shut out other holders' records."""
+    """Record the orders that may still arrive; this also makes other holders' writes fail."""
     token = _next_token(state.control)
     ledger.pending = PendingOrder(token, "claim", ("", ""), 0.0, state.now)
     rows = ledger.intent_rows()
@@ -73,7 +73,7 @@
 
 @handles(IntentsSeen)
 def inherit_intents(state: NodeState, event: IntentsSeen) -> Effects:
-    """Count intents that earlier holders left as memory that may yet be taken."""
+    """Count the intents of earlier holders as orders that may still arrive."""
     state.control.intents_known = True
     state.control.inherited = dict(event.intents)
     for ledger in state.control.ledgers.values():
@@ -82,7 +82,7 @@
 
 
 def inherit_doubts(state: NodeState, ledger: Ledger) -> None:
-    """Take over what earlier holders recorded for one endpoint."""
+    """Add the orders that earlier holders recorded for one endpoint to its ledger."""
     for action, model, version, gb in state.control.inherited.get(ledger.endpoint, ()):
         until = state.now + defaults.LATE_ORDER_BOUND_S
         ledger.doubts.append(Doubt(action, (model, version), gb, until))
@@ -90,13 +90,13 @@
 
 @handles(IntentWritten)
 def note_intent(state: NodeState, event: IntentWritten) -> Effects:
-    """Send the order that an intent covers, or take a claim as done."""
+    """Send the order whose intent was written, or complete a claim."""
     ledger = state.control.ledgers.get(event.endpoint)
     order = ledger.pending if ledger else None
     if ledger is None or order is None or order.sequence != event.sequence:
         return []
     if not event.won:
-        # Another holder wrote there, or nobody knows: claim again before any order.
+        # Another holder wrote there, or the outcome is unknown: claim again before any order.
         ledger.claimed = False
         ledger.pending = None
         return []
@@ -122,7 +122,7 @@
 
 
 def note_order(state: NodeState, event: OrderAnswered) -> Effects:
-    """Take an endpoint's answer to an order."""
+    """Apply an endpoint's answer to an order."""
     ledger = state.control.ledgers.get(event.endpoint)
     if ledger is None or ledger.pending is None or ledger.pending.token != event.token:
         return []
@@ -133,14 +133,17 @@
     if event.accepted is False:
         state.record(event.endpoint, f"order {order.action} refused", event.reason)
         if event.reason == "stale" and ledger.checks_orders:
-            # A newer epoch spoke to it; only a seal may tell whether this one lags.
+            # It has seen a newer epoch; only a new seal shows whether this one is outdated.
             ledger.sealed = False
     ledger.answer(event.token, event.accepted, state.now)
     return []
 
 
 def resend_orders(state: NodeState) -> Effects:
-    """Send lost orders again with the same token; give up on those that cannot be."""
+    """Resend unanswered orders with the same token.
+
+    An endpoint that does not check orders gets none twice: there the order is given up.
+    """
     effects: Effects = []
     for ledger in state.control.ledgers.values():
         order = ledger.pending
@@ -167,34 +170,36 @@
 
 
 def plan_moves(state: NodeState) -> Effects:
-    """Ask the placement policy for moves and order what is allowed now."""
+    """Run the placement policy and order those of its moves that are allowed now."""
     control = state.control
     policy = state.catalogue.policy
     control.store.refill(state.now, policy.loads_per_s)
-    # A plan costs more the more runners there are, so its share of a core is kept.
+    # The cost of a plan grows with the runners; fewer plans keep its share of a core constant.
     interval_s = max(defaults.PLAN_INTERVAL_S, len(control.ledgers) / defaults.PLANNED_PER_S)
     if state.now - control.planned_at < interval_s:
         return []
     control.planned_at = state.now
     if state.now - control.acquired_at < defaults.SURVEY_S:
         return []
-    given = PlanInput(state.catalogue.models, _rooms(state), dict(control.forecast.levels), policy)
+    plan_input = PlanInput(
+        state.catalogue.models, _snapshot_runners(state), dict(control.forecast.levels), policy
+    )
     planner = find_placement(control.placement_override or policy.placement)
     effects: Effects = []
-    for move in planner(given):
-        effects += _order(state, move)
+    for move in planner(plan_input):
+        effects += _order_move(state, move)
     return effects
 
 
-def _rooms(state: NodeState) -> tuple[RunnerRoom, ...]:
-    rooms: list[RunnerRoom] = []
+def _snapshot_runners(state: NodeState) -> tuple[RunnerRoom, ...]:
+    snapshots: list[RunnerRoom] = []
     for ledger in state.control.ledgers.values():
         view = state.endpoints.get(ledger.endpoint)
         if view is None or view.gone or view.leaving or view.report is None or not ledger.usable:
             continue
         coming = (set(ledger.held) - ledger.resident) | ledger.keys_of("load")
         busy = not ledger.ready()
-        rooms.append(
+        snapshots.append(
             RunnerRoom(
                 name=ledger.endpoint,
                 data_centre=view.data_centre,
@@ -207,11 +212,11 @@
                 barred=frozenset(ledger.uncertain()),
             )
         )
-    return tuple(sorted(rooms))
+    return tuple(sorted(snapshots))
 
 
 def loading_now(state: NodeState) -> int:
-    """Count the loads that run or are ordered, against the weight store's limit."""
+    """Count the loads that run or are ordered, for the limit on concurrent loads."""
     count = 0
     for ledger in state.control.ledgers.values():
         view = state.endpoints.get(ledger.endpoint)
@@ -220,7 +225,7 @@
     return count
 
 
-def _order(state: NodeState, move: Move) -> Effects:
+def _order_move(state: NodeState, move: Move) -> Effects:
     control = state.control
     ledger = control.ledgers[move.endpoint]
     if not ledger.ready():
@@ -235,10 +240,10 @@
         return []
     control.moves += 1
     state.record(move.endpoint, f"{move.action} {move.key[0]}@{move.key[1]}", move.why)
-    return [_give(state, ledger, move.action, move.key, move.gb)]
+    return [_issue(state, ledger, move.action, move.key, move.gb)]
 
 
-def _give(state: NodeState, ledger: Ledger, action: str, key: Weights, gb: float) -> Effect:
+def _issue(state: NodeState, ledger: Ledger, action: str, key: Weights, gb: float) -> Effect:
     order = _send(state, ledger, action, key, gb)
     if ledger.checks_orders:
         return order
@@ -247,18 +252,18 @@
 
 
 def _other_resident(state: NodeState, key: Weights, endpoint: str) -> bool:
-    """Say whether a model stays reachable without its replica on one endpoint."""
+    """Tell whether a model stays reachable without its replica on one endpoint."""
     if key[0] not in state.catalogue.models:
         return True
     others = model_hosts(state, key[0]) - {endpoint}
-    # A copy that has not been heard of just now may be gone already.
+    # A replica that was not reported just now may be gone already.
     return any(
         state.now - state.endpoints[other].reported_at <= defaults.CONFIRMED_S for other in others
     )
 
 
 def model_hosts(state: NodeState, model: str) -> set[str]:
-    """Name the endpoints where a model is resident and not about to be unloaded."""
+    """Return the endpoints where a model is resident and not about to be unloaded."""
     hosts: set[str] = set()
     for ledger in state.control.ledgers.values():
         view = state.endpoints.get(ledger.endpoint)
@@ -269,35 +274,35 @@
     return hosts
 
 
-def _has(ledger: Ledger, key: Weights) -> bool:
+def _has_weights(ledger: Ledger, key: Weights) -> bool:
     return key in ledger.held or key in ledger.keys_of("attach")
 
 
 def attach_adapters(state: NodeState) -> Effects:
-    """Put each adapter on up to two of its base model's runners, evenly."""
+    """Attach each adapter to up to two runners of its model, those with the fewest adapters."""
     effects: Effects = []
     ledgers = state.control.ledgers
     hosts_of: dict[str, set[str]] = {}
-    wanting: list[tuple[str, float, set[str]]] = []
+    incomplete: list[tuple[str, float, set[str]]] = []
     for name, spec in state.catalogue.adapters.items():
         if spec.model not in hosts_of:
             hosts_of[spec.model] = model_hosts(state, spec.model)
         hosts = hosts_of[spec.model]
         key = (f"adapter/{name}", "")
-        lacking = {host for host in hosts if not _has(ledgers[host], key)}
+        lacking = {host for host in hosts if not _has_weights(ledgers[host], key)}
         if len(hosts) - len(lacking) < min(2, len(hosts)):
-            wanting.append((name, spec.memory_gb, lacking))
-    if not wanting:
+            incomplete.append((name, spec.memory_gb, lacking))
+    if not incomplete:
         return effects
     counts = {
         name: sum(1 for key in ledger.held if key[0].startswith("adapter/"))
         for name, ledger in ledgers.items()
     }
-    for name, gb, lacking in wanting:
+    for name, gb, lacking in incomplete:
         for host in sorted(lacking, key=lambda one: (counts[one], one)):
             ledger = ledgers[host]
             if ledger.ready() and ledger.free() >= gb:
-                effects.append(_give(state, ledger, "attach", (f"adapter/{name}", ""), gb))
+                effects.append(_issue(state, ledger, "attach", (f"adapter/{name}", ""), gb))
                 counts[host] += 1
                 break
     return effects
--- a/packages/rookspring-core/src/rookspring_core/orders.py
+++ b/packages/rookspring-core/src/rookspring_core/orders.py
@@ -1,6 +1,6 @@
-"""Orders to endpoints that count what they take: when one may be given, and giving it.
+"""Orders to endpoints that count the orders they take: when one may be given, and sending it.
 
-What the lease holder knows to be true of an endpoint goes to the other nodes at once.
+Changes that the lease holder knows of are shared with the other nodes at once.
 """
 
 from . import defaults
@@ -19,17 +19,17 @@
 
 
 def settled(state: NodeState) -> bool:
-    """Say whether orders of the holder before lie far enough back."""
+    """Tell whether the gap since the last order of the previous lease holder has passed."""
     return state.now >= state.control.lease.turn_at
 
 
 def usable(state: NodeState, view: EndpointView) -> bool:
-    """Say whether an endpoint can be given an order now."""
-    room = state.residency.rooms.get(view.name)
+    """Tell whether an endpoint can be given an order now."""
+    account = state.residency.rooms.get(view.name)
     return (
-        room is not None
-        and room.trusted
-        and room.order is None
+        account is not None
+        and account.trusted
+        and account.order is None
         and view.report is not None
         and view.report.order_token[1] >= 0
         and not view.report.loading
@@ -38,7 +38,7 @@
 
 
 def engine_of(state: NodeState, view: EndpointView) -> EngineSize | None:
-    """Give what an endpoint has, as the configuration declares it."""
+    """Return the declared engine of an endpoint's service, if it has one."""
     if state.table is None:
         return None
     size = state.table.services.get(view.service)
@@ -46,44 +46,44 @@
 
 
 def adapters_at(view: EndpointView) -> tuple[str, ...]:
-    """List the adapters that requests may use there."""
+    """Return the adapters that requests may use at an endpoint."""
     return view.report.adapters if view.report else ()
 
 
 def give_order(
     state: NodeState, view: EndpointView, action: str, model: str, adapter: str
 ) -> Effect:
-    """Give an endpoint an order, upon the count of those it has taken."""
+    """Send an endpoint an order, conditional on the number of orders that it has taken."""
     assert view.report is not None
     count = view.report.order_token[1]
-    room = state.residency.rooms[view.name]
+    account = state.residency.rooms[view.name]
     length_s = 0.0
     engine = engine_of(state, view)
     if action == "load" and not adapter and engine is not None:
         length_s = load_time_s(engine.models[model], view.report)
-    room.order = Order(action, model, adapter, count, state.now, length_s=length_s)
-    room.asked_at = state.now
+    account.order = Order(action, model, adapter, count, state.now, length_s=length_s)
+    account.asked_at = state.now
     token = (state.control.acting_epoch, count)
     return SendOrder(view.name, view.address, token, action, model, adapter)
 
 
 def resend_order(state: NodeState, view: EndpointView, order: Order) -> Effect:
-    """Give an order again, upon the same count."""
+    """Send an order again, conditional on the same count as before."""
     token = (state.control.acting_epoch, order.taken_before)
     return SendOrder(view.name, view.address, token, order.action, order.model, order.adapter)
 
 
 def withdraw(state: NodeState, view: EndpointView, model: str, adapter: str) -> Effects:
-    """Unload, once no node sends requests for it there any more."""
+    """Withdraw a model or adapter from new requests, and order its unload."""
     assert view.report is not None
     order = give_order(state, view, "unload", model, adapter)
     return [put_report(state, view, without(view.report, model, adapter)), order]
 
 
 def put_report(state: NodeState, view: EndpointView, report: EndpointReported) -> Effect:
-    """Take what this holder knows to be true of an endpoint, and share it."""
+    """Apply a report that this lease holder derived for an endpoint, and share it."""
     before = view.targets()
-    # What this holder knows goes before any report that came at the same moment.
+    # It takes precedence over a report that arrived at the same time.
     at = max(state.now, view.reported_at + defaults.CLOCK_STEP_S)
     view.take_report(report._replace(at=at, age_s=0.0, own=False))
     state.index(view, before, view.targets())
--- a/packages/rookspring-core/src/rookspring_core/placement.py
+++ b/packages/rookspring-core/src/rookspring_core/placement.py
@@ -1,9 +1,9 @@
-"""Which model is resident on which runner.
+"""Placement policies: which model is resident on which runner.
 
-Policies register by name in ``PLACEMENT``; the bench runs them side by side.
-Each gives the moves it wants now, most urgent first; the order book carries out
-as many as memory, fencing and the weight store allow. A policy never unloads a
-model's last resident replica.
+Policies register by name in ``PLACEMENT``; the benchmarks compare them. Each returns
+its moves, most urgent first; the lease holder then orders as many of them as memory,
+fencing and the weight store allow. The policies of this module never unload the last
+resident replica of a declared model.
 """
 
 import math
@@ -21,16 +21,21 @@
 
 
 class RunnerRoom(t.NamedTuple):
-    """One runner as placement sees it; rates in tokens a second, memory in GB.
-
-    ``barred`` weights may not be loaded there yet, since a late unload may come.
-    ``load_s`` tells how long a load of each model takes there, in seconds, where that
-    differs by runner. ``free_in_s`` tells how soon a busy one is expected to be free, in
-    seconds; infinite where that is not known. ``room_for`` names the model that the last
-    unload there made room for. ``in_use`` names what requests use there now. ``awaited`` is
-    what is asked of adapters of its models that are attached nowhere, in tokens a second:
-    nothing is attached while a model is loaded or unloaded there. ``kept`` names models
-    whose callers were told to come back about now.
+    """State of one runner as input to placement; rates in tokens a second, memory in GB.
+
+    :param loading: weights that are being loaded there.
+    :param busy: an order is under way there, or none can be given now.
+    :param barred: weights that may not be loaded there yet, since an unload of them that
+        was sent earlier may still arrive.
+    :param load_s: load time of each model there, in seconds, where it differs by runner.
+    :param free_in_s: predicted seconds until a busy runner takes orders again; infinite if
+        unknown.
+    :param room_for: the model that the last unload there made room for.
+    :param in_use: names of models and adapters that requests use there now.
+    :param unattached_demand: demand for adapters of its models that are attached nowhere,
+        in tokens a second; none can be attached there while a model is loaded or unloaded.
+    :param protected: models that may not be evicted yet, since callers that were told to
+        retry are expected about now.
     """
 
     name: str
@@ -51,10 +56,10 @@
 
 
 class Move(t.NamedTuple):
-    """One load or unload that placement wants.
+    """One load or unload, as planned by a placement policy.
 
-    :param last: an unload of a model's last replica, meant so: its runner reads it
-        back within seconds, and nobody asks for it now.
+    :param last: planned as the unload of a model's last resident replica, which its runner
+        can reload within seconds and for which there is no demand now.
     :param room_for: the model that an unload makes room for.
     """
 
@@ -68,16 +73,17 @@
 
 
 class PlanInput(t.NamedTuple):
-    """All that a placement policy may know.
-
-    :param demand: work asked for by model, in tokens a second of the slowest model.
-    :param asked: tokens a second by model, whatever its pace; empty where that is the same.
-    :param urgent: of the demand, what cannot wait for its model to be loaded.
-    :param missed: of the demand, what was refused of late for want of room.
-    :param owed: what was asked in vain of models that stand nowhere, in tokens.
-    :param declined: the policy tells here why it does not bring a model that is asked for
-        and stands nowhere; None where nobody asks.
-    :param longest_s: how long about the longest of requests run, in seconds.
+    """Input of a placement policy.
+
+    :param demand: requested work by model, in tokens a second of the slowest model.
+    :param requested: requested tokens a second by model, not scaled by its speed; empty
+        where that equals ``demand``.
+    :param urgent: part of the demand that cannot wait for its model to be loaded.
+    :param missed: part of the demand that was recently refused for lack of room.
+    :param deficit: tokens requested of each model while it was resident nowhere.
+    :param declined: filled by the policy with the reason why a requested model without a
+        replica is not loaded, by model; None if the caller does not need the reasons.
+    :param longest_s: about how long the longest requests run, in seconds.
     """
 
     models: t.Mapping[str, ModelSpec]
@@ -92,15 +98,15 @@
     declined: dict[str, str] | None = None
 
     def claim(self, model: str) -> float:
-        """Give what a model without a replica counts for: the more, the more is owed.
+        """Return the demand of a model without a replica, aged by its deficit, in tokens a second.
 
-        By its demand alone one that is asked for now and then never takes the place of
-        another such one: between its callers that falls to nothing, while what is owed stays.
+        The demand of a rarely requested model falls to nothing between two requests, so by
+        demand alone it could never replace another rarely requested one. Its deficit stays.
         """
         return self.asked_for(model) + self.owed.get(model, 0.0) / defaults.CLAIM_GROWS_S
 
     def asked_for(self, model: str) -> float:
-        """Give how much callers ask of a model, in tokens a second."""
+        """Return what callers request of a model, in tokens a second."""
         return self.asked.get(model, self.demand.get(model, 0.0))
 
 
@@ -111,7 +117,7 @@
 def placement(name: str) -> t.Callable[[Planner], Planner]:
     """Register a placement policy.
 
-    :param name: how ``Policy.placement`` names it.
+    :param name: the value of ``Policy.placement`` that selects it.
     """
 
     def register(function: Planner) -> Planner:
@@ -123,9 +129,9 @@
 
 
 def find_placement(name: str) -> Planner:
-    """Look a policy up.
+    """Return the policy of a name.
 
-    :raises UnknownPolicy: when no module registered the name.
+    :raises UnknownPolicy: if no module has registered the name.
     """
     try:
         return PLACEMENT[name]
@@ -134,26 +140,30 @@
 
 
 class Board:
-    """A working copy of the placement, on which a policy tries its moves."""
-
-    def __init__(self, given: PlanInput) -> None:
-        self.given = given
-        self.runners = {runner.name: runner for runner in given.runners}
-        self.free = {runner.name: runner.free_gb for runner in given.runners}
-        self.hosts: dict[str, set[str]] = {name: set() for name in given.models}
-        self.ready: dict[str, set[str]] = {name: set() for name in given.models}
+    """Working copy of the placement that a policy applies its moves to.
+
+    ``hosts`` are the runners that hold or load each model, ``ready`` those that hold it.
+    ``unavailable`` are runners that are busy or already have a move in this plan.
+    """
+
+    def __init__(self, plan_input: PlanInput) -> None:
+        self.given = plan_input
+        self.runners = {runner.name: runner for runner in plan_input.runners}
+        self.free = {runner.name: runner.free_gb for runner in plan_input.runners}
+        self.hosts: dict[str, set[str]] = {name: set() for name in plan_input.models}
+        self.ready: dict[str, set[str]] = {name: set() for name in plan_input.models}
         self.moves: list[Move] = []
-        self.touched = {runner.name for runner in given.runners if runner.busy}
-        for runner in given.runners:
+        self.touched = {runner.name for runner in plan_input.runners if runner.busy}
+        for runner in plan_input.runners:
             for model, version in runner.resident | runner.coming:
-                spec = given.models.get(model)
+                spec = plan_input.models.get(model)
                 if spec is not None and spec.version == version:
                     self.hosts[model].add(runner.name)
                     if (model, version) in runner.resident:
                         self.ready[model].add(runner.name)
 
     def load(self, model: str, runner: str, why: str) -> None:
-        """Add a replica; later moves see its memory as taken."""
+        """Plan a load; its memory counts as taken for later moves."""
         spec = self.given.models[model]
         self.moves.append(Move("load", runner, (model, spec.version), spec.memory_gb, why))
         self.free[runner] -= spec.memory_gb
@@ -161,7 +171,7 @@
         self.touched.add(runner)
 
     def unload(self, key: Weights, runner: str, gb: float, why: str, room_for: str = "") -> None:
-        """Take a replica away; its memory is not free before a report shows it."""
+        """Plan an unload; its memory is not free until a report shows it gone."""
         last = self.ready.get(key[0]) == {runner}
         self.moves.append(Move("unload", runner, key, gb, why, last, room_for))
         self.hosts.get(key[0], set()).discard(runner)
@@ -169,7 +179,7 @@
         self.touched.add(runner)
 
     def open_to(self, model: str) -> list[RunnerRoom]:
-        """List the runners that could take another replica, were there room."""
+        """List the runners that could take another replica if they had the memory."""
         spec = self.given.models[model]
         return [
             runner
@@ -181,7 +191,7 @@
         ]
 
     def fitting(self, model: str) -> list[RunnerRoom]:
-        """List the runners with room for another replica, the emptiest first."""
+        """List the runners with room for another replica, most free memory first."""
         need_gb = self.given.models[model].memory_gb
         open_runners = [
             runner for runner in self.open_to(model) if self.free[runner.name] >= need_gb
@@ -189,35 +199,37 @@
         return sorted(open_runners, key=lambda one: (-self.free[one.name], mix(model, one.name)))
 
     def spread(self, model: str, runners: list[RunnerRoom]) -> list[RunnerRoom]:
-        """Put runners of data centres that lack the model first."""
+        """Sort runners in data centres without the model first."""
         places = {self.runners[name].data_centre for name in self.hosts[model]}
         return sorted(runners, key=lambda one: one.data_centre in places)
 
     def spare(self, model: str) -> bool:
-        """Say whether one replica may go: others are resident and enough."""
+        """Tell whether a replica can be unloaded without going below one or ``replicas_min``."""
         spec = self.given.models[model]
         return len(self.ready[model]) > max(1, spec.replicas_min)
 
 
-def _place_missing(board: Board, asked_only: bool = False) -> None:
-    """Load models that have no replica, and raise the others to their least number.
+def _place_missing(board: Board, with_demand_only: bool = False) -> None:
+    """Load models that have no replica, and raise the others to ``replicas_min``.
 
-    :param asked_only: leave the models out that nobody asks for now.
+    :param with_demand_only: of the models without a replica, load only those with demand.
     """
-    given = board.given
-    lacking = [model for model in given.models if not board.hosts[model]]
-    if asked_only:
-        lacking = [model for model in lacking if given.demand.get(model, 0.0) > 0.0]
-    lacking.sort(key=lambda name: (-given.demand.get(name, 0.0), -given.models[name].memory_gb))
+    plan_input = board.given
+    lacking = [model for model in plan_input.models if not board.hosts[model]]
+    if with_demand_only:
+        lacking = [model for model in lacking if plan_input.demand.get(model, 0.0) > 0.0]
+    lacking.sort(
+        key=lambda name: (-plan_input.demand.get(name, 0.0), -plan_input.models[name].memory_gb)
+    )
     for model in lacking:
-        _place_one(board, model, "no replica")
-    for model, spec in given.models.items():
+        _add_replica(board, model, "no replica")
+    for model, spec in plan_input.models.items():
         while 0 < len(board.hosts[model]) < spec.replicas_min:
-            if not _place_one(board, model, "below replicas_min"):
+            if not _add_replica(board, model, "below replicas_min"):
                 break
 
 
-def _place_one(board: Board, model: str, why: str) -> bool:
+def _add_replica(board: Board, model: str, why: str) -> bool:
     fitting = board.spread(model, board.fitting(model))
     if fitting:
         board.load(model, fitting[0].name, why)
@@ -226,16 +238,16 @@
 
 
 def _make_room(board: Board, model: str, why: str) -> bool:
-    """Unload spare replicas on the runner where the least must go."""
+    """Unload spare replicas on the runner where the fewest, with the least demand, must go."""
     spec = board.given.models[model]
     best: tuple[int, float, str, list[tuple[Weights, float]]] | None = None
     for runner in board.open_to(model):
-        goes = _evictable(board, runner, spec.memory_gb - board.free[runner.name])
-        if goes is None:
+        evictions = _evictable(board, runner, spec.memory_gb - board.free[runner.name])
+        if evictions is None:
             continue
-        lost = sum(board.given.demand.get(key[0], 0.0) for key, _ in goes)
-        if best is None or (len(goes), lost) < best[:2]:
-            best = (len(goes), lost, runner.name, goes)
+        lost = sum(board.given.demand.get(key[0], 0.0) for key, _ in evictions)
+        if best is None or (len(evictions), lost) < best[:2]:
+            best = (len(evictions), lost, runner.name, evictions)
     if best is None:
         return False
     for key, gb in best[3]:
@@ -246,13 +258,13 @@
 def _evictable(
     board: Board, runner: RunnerRoom, need_gb: float
 ) -> list[tuple[Weights, float]] | None:
-    """Choose replicas to unload there, the least asked for first; None if too few are spare."""
-    goes: list[tuple[Weights, float]] = []
+    """Choose spare replicas to unload, lowest demand first; None if they free too little."""
+    evictions: list[tuple[Weights, float]] = []
     by_demand = sorted(
         runner.resident,
         key=lambda key: (
             board.given.demand.get(key[0], 0.0) / max(1, len(board.ready.get(key[0], ()))),
-            # Before there is any demand, how often a model stands is all that is known.
+            # Without any demand yet, models with more replicas go first.
             -len(board.ready.get(key[0], ())),
             key,
         ),
@@ -263,13 +275,13 @@
         spec = board.given.models.get(key[0])
         if spec is None or not board.spare(key[0]):
             continue
-        goes.append((key, spec.memory_gb))
+        evictions.append((key, spec.memory_gb))
         need_gb -= spec.memory_gb
-    return goes if need_gb <= 0 else None
+    return evictions if need_gb <= 0 else None
 
 
 def _retire_old(board: Board) -> None:
-    """Unload versions and models that are no longer declared, once the new is resident."""
+    """Unload models that are no longer declared, and versions whose successor is resident."""
     for runner in board.given.runners:
         for key in sorted(runner.resident):
             spec = board.given.models.get(key[0])
@@ -282,11 +294,11 @@
 
 
 class Split(t.NamedTuple):
-    """Demand as it is shared out over the replicas, in tokens a second.
+    """Demand as distributed over the replicas, in tokens a second.
 
-    :param load: of each runner.
-    :param unserved: of each model, beyond its runners' rates.
-    :param share: of each model at each of its runners.
+    :param load: demand at each runner.
+    :param unserved: demand of each model beyond the rates of its runners.
+    :param share: demand of each model at each of its runners.
     """
 
     load: dict[str, float]
@@ -295,22 +307,26 @@
 
 
 def serve_split(board: Board) -> Split:
-    """Share each model's demand out over its replicas, towards equal load."""
-    given = board.given
+    """Distribute each model's demand over its replicas so that relative load evens out."""
+    plan_input = board.given
     load = dict.fromkeys(board.runners, 0.0)
     share: dict[tuple[str, str], float] = {}
     for _ in range(6):
-        for model, wish in given.demand.items():
+        for model, model_demand in plan_input.demand.items():
             hosts = sorted(board.hosts.get(model, ()))
-            if not hosts or wish <= 0:
+            if not hosts or model_demand <= 0:
                 continue
             for host in hosts:
                 load[host] -= share.get((model, host), 0.0)
-            parts = _level(wish, hosts, load, board.runners)
+            parts = _water_fill(model_demand, hosts, load, board.runners)
             for host, part in zip(hosts, parts, strict=True):
                 share[(model, host)] = part
                 load[host] += part
-    unserved = {model: wish for model, wish in given.demand.items() if not board.hosts.get(model)}
+    unserved = {
+        model: model_demand
+        for model, model_demand in plan_input.demand.items()
+        if not board.hosts.get(model)
+    }
     for (model, host), part in share.items():
         over = load[host] - board.runners[host].token_rate
         if over > 0:
@@ -318,17 +334,23 @@
     return Split(load, unserved, share)
 
 
-def _level(
-    wish: float, hosts: list[str], load: t.Mapping[str, float], runners: t.Mapping[str, RunnerRoom]
+def _water_fill(
+    model_demand: float,
+    hosts: list[str],
+    load: t.Mapping[str, float],
+    runners: t.Mapping[str, RunnerRoom],
 ) -> list[float]:
-    """Pour one model's demand over its hosts so that their relative load evens out."""
+    """Distribute one model's demand over its hosts by water-filling.
+
+    The least loaded hosts are filled up to a common load relative to their rates.
+    """
     rates = {host: max(runners[host].token_rate, 1e-9) for host in hosts}
     order = sorted(hosts, key=lambda host: load[host] / rates[host])
     level = 0.0
     used: list[str] = []
     for position, host in enumerate(order):
         used.append(host)
-        level = (wish + sum(load[one] for one in used)) / sum(rates[one] for one in used)
+        level = (model_demand + sum(load[one] for one in used)) / sum(rates[one] for one in used)
         last = position + 1 == len(order)
         if last or level <= load[order[position + 1]] / rates[order[position + 1]]:
             break
@@ -336,46 +358,49 @@
 
 
 @placement("gain")
-def plan_by_gain(given: PlanInput) -> list[Move]:
-    """Move only where the forecast gain over the pay-back time is above the cost."""
-    board = Board(given)
+def plan_by_gain(plan_input: PlanInput) -> list[Move]:
+    """Add replicas only where the gain forecast over the pay-back time exceeds the cost."""
+    board = Board(plan_input)
     _place_missing(board)
     _retire_old(board)
-    for _ in range(max(1, given.policy.loads_at_once)):
-        if not _best_gain(board):
+    for _ in range(max(1, plan_input.policy.loads_at_once)):
+        if not _add_paying_replica(board):
             break
-    _second_places(board)
+    _add_second_data_centre(board)
     return board.moves
 
 
-def _best_gain(board: Board) -> bool:
-    """Add the replica that serves the most unserved demand, if it pays."""
-    given = board.given
+def _add_paying_replica(board: Board) -> bool:
+    """Add one replica of the model with the most unserved demand for which one pays.
+
+    :return: whether a load, or the unloads before it, were planned.
+    """
+    plan_input = board.given
     load, unserved, _ = serve_split(board)
     for model, missed in sorted(unserved.items(), key=lambda item: -item[1]):
-        spec = given.models.get(model)
+        spec = plan_input.models.get(model)
         if spec is None or missed <= 0 or len(board.hosts[model]) >= spec.replicas_max:
             continue
-        spare = _spare_rates(board, load, model)
+        spare = _list_spare_rates(board, load, model)
         for runner, rate in spare:
             gain_s = min(missed, rate) / max(runner.token_rate, 1e-9) * defaults.PAY_BACK_S
-            goes = _evictable(board, runner, spec.memory_gb - board.free[runner.name])
-            if goes is None:
+            evictions = _evictable(board, runner, spec.memory_gb - board.free[runner.name])
+            if evictions is None:
                 continue
-            cost_s = given.policy.move_weight * (1 + len(goes)) * defaults.MOVE_COST_S
+            cost_s = plan_input.policy.move_weight * (1 + len(evictions)) * defaults.MOVE_COST_S
             if gain_s <= cost_s:
                 continue
             why = f"gain {gain_s:.1f}s over cost {cost_s:.1f}s"
-            if not goes:
+            if not evictions:
                 board.load(model, runner.name, why)
                 return True
-            for key, gb in goes:
+            for key, gb in evictions:
                 board.unload(key, runner.name, gb, f"room for {model}: {why}")
             return True
     return False
 
 
-def _spare_rates(
+def _list_spare_rates(
     board: Board, load: t.Mapping[str, float], model: str
 ) -> list[tuple[RunnerRoom, float]]:
     rows = [
@@ -386,14 +411,16 @@
     return sorted(rows, key=lambda row: (-row[1], row[0].name))
 
 
-def _second_places(board: Board) -> None:
-    """Use memory that is free anyway for a second data centre, the most asked for first."""
-    given = board.given
+def _add_second_data_centre(board: Board) -> None:
+    """Load models into free memory of a second data centre, highest demand first."""
+    plan_input = board.given
     if any(len(hosts) == 0 for hosts in board.hosts.values()):
         return
-    for model in sorted(given.models, key=lambda name: (-given.demand.get(name, 0.0), name)):
+    for model in sorted(
+        plan_input.models, key=lambda name: (-plan_input.demand.get(name, 0.0), name)
+    ):
         places = {board.runners[name].data_centre for name in board.hosts[model]}
-        if len(places) != 1 or given.models[model].replicas_max < 2:
+        if len(places) != 1 or plan_input.models[model].replicas_max < 2:
             continue
         others = [one for one in board.fitting(model) if one.data_centre not in places]
         if others:
@@ -401,54 +428,53 @@
 
 
 @placement("static")
-def plan_static(given: PlanInput) -> list[Move]:
-    """Place each model once and in a second data centre, blind to demand (a baseline)."""
-    board = Board(given._replace(demand={}))
+def plan_static(plan_input: PlanInput) -> list[Move]:
+    """Place each model once and in a second data centre, ignoring demand (a baseline)."""
+    board = Board(plan_input._replace(demand={}))
     _place_missing(board)
     _retire_old(board)
-    _second_places(board)
+    _add_second_data_centre(board)
     return board.moves
 
 
 @placement("greedy")
-def plan_greedy(given: PlanInput) -> list[Move]:
-    """Chase every gain at any cost (a baseline)."""
-    free_moves = given.policy._replace(move_weight=0.0)
-    return plan_by_gain(given._replace(policy=free_moves))
+def plan_greedy(plan_input: PlanInput) -> list[Move]:
+    """Move for any gain, whatever the move costs (a baseline)."""
+    free_moves = plan_input.policy._replace(move_weight=0.0)
+    return plan_by_gain(plan_input._replace(policy=free_moves))
 
 
 @placement("proportional")
-def plan_proportional(given: PlanInput) -> list[Move]:
+def plan_proportional(plan_input: PlanInput) -> list[Move]:
     """Give each model replicas in proportion to its demand (a baseline)."""
-    board = Board(given)
+    board = Board(plan_input)
     _place_missing(board)
     _retire_old(board)
-    total = sum(given.demand.values()) or 1.0
+    total = sum(plan_input.demand.values()) or 1.0
     slots = sum(len(hosts) for hosts in board.hosts.values())
     slots += sum(int(free // 12.0) for free in board.free.values() if free > 0)
-    for model, wish in sorted(given.demand.items(), key=lambda item: -item[1]):
-        spec = given.models.get(model)
+    for model, model_demand in sorted(plan_input.demand.items(), key=lambda item: -item[1]):
+        spec = plan_input.models.get(model)
         if spec is None:
             continue
-        target = min(len(board.runners), max(1, round(slots * wish / total)))
+        target = min(len(board.runners), max(1, round(slots * model_demand / total)))
         if len(board.hosts[model]) < target:
-            _place_one(board, model, "in proportion to demand")
+            _add_replica(board, model, "in proportion to demand")
     return board.moves
 
 
 @placement("even")
-def plan_even(given: PlanInput) -> list[Move]:
-    """Keep each model once, and add replicas until every runner has about its part.
-
-    What is asked for comes first: a runner takes one load at a time, for seconds.
+def plan_even(plan_input: PlanInput) -> list[Move]:
+    """Keep one replica of each model, and add replicas where another one pays.
 
-    Nothing is unloaded but for a model that needs its room: copies that nobody asks
-    for now cost nothing, and demand comes back to them.
+    Models with demand are loaded first, since a runner takes one load at a time and each
+    takes seconds. Replicas are unloaded only to make room for another model: an idle one
+    costs nothing, and its demand may return.
     """
-    board = Board(given)
-    _place_missing(board, asked_only=True)
-    for _ in range(max(1, given.policy.loads_at_once)):
-        if not _best_gain(board):
+    board = Board(plan_input)
+    _place_missing(board, with_demand_only=True)
+    for _ in range(max(1, plan_input.policy.loads_at_once)):
+        if not _add_paying_replica(board):
             break
     _place_missing(board)
     return board.moves
--- a/packages/rookspring-core/src/rookspring_core/planning.py
+++ b/packages/rookspring-core/src/rookspring_core/planning.py
@@ -1,7 +1,7 @@
-"""The lease holder's plans: what the placement policy is told, and what becomes of its moves.
+"""The lease holder's planner: builds the input of the placement policy and orders its moves.
 
-The policy sees runners as rooms, with what is on its way and what is in use counted; its
-moves become orders only where they are safe now.
+The input counts loads under way, and memory that an unanswered order may still take. Moves
+become orders only where that is safe now.
 """
 
 import math
@@ -36,7 +36,7 @@
 
 
 def plan(state: NodeState) -> Effects:
-    """Order the loads and unloads of models that the placement policy wants."""
+    """Run the placement policy for each service with engines and order its moves."""
     effects: Effects = []
     if state.table is None:
         return effects
@@ -55,58 +55,60 @@
     }
     levels = {name: state.control.forecast.levels.get(name, 0.0) for name in models}
     views = [view for view in views if _plannable(state, view)]
-    # Runners are to be about evenly loaded, so each may have a little over its part.
+    # Load is to be spread about evenly, so each runner is planned for little more than the mean.
     part = sum(levels.values()) / max(1, len(views)) * defaults.EVEN_MARGIN
     rate = max(defaults.RUNNER_TOKENS_PER_S, part)
     used = attaching.list_used(state)
-    awaited = _sum_awaited(state, service, models)
-    rooms = tuple(
-        _runner_room(state, engine, view, rate)._replace(
+    unattached = _sum_awaited(state, service, models)
+    snapshots = tuple(
+        _snapshot_runner(state, engine, view, rate)._replace(
             in_use=frozenset(name for endpoint, name in used if endpoint == view.name),
-            awaited=sum(awaited.get(model, 0.0) for model in view.resident),
+            awaited=sum(unattached.get(model, 0.0) for model in view.resident),
         )
         for view in views
     )
     policy = PolicySpec(loads_per_s=max(0.1, engine.loads_per_s))
     store = state.control.store
     store.refill(state.now, engine.loads_per_s * defaults.STORE_RATE_SHARE)
-    # A fast model is little work, but its callers miss it as much as those of another.
-    asked = {name: level / state.paces.relative(name) for name, level in levels.items()}
-    given = placement.PlanInput(
+    # A fast model is less work for a token, but its callers lose as much without it.
+    requested = {name: level / state.paces.relative(name) for name, level in levels.items()}
+    plan_input = placement.PlanInput(
         models,
-        rooms,
+        snapshots,
         levels,
         policy,
-        asked,
+        requested,
         urgent=state.control.urgent.forecast.levels,
         missed=state.control.missed.forecast.levels,
         longest_s=state.paces.longest_s,
-        owed=_note_owed(state, asked, rooms),
+        owed=_update_deficits(state, requested, snapshots),
         declined={},
     )
     effects: Effects = []
-    for move in placement.find_placement(defaults.RELAY_PLACEMENT)(given):
+    for move in placement.find_placement(defaults.RELAY_PLACEMENT)(plan_input):
         effects += perform_move(state, engine, move)
-    return effects + _tell_declined(state, given)
+    return effects + _log_declined(state, plan_input)
 
 
-def _tell_declined(state: NodeState, given: placement.PlanInput) -> Effects:
-    """Tell operators why models that are asked for are not brought, once for each reason."""
-    told = state.residency.declined
-    declined = given.declined or {}
+def _log_declined(state: NodeState, plan_input: placement.PlanInput) -> Effects:
+    """Log why requested models are not loaded, each reason once while it stays the same."""
+    logged = state.residency.declined
+    declined = plan_input.declined or {}
     effects: Effects = []
-    for model in given.models:
+    for model in plan_input.models:
         why = declined.get(model, "")
-        if why and told.get(model, "") != why:
-            effects.append(WantDeclined(model, f"{why}; {given.claim(model):.0f} tokens/s claimed"))
-        told[model] = why
+        if why and logged.get(model, "") != why:
+            effects.append(
+                WantDeclined(model, f"{why}; {plan_input.claim(model):.0f} tokens/s of aged demand")
+            )
+        logged[model] = why
     return effects
 
 
 def _sum_awaited(state: NodeState, service: str, models: t.Container[str]) -> dict[str, float]:
-    """Sum up by model what is asked of its adapters that are attached nowhere.
+    """Sum the demand for unattached adapters, by their model.
 
-    :return: in tokens a second, for each endpoint that holds the model.
+    :return: in tokens a second, divided by the number of endpoints that hold the model.
     """
     sums: dict[str, float] = {}
     for adapter, level in state.control.forecast.levels.items():
@@ -119,49 +121,49 @@
     return sums
 
 
-def _note_owed(
+def _update_deficits(
     state: NodeState,
-    asked: t.Mapping[str, float],
-    rooms: t.Iterable[placement.RunnerRoom],
+    requested: t.Mapping[str, float],
+    snapshots: t.Iterable[placement.RunnerRoom],
 ) -> dict[str, float]:
-    """Add up what is asked in vain of models that stand nowhere, in tokens.
+    """Accumulate the tokens requested of each model while it is resident nowhere.
 
-    :param asked: of each model, in tokens a second.
+    :param requested: of each model, in tokens a second.
     """
     residency = state.residency
     passed = min(state.now - residency.summed_at, defaults.RELAY_PLAN_INTERVAL_S)
-    stand = {name for room in rooms for name, _ in room.resident}
-    for model, level in asked.items():
-        if model in stand:
+    resident = {name for one in snapshots for name, _ in one.resident}
+    for model, level in requested.items():
+        if model in resident:
             residency.owed.pop(model, None)
         elif level > 0.0:
             residency.owed[model] = residency.owed.get(model, 0.0) + level * passed
-    return {model: residency.owed[model] for model in asked if model in residency.owed}
+    return {model: residency.owed[model] for model in requested if model in residency.owed}
 
 
 def _plannable(state: NodeState, view: EndpointView) -> bool:
-    room = state.residency.rooms.get(view.name)
-    if room is None or not room.trusted or view.report is None:
+    account = state.residency.rooms.get(view.name)
+    if account is None or not account.trusted or view.report is None:
         return False
-    # What a runner held that is down is lost: its models are placed elsewhere now,
-    # seconds before its entry lapses. One that is gone is known for as long as a request
-    # hangs there, up to its deadline, and holds nothing for others.
+    # A runner that is down has lost its models, so they are placed elsewhere at once,
+    # seconds before its entry lapses. A runner that is gone stays known while a request
+    # hangs there, up to the request's deadline, but its models serve no other request.
     return not view.leaving and not view.down and not view.gone
 
 
-def _runner_room(
+def _snapshot_runner(
     state: NodeState, engine: EngineSize, view: EndpointView, token_rate: float
 ) -> placement.RunnerRoom:
     assert view.report is not None
-    room = state.residency.rooms[view.name]
-    order = room.order
+    account = state.residency.rooms[view.name]
+    order = account.order
     coming = (
         {(order.model, "")} if order and order.action == "load" and not order.adapter else set()
     )
     resident = {(name, "") for name, _ in view.report.resident}
     free_mb = engine.memory_mb - used_mb(engine, view.report) - _adapter_reserve_mb(engine, view)
-    # What a lost order may bring yet is not there to be given away.
-    free_mb -= doubted_mb(engine, room, state.now, "") + withdrawn_mb(engine, room)
+    # Memory that an unanswered load may still take is not free.
+    free_mb -= doubted_mb(engine, account, state.now, "") + withdrawn_mb(engine, account)
     if order is not None and order.action == "load" and not order.adapter:
         free_mb -= order_mb(engine, order)
     return placement.RunnerRoom(
@@ -172,18 +174,18 @@
         token_rate=_bounded_rate(state, view, token_rate),
         resident=frozenset(resident),
         coming=frozenset(coming),
-        busy=not usable(state, view) or bool(room.withdrawn_models()),
+        busy=not usable(state, view) or bool(account.withdrawn_models()),
         load_s={name: load_time_s(size, view.report) for name, size in engine.models.items()},
         free_in_s=_free_in_s(state, engine, view),
-        room_for=room.room_for,
-        kept=room.kept_models(state.now),
+        room_for=account.room_for,
+        kept=account.kept_models(state.now),
     )
 
 
 def _bounded_rate(state: NodeState, view: EndpointView, token_rate: float) -> float:
-    """Give what a runner serves, in tokens a second: no more than the requests that it takes.
+    """Return a runner's rate in tokens a second, bounded by its rate of requests.
 
-    Beyond that its models need another replica, however idle it looks.
+    Demand beyond that needs another replica, even if the runner looks idle.
     """
     if view.rate is None or state.paces.mean_work <= 0.0:
         return token_rate
@@ -191,11 +193,14 @@
 
 
 def _free_in_s(state: NodeState, engine: EngineSize, view: EndpointView) -> float:
-    """Predict how soon a runner's order is over; infinite where it is overdue or lost."""
-    room = state.residency.rooms[view.name]
-    order = room.order
-    if room.withdrawn_models():
-        since = min(room.withdrawn[name] for name in room.withdrawn_models())
+    """Predict the seconds until a runner takes orders again.
+
+    :return: infinite if unknown, as its order is overdue or unanswered.
+    """
+    account = state.residency.rooms[view.name]
+    order = account.order
+    if account.withdrawn_models():
+        since = min(account.withdrawn[name] for name in account.withdrawn_models())
         left_s = since + state.paces.longest_s + defaults.RUNNER_BUSY_S - state.now
         return left_s if left_s > 0 else math.inf
     if order is None or order.lost or view.report is None or not view.open_for_work(state.now):
@@ -206,29 +211,31 @@
 
 
 def _adapter_reserve_mb(engine: EngineSize, view: EndpointView) -> float:
-    """Keep memory for as many adapters as a runner may hold, beside those it has."""
+    """Return the memory to reserve for the adapters that a runner may hold beyond its own."""
     largest = max((one.adapter_mb for one in engine.models.values()), default=0.0)
     return largest * max(0, engine.adapters_max - len(adapters_at(view)))
 
 
 def perform_move(state: NodeState, engine: EngineSize, move: placement.Move) -> Effects:
-    """Order what the planner wants of an endpoint, if that is safe now."""
+    """Order one move at its endpoint, if that is safe now."""
     view = state.endpoints[move.endpoint]
     model = move.key[0]
     if not usable(state, view) or view.report is None:
         return []
     if move.action == "load":
         size = engine.models[model]
-        room = state.residency.rooms[view.name]
-        used = used_mb(engine, view.report) + doubted_mb(engine, room, state.now, model)
-        used += withdrawn_mb(engine, room)
+        account = state.residency.rooms[view.name]
+        used = used_mb(engine, view.report) + doubted_mb(engine, account, state.now, model)
+        used += withdrawn_mb(engine, account)
         if used + size.memory_mb > engine.memory_mb:
-            state.record(view.name, f"cannot load {model}", "a lost order may take its room yet")
+            state.record(
+                view.name, f"cannot load {model}", "an unanswered order may still take its memory"
+            )
             return []
         if from_store(size, view.report) and not state.control.store.take():
             return []
         state.record(view.name, f"load {model}", move.why)
-        room.room_for = ""
+        account.room_for = ""
         return [give_order(state, view, "load", model, "")]
     others = [
         one
@@ -236,15 +243,16 @@
         if one.name != view.name and one.service == view.service and one.open_for_work(state.now)
     ]
     if not others and model in engine.models and not move.last:
-        state.record(view.name, f"cannot unload {model}", "it is its last open copy")
+        state.record(view.name, f"cannot unload {model}", "no other open endpoint holds it")
         return []
-    room = state.residency.rooms[view.name]
-    room.room_for = move.room_for
+    account = state.residency.rooms[view.name]
+    account.room_for = move.room_for
     if (view.name, model) in attaching.list_used(state):
-        # An unload waits for what runs there and holds up all other orders, for up to 15 s
-        # where a stream is put back again and again; so its requests end first.
+        # An unload waits for the requests that run there and blocks all other orders, for up
+        # to 15 s if a stream is put back repeatedly. So the model is withdrawn first, and
+        # unloaded once its requests have ended.
         state.record(view.name, f"withdraw {model}", move.why)
-        room.withdraw(model, state.now, adapters_at(view))
+        account.withdraw(model, state.now, adapters_at(view))
         return [put_report(state, view, without(view.report, model, ""))]
     state.record(view.name, f"unload {model}", move.why)
     return withdraw(state, view, model, "")
--- a/packages/rookspring-core/src/rookspring_core/rooms.py
+++ b/packages/rookspring-core/src/rookspring_core/rooms.py
@@ -1,4 +1,4 @@
-"""What the lease holder keeps of each endpoint that counts the orders it takes."""
+"""The lease holder's accounts of endpoints that count the orders they take."""
 
 import math
 import typing as t
@@ -10,15 +10,15 @@
 
 
 class Order(t.NamedTuple):
-    """An order on its way to an endpoint, or under way there.
-
-    :param taken_before: orders that the endpoint had taken before it.
-    :param taken: the endpoint said so.
-    :param lost: no answer came, so it may have been taken, or may be yet.
-    :param length_s: how long it is expected to take, in seconds.
-    :param sends: how often it was sent, each time upon the same count.
-    :param back_at: when the last caller will have come back for whom it was given.
-    :param wanted_at: since when those for whom it was given had waited.
+    """An order that was sent to an endpoint and has not ended.
+
+    :param taken_before: number of orders that the endpoint had taken before it.
+    :param taken: the endpoint answered that it took the order.
+    :param unanswered: no answer came; it may have been taken, or may still be.
+    :param length_s: expected duration, in seconds.
+    :param sends: how often it was sent, always with the same count.
+    :param callers_back_by: when the last of the callers that it serves will have retried.
+    :param wanted_at: when the want that it serves began.
     """
 
     action: str
@@ -34,22 +34,22 @@
     wanted_at: float = math.inf
 
     def ends_at(self) -> float:
-        """Give the moment at which it is expected to be over."""
+        """Return the time at which the order is expected to end."""
         return self.sent_at + self.length_s
 
 
-# The service, model and adapter that requests wait for; no adapter where it is the model.
+# Service, model and adapter that requests wait for; the adapter is empty if it is the model.
 WantKey = tuple[str, str, str]
 
 
 class OpenWant(t.NamedTuple):
-    """What requests wait for that no endpoint holds.
+    """Requests' need for a model or adapter that no endpoint holds.
 
-    :param first_at: when it was first asked for, and ``asked_at`` when last.
-    :param times: requests that asked for it.
-    :param declined: why nothing was ordered for it when last looked at.
-    :param given_up: nobody has asked for it for a while.
-    :param back_at: when the last of its callers will have come back.
+    :param first_at: time of the first request for it, and ``asked_at`` of the last.
+    :param times: number of requests for it.
+    :param declined: why nothing was ordered for it at the last attempt.
+    :param given_up: no caller waits for it now or is expected to retry.
+    :param callers_back_by: when the last of its callers will have retried.
     """
 
     first_at: float
@@ -65,17 +65,18 @@
         return self._replace(asked_at=now, times=self.times + 1, given_up=False, back_at=back_at)
 
     def live(self, now: float) -> bool:
-        """Say whether a caller waits for it, or is to come back."""
+        """Tell whether a caller waits for it or is expected to retry."""
         return now <= max(self.asked_at + defaults.WANT_LIFE_S, self.back_at)
 
 
 class Stay(t.NamedTuple):
-    """An adapter at an endpoint.
+    """The time that an adapter is attached to an endpoint.
 
     :param since: when it was attached.
-    :param kept_until: when the callers for whom it was attached will have been seen to use it.
-    :param used: a request was seen to use it.
-    :param wanted_at: since when those for whom it was attached had waited.
+    :param protected_until: when use by the callers for whom it was attached will have been
+        reported.
+    :param used: a request has used it.
+    :param wanted_at: when the want for which it was attached began.
     """
 
     since: float
@@ -85,15 +86,16 @@
 
 
 class Room:
-    """One endpoint as the lease holder accounts for it.
-
-    :param trusted: its own report was read under this lease.
-    :param room_for: the model that the last unload made room for; it has the first call
-        on that room.
-    :param withdrawn: adapters and models that no new request may use, and since when;
-        each is unloaded once its last request has ended.
-    :param stays: adapters that were attached under this lease.
-    :param kept: models that were loaded for callers, and until when these may come back.
+    """The lease holder's account of one endpoint.
+
+    :param trusted: the endpoint's own report was applied under this lease.
+    :param room_for: the model that the last unload made room for; the room is reserved
+        for it.
+    :param withdrawn: adapters and models that no new request may use, with the time of
+        their withdrawal; each is unloaded once its last request has ended.
+    :param attachments: adapters that were attached under this lease.
+    :param protected: models that were loaded for callers, with the time by which these will
+        have retried; they are not evicted before.
     """
 
     __slots__ = (
@@ -115,25 +117,25 @@
         self.kept: dict[str, float] = {}
         self.order: Order | None = None
         self.asked_at = -1e9
-        # Loads that got no answer and may be carried out yet.
+        # Loads without an answer, which may still be carried out.
         self.doubts: list[Order] = []
 
     def withdrawn_adapters(self) -> list[str]:
-        """Name the adapters that no new request may use."""
+        """Return the adapters that no new request may use."""
         return [name for name in self.withdrawn if "/" in name]
 
     def going_adapters(self) -> list[str]:
-        """Name the withdrawn adapters that are unloaded by themselves, not with their model."""
+        """Return the withdrawn adapters whose model is not withdrawn."""
         return [
             name for name in self.withdrawn_adapters() if split_name(name)[0] not in self.withdrawn
         ]
 
     def withdraw(self, name: str, now: float, adapters: t.Iterable[str] = ()) -> None:
-        """Let no new request use an adapter, or a model with its adapters.
+        """Close an adapter, or a model with its adapters, to new requests.
 
-        A model's adapters take their memory and places until it is unloaded.
+        A model's adapters keep their memory and slots until the model is unloaded.
 
-        :param adapters: those that are attached there, of any model.
+        :param adapters: all adapters that are attached there, of any model.
         """
         self.withdrawn[name] = now
         for adapter in adapters:
@@ -141,22 +143,22 @@
                 self.withdrawn[adapter] = now
 
     def keeps(self, adapter: str, now: float) -> bool:
-        """Say whether an adapter is kept for the callers for whom it was attached."""
-        stay = self.stays.get(adapter)
-        return stay is not None and now < stay.kept_until
+        """Tell whether an adapter is protected for the callers for whom it was attached."""
+        attachment = self.stays.get(adapter)
+        return attachment is not None and now < attachment.kept_until
 
     def kept_models(self, now: float) -> frozenset[str]:
-        """Name the models that are kept for their callers, and forget those that are not."""
+        """Return the models that are protected for their callers, and drop expired ones."""
         self.kept = {model: until for model, until in self.kept.items() if now < until}
         return frozenset(self.kept)
 
     def withdrawn_models(self) -> list[str]:
-        """Name the models that no new request may use."""
+        """Return the models that no new request may use."""
         return [name for name in self.withdrawn if "/" not in name]
 
 
 class Residency:
-    """What the lease holder knows and wants, apart from what endpoints report."""
+    """The lease holder's state beyond endpoints' reports: accounts, wants and planning."""
 
     def __init__(self) -> None:
         self.epoch = 0
@@ -164,21 +166,21 @@
         self.wanted: dict[WantKey, OpenWant] = {}
         self.planned_at = -1e9
         self.used_noted_at = -1e9
-        # What was asked in vain of each model that stands nowhere, in tokens.
+        # Tokens requested of each model while it is resident nowhere.
         self.owed: dict[str, float] = {}
-        # Why models that are asked for were not brought by the last plan.
+        # Why the last plan did not load requested models.
         self.declined: dict[str, str] = {}
         self.summed_at = -1e9
-        # How long after an order endpoints' reports have shown it so far, in seconds.
+        # Delay until endpoints' reports show the end of an order, learnt so far, in seconds.
         self.look_s = defaults.ORDER_LOOK_S
 
     def note_lag(self) -> None:
-        """A report came too early to show an order that was taken: look later from now on."""
+        """Read reports later from now on, as one was too early to show an order's end."""
         self.look_s = min(defaults.ORDER_LOOK_MAX_S, self.look_s + defaults.ORDER_LOOK_STEP_S)
 
 
 def still_there(order: Order, report: EndpointReported) -> bool:
-    """Say whether what was to be unloaded is still in use there."""
+    """Tell whether a report still shows what an order was to unload."""
     if order.action != "unload":
         return False
     if order.adapter:
@@ -187,12 +189,12 @@
 
 
 def split_name(name: str) -> tuple[str, str]:
-    """Give the model and the adapter that a name stands for; no adapter for a model's."""
+    """Split a name into its model and adapter; the adapter is empty for a model's name."""
     return name.partition("/")[0], name if "/" in name else ""
 
 
 def without(report: EndpointReported, model: str, adapter: str) -> EndpointReported:
-    """Give a report that lacks an adapter, or a model with all its adapters."""
+    """Return a report without an adapter, or without a model and all its adapters."""
     if adapter:
         return report._replace(adapters=tuple(one for one in report.adapters if one != adapter))
     return report._replace(
@@ -202,7 +204,7 @@
 
 
 def model_mb(engine: EngineSize, model: str) -> float:
-    """Give the memory of a model, in megabytes; the largest's if it is declared no more."""
+    """Return a model's memory, in megabytes; the largest model's if it is no longer declared."""
     size = engine.models.get(model)
     if size is not None:
         return size.memory_mb
@@ -210,39 +212,39 @@
 
 
 def adapter_mb(engine: EngineSize, adapter: str) -> float:
-    """Give the memory of an adapter, in megabytes; none if its model is declared no more."""
+    """Return an adapter's memory, in megabytes; 0 if its model is no longer declared."""
     size = engine.models.get(adapter.partition("/")[0])
     return size.adapter_mb if size is not None else 0.0
 
 
 def used_mb(engine: EngineSize, report: EndpointReported) -> float:
-    """Give the memory that weights and adapters take, in megabytes."""
+    """Return the memory that models and adapters take, in megabytes."""
     models = sum(model_mb(engine, name) for name, _ in report.resident)
     return models + sum(adapter_mb(engine, adapter) for adapter in report.adapters)
 
 
-def withdrawn_mb(engine: EngineSize, room: Room) -> float:
-    """Give the memory of what is there yet, though no new request uses it."""
-    adapters = sum(adapter_mb(engine, name) for name in room.withdrawn_adapters())
-    return adapters + sum(model_mb(engine, name) for name in room.withdrawn_models())
+def withdrawn_mb(engine: EngineSize, account: Room) -> float:
+    """Return the memory of withdrawn models and adapters, in megabytes."""
+    adapters = sum(adapter_mb(engine, name) for name in account.withdrawn_adapters())
+    return adapters + sum(model_mb(engine, name) for name in account.withdrawn_models())
 
 
 def order_mb(engine: EngineSize, order: Order) -> float:
-    """Give the memory that a load takes, in megabytes."""
+    """Return the memory that a load takes, in megabytes."""
     if order.adapter:
         return adapter_mb(engine, order.adapter)
     return model_mb(engine, order.model)
 
 
 def from_store(size: ModelSize, report: EndpointReported) -> bool:
-    """Say whether an endpoint would fetch a model from the weight store."""
+    """Tell whether an endpoint would load a model from the weight store."""
     return size.name not in report.in_memory and size.name not in report.on_disk
 
 
 def load_time_s(size: ModelSize, report: EndpointReported) -> float:
-    """Give how long an endpoint takes to load a model, in seconds.
+    """Return the time that an endpoint takes to load a model, in seconds.
 
-    A configuration that tells no time for a nearer copy means the store's time.
+    Without a configured time for a copy in memory or on disk, it is the weight store's.
     """
     if size.name in report.in_memory:
         return size.warm_s or size.load_s
@@ -251,17 +253,20 @@
     return size.load_s
 
 
-def list_doubts(room: Room, now: float, but: str) -> list[Order]:
-    """List the loads without an answer that may come yet, but for one of a name."""
-    room.doubts = [one for one in room.doubts if now - one.sent_at <= defaults.LATE_ORDER_S]
-    return [one for one in room.doubts if (one.adapter or one.model) != but]
+def list_doubts(account: Room, now: float, but: str) -> list[Order]:
+    """Return the unanswered loads that may still be carried out, and drop expired ones.
+
+    :param but: name of a model or adapter whose loads are left out.
+    """
+    account.doubts = [one for one in account.doubts if now - one.sent_at <= defaults.LATE_ORDER_S]
+    return [one for one in account.doubts if (one.adapter or one.model) != but]
 
 
-def doubted_mb(engine: EngineSize, room: Room, now: float, but: str) -> float:
-    """Give the memory that loads without an answer may take yet, in megabytes."""
-    return sum(order_mb(engine, order) for order in list_doubts(room, now, but))
+def doubted_mb(engine: EngineSize, account: Room, now: float, but: str) -> float:
+    """Return the memory that unanswered loads may still take, in megabytes."""
+    return sum(order_mb(engine, order) for order in list_doubts(account, now, but))
 
 
-def doubted_places(room: Room, now: float, but: str) -> int:
-    """Give the places for adapters that loads without an answer may take yet."""
-    return sum(1 for order in list_doubts(room, now, but) if order.adapter)
+def doubted_places(account: Room, now: float, but: str) -> int:
+    """Return the number of adapter slots that unanswered loads may still take."""
+    return sum(1 for order in list_doubts(account, now, but) if order.adapter)
--- a/packages/rookspring-core/src/rookspring_core/wants.py
+++ b/packages/rookspring-core/src/rookspring_core/wants.py
@@ -1,4 +1,4 @@
-"""What requests wait for that no endpoint holds, told to the lease holder."""
+"""Wants: requests for models or adapters that no endpoint holds, sent to the lease holder."""
 
 from . import comebacks
 from .effects import Effect
@@ -8,7 +8,7 @@
 
 
 def miss(state: NodeState, event: RequestArrived) -> list[Effect]:
-    """Tell the holder when a request waits for what is open for work nowhere."""
+    """Send a want if no endpoint that takes requests holds what a waiting request needs."""
     terms = event.route
     if terms is None or event.service or event.request_id not in state.requests:
         return []
