--- a/features/decisions.feature
+++ b/features/decisions.feature
@@ -21,7 +21,7 @@
       | its session is forgotten, sent again  | unknown             | 1    |
       | it succeeds, 300 others follow, sent again | ran unknown    | 1    |
 
-  Scenario Outline: an outcome is told truly
+  Scenario Outline: a request ends with its true outcome
     Given a node with a model on two runners
     When a request is sent and <events>
     Then the answers are <answers> and it was sent <sent> times
@@ -36,7 +36,7 @@
       | it breaks after sending, no time is left, it breaks after sending | unknown | 2 |
       | no time is left, it cannot connect                 | not_run | 1    |
 
-  Scenario Outline: a node that reaches nobody takes no new work after a while
+  Scenario Outline: an isolated node refuses new requests after a grace period
     Given a node with a model on two runners
     When it has reached <whom> for <seconds> seconds and a request is sent
     Then the answers are <answers> and it was sent <sent> times
@@ -49,7 +49,7 @@
       | a node       | 20      | ran     | 1    |
 
   Scenario Outline: chunks of a stream are passed on once and in order
-    Given a stream's guard at offset <offset>
+    Given a stream guard at offset <offset>
     When the chunks <chunks> come
     Then <text> is passed on
 
@@ -63,9 +63,9 @@
       | 3      | 1:0:abcde               | de     |
       | 0      | 1:0:ab 1:5:xx           | a gap  |
 
-  Scenario Outline: the lease passes on only when it must
+  Scenario Outline: the lease changes its holder only if that has given it up or is paused for too long
     Given two nodes that see one lease
-    When the lease meets: <events>
+    When the lease goes through: <events>
     Then <holder> holds it at epoch <epoch>
 
     Examples:
@@ -78,10 +78,10 @@
       | one writes it without an answer, 3 seconds pass       | one     | 1     |
       | both write it at once                                 | one     | 1     |
 
-  Scenario Outline: memory is never promised twice
+  Scenario Outline: the same memory is never reserved twice
     Given a ledger of 100 GB whose endpoint <checks> orders
-    When the ledger meets: <events>
-    Then <free> GB may be promised
+    When the ledger goes through: <events>
+    Then <free> GB may be reserved
 
     Examples:
       | checks         | events                                                          | free |
@@ -100,9 +100,9 @@
       | checks         | 30 GB are ordered, the endpoint restarts                        | 90   |
       | does not check | 30 GB are ordered, it is given up, a report shows it undeclared | 60   |
 
-  Scenario Outline: a new holder orders only upon a report from behind its fence
+  Scenario Outline: a new lease holder gives orders only after a report that was made behind its fence
     Given a ledger of 100 GB whose endpoint <checks> orders
-    When the ledger meets: <events>
+    When the ledger goes through: <events>
     Then it is <state> for orders
 
     Examples:
@@ -116,10 +116,10 @@
       | does not check | it is claimed, an old report is without it                     | not ready |
       | does not check | it is claimed, a report is without it                          | ready     |
 
-  Scenario Outline: the record of an endpoint that does not check names all that may come
+  Scenario Outline: the intent record of an endpoint that does not check orders lists all that may still arrive
     Given a ledger of 100 GB whose endpoint does not check orders
-    When the ledger meets: <events>
-    Then its record names <count> orders
+    When the ledger goes through: <events>
+    Then its record lists <count> orders
 
     Examples:
       | events                                                      | count |
@@ -129,7 +129,7 @@
       | 30 GB are ordered, it is given up, 10 GB more are ordered   | 2     |
       | 30 GB are ordered, it is given up, 40 seconds pass, a report is without it | 0 |
 
-  Scenario Outline: limits are shared out by demand
+  Scenario Outline: a team's limit is divided among nodes by their demand
     Given a team with 100 requests a second over <nodes> nodes
     When the demand is <demand>
     Then the admitted rate is between <least> and <most>
@@ -141,7 +141,7 @@
       | 3     | 300 0 0     | 75    | 115  |
       | 3     | 20 20 20    | 55    | 61   |
 
-  Scenario: retries are a share of successes and never a storm
+  Scenario: retries are limited to a share of successes
     Given a retry budget
     When 1000 requests succeed and 1000 fail
-    Then at most 110 retries were given
+    Then at most 110 retries were allowed
--- a/features/relay_harness.py
+++ b/features/relay_harness.py
@@ -1,4 +1,4 @@
-"""Reducers under test: a relaying node, and a lease holder over model runners."""
+"""Test harnesses of the reducer: a relaying node, and a lease holder with model runners."""
 
 from rookspring_core import Identity
 from rookspring_core import NodeState
@@ -56,7 +56,7 @@
 
 
 class RelayHarness:
-    """One relaying reducer, with what it asked for."""
+    """A relaying node's reducer, with the effects that it gave, by kind."""
 
     def __init__(self, sizes=None):
         self.now = 100.0
@@ -69,7 +69,7 @@
         self.orders = []
         self.wants = []
         self.told_down = []
-        # What operators are told of wants and adapters.
+        # Log effects for operators, on wants and adapters.
         self.told = []
         self.submit(PlatformAnswered(self.now, True))
         self.submit(RouteTableSeen(self.now, make_table(sizes=sizes)))
@@ -94,7 +94,7 @@
         return effects
 
     def perform(self, effect):
-        """For subclasses: what the daemon would do."""
+        """Carry out an effect as the daemon would; for subclasses."""
 
     def list_endpoints(self, names, service, role, state="live"):
         rows = [BoxListed(name, name, "z", role, state, service) for name in names]
@@ -157,17 +157,17 @@
 
 
 class HolderHarness(RelayHarness):
-    """A lease holder, with runners that carry orders out as the platform's do."""
+    """A lease holder, with runners that carry out orders as those of the platform do."""
 
     def __init__(self, held):
         self.runners = {}
         self.answer = "taken"
-        # Set to take the lease's writes instead of having them answered.
+        # If set, is called with each lease write, which then gets no answer.
         self.renewed = None
         self.carried = True
-        # Runners whose process has ended: they answer no reads.
+        # Runners whose process has ended; reads of their reports get no answer.
         self.dead = set()
-        # When each runner's report was asked for.
+        # The reads of reports, as (endpoint, time).
         self.reads = []
         names = {one for text in held for one in text.split("+")}
         super().__init__({name: mb for name, mb in SIZES.items() if name in names})
@@ -186,15 +186,15 @@
         self.pass_time(6.0)
 
     def relist(self):
-        """Have the list tell each runner's entry again."""
+        """Submit the endpoint list's entry of each runner again."""
         for name in self.runners:
             self.submit(self.entry(name))
 
     def entry(self, name):
-        """Give what a runner's entry in the list tells now."""
+        """Make the report that the endpoint list's entry of a runner gives now."""
         runner = self.runners[name]
-        told = {"on_disk": runner["disk"], "born": runner.get("born", 0)}
-        return self.report(name, runner["models"], token=(0, -1), **told)
+        fields = {"on_disk": runner["disk"], "born": runner.get("born", 0)}
+        return self.report(name, runner["models"], token=(0, -1), **fields)
 
     def perform(self, effect):
         if isinstance(effect, WriteLease) and self.renewed is not None:
@@ -215,8 +215,8 @@
             token = (0, runner["taken"])
             models, adapters = runner["models"], runner["adapters"]
             disk = runner["disk"]
-            told = {"own": True, "on_disk": disk, "born": runner.get("born", 0)}
-            report = self.report(effect.endpoint, models, adapters, token, **told)
+            fields = {"own": True, "on_disk": disk, "born": runner.get("born", 0)}
+            report = self.report(effect.endpoint, models, adapters, token, **fields)
             self.submit(report)
 
     def carry_out(self, order):
@@ -235,22 +235,24 @@
         if self.answer in ("fenced", "other count"):
             reason = "fenced" if self.answer == "fenced" else "409"
             answer = OrderAnswered(self.now, order.endpoint, order.token, False, reason)
-            # What comes next is not judged here.
+            # Further orders get no answer.
             self.answer = "none"
             self.submit(answer)
             return
-        assert order.token[1] == runner["taken"], "an order upon a wrong count"
+        assert order.token[1] == runner["taken"], (
+            "the order token does not match the runner's count"
+        )
         runner["taken"] += 1
-        what = runner["adapters"] if order.model_version else runner["models"]
+        held = runner["adapters"] if order.model_version else runner["models"]
         name = order.model_version or order.model
         if order.action == "load":
-            what.append(name)
+            held.append(name)
         else:
-            what.remove(name)
+            held.remove(name)
             if not order.model_version:
                 kept = [one for one in runner["adapters"] if not one.startswith(name)]
                 runner["adapters"] = kept
-        # An adapter is there, or gone, at once; a model's order is under way.
+        # Adapters are attached or detached at once; orders for models are answered as accepted.
         reason = "done" if order.model_version else "202"
         self.submit(OrderAnswered(self.now, order.endpoint, order.token, True, reason))
 
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -13,7 +13,7 @@
 
 
 class Registry:
-    """A lease object and two nodes that see it, under one clock."""
+    """A lease object in the store, and two nodes that read and write it, on one clock."""
 
     def __init__(self):
         self.now = 0.0
@@ -63,7 +63,7 @@
 
 
 def wake_one(registry):
-    # Waking, it believes that no time has passed and tries to act at once.
+    # A paused node does not know how long it was paused, and would act at once.
     assert not registry.leases["one"].holding(registry.now)
     registry.paused.clear()
     registry.run(3.0)
@@ -105,13 +105,13 @@
 }
 
 
-@when("the lease meets: {events}")
+@when("the lease goes through: {events}")
 def lease_meets(context, events):
     for name in events.split(", "):
         lease_event(context.registry, name)
 
 
-@when("the ledger meets: {events}")
+@when("the ledger goes through: {events}")
 def ledger_meets(context, events):
     for name in events.split(", "):
         ledger_event(context, name)
@@ -186,7 +186,7 @@
             shown = ledger_report(context, loading=(KEY,), held_gb=30.0, order_token=token)
             ledger.take_report(shown, {KEY: 30.0})
         case "a report shows it undeclared":
-            # A newer version is declared by now, so its size is known from the order alone.
+            # A newer version is declared by now, so the size is known only from the order.
             ledger.take_report(ledger_report(context, loading=(KEY,), held_gb=30.0), {})
         case "a report has a later token without it":
             ledger.take_report(ledger_report(context, order_token=(1, 2)), {})
@@ -200,7 +200,7 @@
             raise AssertionError(f"no such event: {name}")
 
 
-@then("{free:d} GB may be promised")
+@then("{free:d} GB may be reserved")
 def free_is(context, free):
     assert abs(context.ledger.free() - free) < 1e-6, context.ledger.free()
 
@@ -210,6 +210,6 @@
     assert context.ledger.ready() == (state == "ready")
 
 
-@then("its record names {count:d} orders")
+@then("its record lists {count:d} orders")
 def record_names(context, count):
     assert len(context.ledger.intent_rows()) == count, context.ledger.intent_rows()
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -35,7 +35,7 @@
 
 
 class Harness:
-    """One reducer, with the last attempt at hand."""
+    """A node's reducer, with the attempts that it sent and the outcomes that it answered."""
 
     def __init__(self, role):
         self.now = 1.0
@@ -80,7 +80,7 @@
     left = ()
 
     def before(self, request_id):
-        # The run's own caller is answered before those that waited for it.
+        # The caller of the request that ran is answered before those that waited for its key.
         return len([one for one in self.answers if one not in ("replay",)])
 
     def fail(self, sent=True, not_run=False, leaving=False):
@@ -126,13 +126,13 @@
     node.submit(CallerLeft(node.now, node.sent[-1].request_id))
 
 
-def run_out(node):
+def pass_deadline(node):
     last = node.sent[-1]
     request = node.state.requests[last.request_id]
     node.now = request.arrived.deadline_at + 1.0
 
 
-def follow(node):
+def send_others(node):
     for sequence in range(2, 302):
         send_key(node, "other", sequence)
         node.submit(AttemptSucceeded(node.now, node.sent[-1].request_id, 1, 200, b"o"))
@@ -179,7 +179,7 @@
         break_after(node)
     waits = [one.not_before for one in node.sent]
     assert waits == sorted(waits)
-    assert node.sent[-1].not_before > node.now, "the last tries must wait"
+    assert node.sent[-1].not_before > node.now, "the last attempts must wait for a back-off"
 
 
 EVENTS = {
@@ -193,8 +193,8 @@
     "the endpoint is leaving": partial(retry_and_succeed, not_run=True, leaving=True),
     "its caller leaves": leave,
     "its session is forgotten": forget_session,
-    "300 others follow": follow,
-    "no time is left": run_out,
+    "300 others follow": send_others,
+    "no time is left": pass_deadline,
     "40 tokens come": pass_tokens,
 }
 
@@ -202,17 +202,17 @@
 @when("the key 1 is sent and {events}")
 def key_sent(context, events):
     send_key(context.node)
-    play(context.node, events)
+    run_events(context.node, events)
 
 
 @when("a request is sent and {events}")
 def request_sent(context, events):
     context.node.ask()
-    play(context.node, events)
+    run_events(context.node, events)
 
 
 @when("it has reached {whom} for {seconds:d} seconds and a request is sent")
-def cut_off(context, whom, seconds):
+def reached_for(context, whom, seconds):
     node = context.node
     node.submit(PlatformAnswered(node.now, whom == "the platform"))
     node.now += seconds
@@ -225,7 +225,7 @@
         node.succeed()
 
 
-def play(node, events):
+def run_events(node, events):
     for name in events.split(", "):
         EVENTS[name](node)
 
@@ -239,8 +239,8 @@
     assert set(delivered) <= {40}, delivered
 
 
-@given("a stream's guard at offset {offset:d}")
-def a_guard(context, offset):
+@given("a stream guard at offset {offset:d}")
+def given_guard(context, offset):
     context.guard = StreamGuard(1, offset)
 
 
@@ -263,7 +263,7 @@
 
 
 @given("a team with 100 requests a second over {nodes:d} nodes")
-def a_team(context, nodes):
+def given_team(context, nodes):
     context.tables = [LimitTable() for _ in range(nodes)]
 
 
@@ -272,22 +272,22 @@
     spec = TeamSpec((), requests_per_s=100.0)
     rates = [float(one) for one in demand.split()]
     admitted = 0
-    owed = [0.0] * len(rates)
+    due = [0.0] * len(rates)
     for step in range(200):
         now = step * 0.1
         for number, table in enumerate(context.tables):
-            owed[number] += rates[number] * 0.1
-            while owed[number] >= 1.0:
-                owed[number] -= 1.0
+            due[number] += rates[number] * 0.1
+            while due[number] >= 1.0:
+                due[number] -= 1.0
                 if table.admit("t", spec, now) == 0.0:
                     table.release("t")
                     admitted += int(now >= 10.0)
             table.tick(0.1)
         if step % 10 == 0:
             for number, table in enumerate(context.tables):
-                for other, heard in enumerate(context.tables):
+                for other, peer in enumerate(context.tables):
                     if other != number:
-                        table.hear(str(other), heard.demand())
+                        table.hear(str(other), peer.demand())
     context.rate = admitted / 10.0
 
 
@@ -297,7 +297,7 @@
 
 
 @given("a retry budget")
-def a_budget(context):
+def given_budget(context):
     context.budget = RetryBudget()
 
 
@@ -308,6 +308,6 @@
         context.budget.spend()
 
 
-@then("at most {most:d} retries were given")
+@then("at most {most:d} retries were allowed")
 def retries_at_most(context, most):
     assert 90 <= context.budget.spent <= most, context.budget.spent
--- a/features/steps/relay_down_steps.py
+++ b/features/steps/relay_down_steps.py
@@ -7,8 +7,8 @@
 from rookspring_core.events import DownHeard
 
 
-@when("another node tells that nothing listens at the first runner")
-def told_down(context):
+@when("another node reports that nothing listens at the first runner")
+def runner_reported_down(context):
     holder = context.holder
     holder.dead.add("e1")
     for runner in holder.runners.values():
@@ -17,23 +17,23 @@
     holder.submit(DownHeard(holder.now, "e1"))
     holder.ask(model="n", objective_s=6.0)
     holder.demand("n", 1000.0)
-    # The load stays under way.
+    # The load is never answered.
     holder.answer = "none"
     holder.pass_time(0.6)
 
 
-@then("a request for n is not sent there, and waits for it")
+@then("a request for n is not sent there, and waits for the load")
 def waits_for_n(context):
     assert context.holder.sent == [] and context.holder.refused == []
 
 
-@when("another node tells wrongly that nothing listens at the first runner")
-def told_wrongly(context):
+@when("another node reports wrongly that nothing listens at the first runner")
+def runner_wrongly_reported_down(context):
     context.holder.submit(DownHeard(context.holder.now, "e1"))
 
 
 @then("it may get requests and orders again within {seconds:g} s")
-def back_within(context, seconds):
+def usable_within(context, seconds):
     holder = context.holder
     view = holder.state.endpoints["e1"]
     assert not view.open_for_work(holder.now)
@@ -57,8 +57,8 @@
         node.submit(AttemptFailed(node.now, key, 1, False, False, "refused", down=True))
 
 
-@then("the other nodes are told once, and neither request is sent again")
-def told_once(context):
+@then("the other nodes are informed once, and neither request is sent again")
+def informed_once(context):
     node = context.relay_node
     assert [one.endpoint for one in node.told_down] == ["e1"]
     assert len(node.sent) == 2, node.sent
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -32,12 +32,12 @@
 
 
 @when("a request for {path} comes")
-def request_for(context, path):
+def request_arrives_at_path(context, path):
     context.route = context.routes.match("h", path)
 
 
 @then("its route is {expected}")
-def route_is(context, expected):
+def check_route(context, expected):
     assert (context.route.prefix if context.route else "none") == expected
 
 
@@ -51,11 +51,11 @@
     context.picked = [pick_service(context.route, f"q{one}") for one in range(number)]
 
 
-@then("about {number:d} go to the lighter side, each again to the same one")
-def about(context, number):
+@then("about {number:d} go to the service of less weight, each one always to the same service")
+def check_split(context, number):
     assert 0.8 * number < context.picked.count("two") < 1.2 * number
-    again = [pick_service(context.route, f"q{one}") for one in range(len(context.picked))]
-    assert again == context.picked
+    repeated = [pick_service(context.route, f"q{one}") for one in range(len(context.picked))]
+    assert repeated == context.picked
 
 
 @given("a relaying node with three endpoints and {attempts:d} attempts for a {kind} route")
@@ -68,14 +68,14 @@
     context.ask = (kind, attempts)
 
 
-@when("a relayed request meets: {events}")
-def meets(context, events):
+@when("the attempts of a routed request end: {events}")
+def attempts_end(context, events):
     context.relay_node.ask(*context.ask)
     for event in events.split(", "):
         context.relay_node.meet(event)
 
 
-@then("it was sent {times:d} times and ended {outcome}")
+@then("it was sent {times:d} times and its outcome is {outcome}")
 def sent_and_ended(context, times, outcome):
     node = context.relay_node
     assert len(node.sent) == times, node.sent
@@ -83,12 +83,12 @@
     assert not node.state.requests
 
 
-@given("a window with share {share:f} and slack {slack:d} for {nodes:d} nodes")
-def a_window(context, share, slack, nodes):
+@given("a retry window with share {share:f} and slack {slack:d} for {nodes:d} nodes")
+def given_window(context, share, slack, nodes):
     context.window = RetryWindow(WindowTerms(share, slack, 10.0, nodes))
 
 
-@given("a relaying node that has seen {seen:d} others, of which {left:d} are left")
+@given("a relaying node that has seen {seen:d} others, of which {left:d} remain")
 def seen_others(context, seen, left):
     node = RelayHarness()
     node.state.window_terms = WindowTerms(0.2, 160.0, 10.0, 16)
@@ -99,8 +99,8 @@
     context.window = routed.window(node.state, "svc")
 
 
-@when("{firsts:d} requests are sent and all want to be resent")
-def all_want(context, firsts):
+@when("{firsts:d} requests are sent and all are to be resent")
+def resend_all(context, firsts):
     for _ in range(firsts):
         context.window.earn(1.0)
     context.resends = sum(context.window.spend(1.5) for _ in range(firsts + 50))
@@ -111,7 +111,7 @@
     assert context.resends == resends, context.resends
 
 
-@when("{firsts:d} requests are sent, {seconds:d} seconds pass and a resend is asked for")
+@when("{firsts:d} requests are sent, {seconds:d} seconds pass and a resend is requested")
 def resend_later(context, firsts, seconds):
     for _ in range(firsts):
         context.window.earn(1.0)
@@ -134,8 +134,8 @@
     context.adapter = "m/a1" if state == "without the adapter" else ""
 
 
-@when("a relayed request waits for its patience")
-def waits(context):
+@when("a routed request waits for longer than its limit")
+def wait_past_limit(context):
     node = context.relay_node
     node.ask(model="m", adapter=context.adapter, key="r1")
     assert not node.refused
@@ -143,7 +143,7 @@
     node.submit(Ticked(node.now))
 
 
-@then("it is refused as {reason} with a time to come back")
+@then("it is refused as {reason} with a retry-after time")
 def refused_as(context, reason):
     (refusal,) = context.relay_node.refused
     assert refusal.request_id == "r1"
@@ -157,8 +157,8 @@
     node.submit(RouteTableSeen(node.now, make_table(version)))
 
 
-@when("route table {version:d} comes")
-def table_comes(context, version):
+@when("route table {version:d} arrives")
+def table_arrives(context, version):
     node = context.relay_node
     node.submit(RouteTableSeen(node.now, make_table(version)))
 
@@ -168,11 +168,13 @@
     assert context.relay_node.state.revision == version
 
 
-@when("it was told to stop {ago:g} s ago and serves for {serve:g} s more, and a request comes")
-def told_to_stop(context, ago, serve):
+@when(
+    "it began to drain {ago:g} s ago, serves for {serve:g} s while it drains, and a request arrives"
+)
+def arrives_while_draining(context, ago, serve):
     node = context.relay_node
     node.state.drain_serve_s = serve
-    # One request holds the node up, so that it does not end for having nothing to do.
+    # A running request keeps the node from stopping, as it would if it were idle.
     node.ask(key="r0")
     node.submit(DrainAsked(node.now))
     node.now += ago
@@ -202,7 +204,7 @@
     node = context.relay_node
     key = "r0" if state == "runs" else "r1"
     if state == "waits between tries":
-        # It has r0's place and fails there, and the runner is left alone for a moment.
+        # r1 takes the slot of r0 and fails, while the runner is ejected for a moment.
         node.submit(AttemptSucceeded(node.now, "r0", 1))
         node.ask(model="m", key="r1")
         node.submit(AttemptStarted(node.now, "r1", 1))
@@ -218,7 +220,7 @@
     node.submit(Ticked(node.now))
 
 
-@then("nothing more is sent, and what ran for it is stopped: {stopped}")
+@then("nothing more is sent, and its attempt is cancelled: {stopped}")
 def nothing_sent(context, stopped):
     node = context.relay_node
     assert len(node.sent) == context.sent_before, node.sent
@@ -227,8 +229,8 @@
     assert not {"r1"} & set(node.state.requests)
 
 
-@when("a request is refused and comes back after 1 s, and there is {room} for {seconds:g} s")
-def refused_and_back(context, room, seconds):
+@when("a request is refused and retried after 1 s, and there is {room} for {seconds:g} s")
+def refused_and_retried(context, room, seconds):
     node = context.relay_node
     node.ask(model="m", key="r1")
     wait_for(node, 0.2)
@@ -243,13 +245,13 @@
 def wait_for(node, seconds):
     for _ in range(round(seconds / 0.05)):
         node.now += 0.05
-        # The runner goes on with its answer, so that it is not taken for silent.
+        # The runner continues r0's answer, so that it does not count as silent.
         node.submit(AttemptProgressed(node.now, "r0", 1, 1))
         node.submit(Ticked(node.now))
 
 
-@then("the one that came back is {end}")
-def came_back_is(context, end):
+@then("the retried request is {end}")
+def check_retried(context, end):
     node = context.relay_node
     refused = {one.request_id for one in node.refused}
     sent = [one.request_id for one in node.sent]
@@ -258,7 +260,7 @@
 
 
 @when("the first runner has a request for {seconds:g} s and {news}")
-def owes(context, seconds, news):
+def request_in_flight(context, seconds, news):
     holder = context.holder
     for number in range(2):
         holder.ask(model="m", key=f"r{number}")
@@ -275,10 +277,10 @@
     context.open = holder.state.endpoints["e1"].open_for_work(holder.now)
 
 
-@when("a request with an objective of {objective:g} s comes for n, which is {where}")
-def comes_for_absent(context, objective, where):
+@when("a request with an objective of {objective:g} s arrives for n, which is {where}")
+def arrives_for_absent(context, objective, where):
     holder = context.holder
-    # Orders are not carried out, so that the model never comes.
+    # Orders are not carried out, so the model is never loaded.
     holder.answer = "none"
     if where == "on a runner's disk":
         for runner in holder.runners.values():
@@ -288,26 +290,26 @@
     holder.ask(model="n", objective_s=objective)
 
 
-@given("another node has n loaded, to be there in {in_s:g} s")
+@given("another node has ordered a load of n, which is due in {in_s:g} s")
 def loaded_elsewhere(context, in_s):
     holder = context.holder
-    # This node gives no orders itself.
+    # Orders of this node are not carried out.
     holder.answer = "none"
     holder.submit(RouteTableSeen(holder.now, make_table(2)))
     holder.submit(ComingHeard(holder.now, "e1", "n", in_s))
 
 
-@when("a request with an objective of {objective:g} s comes for n")
-def comes_for_n(context, objective):
+@when("a request with an objective of {objective:g} s arrives for n")
+def arrives_for_n(context, objective):
     context.holder.ask(model="n", objective_s=objective, key="late")
 
 
-@when("a request with 30 s left comes for n")
-def comes_patient(context):
+@when("a request with a deadline of 30 s arrives for n")
+def arrives_with_long_deadline(context):
     context.holder.ask(model="n", key="late", deadline_s=30.0)
 
 
-@when("n is asked for by a caller who will be back {back:g} s after it has come, and is loaded")
+@when("n is loaded for a caller that retries {back:g} s after the end of the load")
 def loaded_for_caller(context, back):
     holder = context.holder
     holder.submit(RouteTableSeen(holder.now, make_table(2)))
@@ -317,7 +319,7 @@
         holder.submit(ModelWanted(holder.now, "llm", "n", "", max(0.0, back)))
         if any(one.order and one.order.taken for one in holder.state.residency.rooms.values()):
             break
-    # From here on nobody asks again; the load takes 8 s.
+    # No caller asks for n from here on; the load takes 8 s.
     rooms = holder.state.residency.rooms
     for _ in range(150):
         wants = holder.state.residency.wanted
@@ -328,19 +330,19 @@
         holder.pass_time(0.1)
         if any(room.kept for room in rooms.values()):
             break
-    context.came_at = holder.now
+    context.loaded_at = holder.now
 
 
-@then("it is kept for its callers after {kept:g} s, and not after {free:g} s")
+@then("it is still kept after {kept:g} s, and no longer after {free:g} s")
 def kept_until(context, kept, free):
     rooms = [one for one in context.holder.state.residency.rooms.values() if one.kept]
     assert len(rooms) == 1, "n was not loaded"
-    assert rooms[0].kept_models(context.came_at + kept) == {"n"}
-    assert not rooms[0].kept_models(context.came_at + free)
+    assert rooms[0].kept_models(context.loaded_at + kept) == {"n"}
+    assert not rooms[0].kept_models(context.loaded_at + free)
 
 
-@then("it is told to come back after {least} to {most} s")
-def told_to_come_back(context, least, most):
+@then("its retry-after time is {least} to {most} s")
+def check_retry_after(context, least, most):
     if least == "-":
         return
     (refusal,) = context.holder.refused
@@ -371,7 +373,7 @@
     node.submit(Ticked(node.now))
 
 
-@when("the endpoint's {source} comes, which tells no load")
+@when("the endpoint's {source} arrives without load figures")
 def report_without_load(context, source):
     node = context.relay_node
     node.now += 0.05
@@ -385,6 +387,6 @@
     context.relay_node.ask(model="m", objective_s=2.0)
 
 
-@then("what comes of it there: {end}")
+@then("its state is {end}")
 def sent_or_waiting(context, end):
     assert len(context.relay_node.sent) == (end == "sent"), context.relay_node.sent
--- a/packages/rookspring-core/src/rookspring_core/admission.py
+++ b/packages/rookspring-core/src/rookspring_core/admission.py
@@ -1,8 +1,8 @@
-"""Queue at the entry node, ordered by deadline within weighted priority.
+"""Queue at the entry node, ordered by deadline with a head start for each priority.
 
-A weight moves a request ahead in the deadline order by a fixed number of
-seconds. Since that head start is finite, a request of the lowest weight is
-reached in the end; one that can no longer meet its deadline is refused at once.
+A priority subtracts a fixed number of seconds from the deadline when requests are
+sorted. The head start is finite, so requests of the lowest priority are not starved;
+a request that can no longer meet its deadline is refused at once.
 """
 
 import heapq
@@ -12,7 +12,7 @@
 
 
 class Queued(t.NamedTuple):
-    """One waiting request; the tuple's order is the order of service."""
+    """One waiting request; the tuples sort in the order in which requests are sent."""
 
     order: float
     arrived_at: float
@@ -23,77 +23,85 @@
 
 
 def order_of(deadline_at: float, priority: str) -> float:
-    """Give a request's place in the queue: its deadline less its head start."""
+    """Return a request's sort key in the queue: its deadline less its priority's head start."""
     return deadline_at - defaults.PRIORITY_HEADSTART_S[priority]
 
 
 class Pace:
-    """Tokens a second that this node sends to endpoints which several targets share."""
+    """Measures the tokens a second that this node sends to endpoints shared by several targets."""
 
     def __init__(self) -> None:
         self.rate = 0.0
         self._served = 0.0
 
     def served(self, tokens: int) -> None:
-        """Count work that was sent on."""
+        """Count the tokens of a request that was sent to an endpoint."""
         self._served += tokens
 
     def measure(self, passed: float) -> None:
-        """Learn the pace over about two seconds."""
+        """Update the rate: an exponential moving average over about two seconds.
+
+        :param elapsed_s: since the last call, in seconds.
+        """
         rate = self._served / max(passed, 1e-6)
         self._served = 0.0
         self.rate += (rate - self.rate) * min(1.0, passed / 2.0)
 
     def wait(self, ahead: float) -> float:
-        """Predict the wait behind so many tokens, in seconds."""
+        """Predict the wait behind so many queued tokens, in seconds; 0 while no rate is known."""
         return ahead / self.rate if self.rate > 0.0 else 0.0
 
 
 class AdmissionQueue:
     """Waiting requests of one target.
 
-    :param pool: the pace of the endpoints that it shares.
+    :param pool: the throughput of the endpoints that it shares with other queues.
     """
 
     def __init__(self, pool: Pace) -> None:
         self.pool = pool
         self._heap: list[Queued] = []
-        self._live: dict[str, Queued] = {}
+        self._queued: dict[str, Queued] = {}
 
     def __len__(self) -> int:
-        return len(self._live)
+        return len(self._queued)
 
     def push(self, queued: Queued) -> None:
         """Add a request."""
-        self._live[queued.request_id] = queued
+        self._queued[queued.request_id] = queued
         heapq.heappush(self._heap, queued)
 
     def peek(self) -> Queued | None:
-        """Give the request that is next, and leave it in place."""
-        # A request may have been taken out, or put in again at another place.
-        while self._heap and self._live.get(self._heap[0].request_id) is not self._heap[0]:
+        """Return the next request without removing it."""
+        # Removed or re-queued requests leave stale heap entries behind.
+        while self._heap and self._queued.get(self._heap[0].request_id) is not self._heap[0]:
             heapq.heappop(self._heap)
         return self._heap[0] if self._heap else None
 
     def remove(self, request_id: str) -> bool:
-        """Take a request out, wherever it stands."""
-        return self._live.pop(request_id, None) is not None
+        """Remove a request from any position.
+
+        :return: whether it was queued.
+        """
+        return self._queued.pop(request_id, None) is not None
 
     def ahead(self, order: float) -> int:
-        """Count the tokens that wait before a request with this order."""
-        return sum(one.tokens for one in self._live.values() if one.order <= order)
+        """Sum the tokens of the requests whose sort key is not above the given one."""
+        return sum(item.tokens for item in self._queued.values() if item.order <= order)
 
     def waiting(self) -> list[Queued]:
-        """List all requests that wait."""
-        return list(self._live.values())
+        """List all queued requests, unsorted."""
+        return list(self._queued.values())
 
     def hopeless(self, now: float, token_s: float) -> list[Queued]:
-        """List requests that cannot meet their deadline even if served now.
+        """List requests that cannot meet their deadline even if they were sent now.
 
-        :param token_s: seconds that a token takes at best.
+        :param token_s: least seconds that one token takes.
         """
-        return [one for one in self._live.values() if now + one.tokens * token_s > one.deadline_at]
+        return [
+            item for item in self._queued.values() if now + item.tokens * token_s > item.deadline_at
+        ]
 
     def worst(self) -> Queued | None:
-        """Give the request that stands last, the one to give way when the queue is full."""
-        return max(self._live.values(), default=None)
+        """Return the request with the highest sort key, which is dropped when the queue is full."""
+        return max(self._queued.values(), default=None)
--- a/packages/rookspring-core/src/rookspring_core/admitting.py
+++ b/packages/rookspring-core/src/rookspring_core/admitting.py
@@ -1,4 +1,4 @@
-"""How requests are let in: what is judged of each when it comes, before it waits its turn."""
+"""Admission of new requests: checks, allotment, and the queue that each one enters."""
 
 from . import admission
 from . import allotting
@@ -23,26 +23,26 @@
 
 @handles(RequestArrived)
 def admit_request(state: NodeState, event: RequestArrived) -> Effects:
-    """Judge a new request: start it, queue it, replay its answer or refuse it."""
+    """Admit a new request: send it, queue it, replay its answer or refuse it."""
     fault = routed.check(state, event) if event.route else arrivals.check_target(state, event)
     fault = fault or suspecting.check(state, event)
     if fault is not None:
         return [fault]
     if event.once_key is not None:
-        early = arrivals.judge_once(state, event)
-        if early is not None:
-            return early
+        known = arrivals.judge_once(state, event)
+        if known is not None:
+            return known
     charge = allotting.charge_of(state, event)
     if charge is None:
-        return _let_in(state, event)
+        return _admit(state, event)
     if allotting.needs_owner(state, charge):
         return allotting.park(state, event, charge)
     allotting.spend(state, charge)
-    return _let_in(state, event, charge)
+    return _admit(state, event, charge)
 
 
-def _let_in(state: NodeState, event: RequestArrived, charge: Charge | None = None) -> Effects:
-    """Let a request wait for its endpoint, and count what it asks for."""
+def _admit(state: NodeState, event: RequestArrived, charge: Charge | None = None) -> Effects:
+    """Queue a request, and count its work as demand for its model and adapter."""
     if not event.service:
         work = event.tokens * state.paces.relative(event.target)
         state.paces.note_work(work)
@@ -56,15 +56,15 @@
 
 @handles(AllotmentAnswered)
 def take_answer(state: NodeState, event: AllotmentAnswered) -> Effects:
-    """Go on with a request whose organisation's owner has decided."""
+    """Admit or refuse a parked request, as its organisation's owner has decided."""
     parked = state.parked.pop(event.request_id, None)
     if parked is None:
-        # Its caller has left, or it waited for too long: what was granted did not run.
+        # The caller left or the wait timed out, so units that were granted are returned.
         return [ReturnAllotment(event.organisation, event.units)] if event.after_s <= 0 else []
     if event.after_s > 0.0:
         return [allotting.refuse(state, parked, event.after_s)]
     allotting.spend(state, parked.charge)
-    return _let_in(state, parked.arrived, parked.charge)
+    return _admit(state, parked.arrived, parked.charge)
 
 
 def _enqueue(state: NodeState, event: RequestArrived, charge: Charge | None) -> Effects:
@@ -76,22 +76,24 @@
     queue = state.queues.setdefault(queue_key(event), admission.AdmissionQueue(pool))
     if event.route is not None:
         return requests.wait_routed(state, request, queue)
-    order = admission.order_of(event.deadline_at, event.priority)
+    sort_key = admission.order_of(event.deadline_at, event.priority)
     rank = defaults.PRIORITY_RANK[event.priority]
     queued = admission.Queued(
-        order, event.at, event.request_id, event.tokens, rank, event.deadline_at
+        sort_key, event.at, event.request_id, event.tokens, rank, event.deadline_at
     )
-    best = event.at + requests.service_time(state, event.target, event.service, event.tokens)
-    ahead = sum(one.ahead(order) for one in state.queues.values() if one.pool is pool)
-    expected = best + pool.wait(ahead)
-    if state.admission_on and expected > event.deadline_at:
-        after_s = max(0.5, expected - event.deadline_at)
+    earliest_at = event.at + requests.service_time(state, event.target, event.service, event.tokens)
+    tokens_ahead = sum(
+        other.ahead(sort_key) for other in state.queues.values() if other.pool is pool
+    )
+    expected_at = earliest_at + pool.wait(tokens_ahead)
+    if state.admission_on and expected_at > event.deadline_at:
+        after_s = max(0.5, expected_at - event.deadline_at)
         return requests.give_up(state, request, 503, "late", "cannot be served in time", after_s)
     queue.push(queued)
     if len(queue) <= defaults.QUEUE_MAX:
         return []
-    worst = queue.worst()
-    assert worst is not None
-    queue.remove(worst.request_id)
-    last = state.requests[worst.request_id]
-    return requests.give_up(state, last, 503, "queue_full", "too many requests wait", 1.0)
+    last = queue.worst()
+    assert last is not None
+    queue.remove(last.request_id)
+    dropped = state.requests[last.request_id]
+    return requests.give_up(state, dropped, 503, "queue_full", "too many requests wait", 1.0)
--- a/packages/rookspring-core/src/rookspring_core/arrivals.py
+++ b/packages/rookspring-core/src/rookspring_core/arrivals.py
@@ -1,4 +1,4 @@
-"""What is judged of a request when it arrives, before it waits for an endpoint."""
+"""Checks of a request on arrival, before it is queued: target, idempotency key, team limits."""
 
 from . import defaults
 from .effects import Effect
@@ -14,13 +14,13 @@
 
 @handles(SessionOpened)
 def open_session(state: NodeState, event: SessionOpened) -> Effects:
-    """Begin a session that this incarnation issues."""
+    """Register a session that this incarnation has issued."""
     state.once.open(event.session, event.team, event.at)
     return []
 
 
 def check_target(state: NodeState, event: RequestArrived) -> Refuse | None:
-    """Refuse what this node cannot begin; None where it may go on."""
+    """Refuse a request that this node cannot serve; None where it may be admitted."""
     if state.stopped:
         return _refusal(event, 503, "stopping", "this node has stopped; ask for addresses")
     if _isolated(state):
@@ -47,20 +47,20 @@
 
 
 def judge_once(state: NodeState, event: RequestArrived) -> Effects | None:
-    """Say what becomes of a keyed request; None where it is to be started."""
+    """Decide on a request with an idempotency key; None where it is to be started."""
     assert event.once_key is not None
-    verdict = state.once.begin(
+    decision = state.once.begin(
         event.once_key, event.body_digest, event.team, event.request_id, event.at
     )
-    if verdict.action == "start":
+    if decision.action == "start":
         return None
-    if verdict.action == "wait":
-        # The key's first run goes on; its end answers this request too.
+    if decision.action == "wait":
+        # The first request with this key is still running; its answer is sent to this one too.
         return []
-    if verdict.action == "replay":
-        assert verdict.entry is not None
-        return [Replay(event.request_id, verdict.entry.status, verdict.entry.answer)]
-    if verdict.action == "mismatch":
+    if decision.action == "replay":
+        assert decision.entry is not None
+        return [Replay(event.request_id, decision.entry.status, decision.entry.answer)]
+    if decision.action == "mismatch":
         text = "Idempotency-Key: was used before with another body"
         return [_refusal(event, 422, "key_reused", text)]
     text = "the outcome of this key is no longer known; it was not started again"
@@ -68,7 +68,7 @@
 
 
 def check_limits(state: NodeState, event: RequestArrived) -> Effects:
-    """Refuse what is over its team's limits; nothing where it is within them."""
+    """Refuse a request that is over its team's limits; no effects where it is within them."""
     team = state.catalogue.teams.get(event.team)
     if team is None:
         return []
@@ -80,7 +80,7 @@
 
 
 def _refuse_keyed(state: NodeState, event: RequestArrived, refusal: Refuse) -> Effects:
-    """Refuse a request that did not run, and with it all who wait for its key."""
+    """Refuse a request that did not run, and all requests that wait for the same key."""
     effects: Effects = [refusal]
     if event.once_key is not None:
         for waiter in state.once.release(event.once_key):
--- a/packages/rookspring-core/src/rookspring_core/comebacks.py
+++ b/packages/rookspring-core/src/rookspring_core/comebacks.py
@@ -1,6 +1,6 @@
-"""When callers who are refused may come back, for requests that a route passes through.
+"""The retry-after times of refused routed requests.
 
-They are told a moment at which they are likely to be served: most come back once.
+Most callers retry just once, so each gets a time at which it is likely to be served.
 """
 
 import typing as t
@@ -14,7 +14,10 @@
 
 
 def come_back(state: NodeState, request: RequestState) -> float:
-    """Tell when to come back, in seconds: later where the model is yet to be loaded."""
+    """Predict in how many seconds a refused request is likely to be served.
+
+    Later where its model is still to be loaded; 0 where a byte may have reached an endpoint.
+    """
     if request.sent:
         return 0.0
     rest_s = rest_back_s(state, request)
@@ -22,45 +25,47 @@
         return rest_s
     arrived = request.arrived
     if request.turns_due and routed.turnless(state, request):
-        # Owners tell each caller another moment, so they need no spread.
+        # An owner gives each request a different time, so no jitter is needed.
         due_s = max(defaults.TURN_AGAIN_S, min(request.turns_due.values()) - state.now)
         return min(due_s, (arrived.deadline_at - state.now) * defaults.COME_BACK_SHARE)
     adapter = arrived.adapter
     hosts = list(state.hosts.get(arrived.target, {}).values())
-    if adapter and hosts and not any(one.has_adapter(adapter) for one in hosts):
+    if adapter and hosts and not any(view.has_adapter(adapter) for view in hosts):
         likely_s = state.adapter_waits.likely_s(arrived.target)
-        after_s = max(defaults.COME_BACK_S, likely_s + _shut_s(state, hosts))
+        after_s = max(defaults.COME_BACK_S, likely_s + _orders_blocked_s(state, hosts))
         return min(after_s, (arrived.deadline_at - state.now) * defaults.COME_BACK_SHARE)
-    # Spread by request, so that those who are refused together do not return together.
-    spread = mix("come back", arrived.request_id) % 1000 / 1000.0
-    least, most = defaults.COME_BACK_ROOM_S
+    # Jitter by request, so that callers refused together do not retry together.
+    jitter = mix("come back", arrived.request_id) % 1000 / 1000.0
+    least_s, most_s = defaults.COME_BACK_ROOM_S
     if arrived.route is not None and not arrived.service and not routed.stands(state, arrived):
         ready_s = routed.ready_in_s(state, arrived.route.service, arrived.target)
-        least = min(ready_s, defaults.COME_BACK_ABSENT_MAX_S)
-        most = least + defaults.COME_BACK_SPREAD_S
-    after_s = least + (most - least) * spread
+        least_s = min(ready_s, defaults.COME_BACK_ABSENT_MAX_S)
+        most_s = least_s + defaults.COME_BACK_SPREAD_S
+    after_s = least_s + (most_s - least_s) * jitter
     return min(after_s, (arrived.deadline_at - state.now) * defaults.COME_BACK_SHARE)
 
 
 def rest_back_s(state: NodeState, request: RequestState) -> float:
-    """Tell when to come back where all that hold the model rest, in seconds; else 0.
+    """Return the retry-after time while all endpoints that hold the model cool down, in seconds.
 
-    Spread by request over a second, so that the first one back is not met by all at once.
+    0 where one of them does not, or where a byte may have reached an endpoint. Jitter by request
+    over ``COME_BACK_SPREAD_S`` keeps callers from reaching the first endpoint that is available
+    again all at once.
     """
     left_s = routed.rest_left_s(state, request.arrived)
     if left_s <= 0.0 or request.sent:
         return 0.0
-    spread = mix("come back", request.arrived.request_id) % 1000 / 1000.0
-    after_s = left_s + spread * defaults.COME_BACK_SPREAD_S
+    jitter = mix("come back", request.arrived.request_id) % 1000 / 1000.0
+    after_s = left_s + jitter * defaults.COME_BACK_SPREAD_S
     most_s = (request.arrived.deadline_at - state.now) * defaults.COME_BACK_SHARE
-    # Callers heed no more than that; they are to stay apart then as well.
-    return min(after_s, most_s * (1.0 - spread * defaults.COME_BACK_APART))
+    # Callers ignore longer times than this; the jitter is kept below that bound.
+    return min(after_s, most_s * (1.0 - jitter * defaults.COME_BACK_APART))
 
 
-def _shut_s(state: NodeState, hosts: t.Iterable[EndpointView]) -> float:
-    """Predict how long no endpoint of a model can attach an adapter, in seconds.
+def _orders_blocked_s(state: NodeState, hosts: t.Iterable[EndpointView]) -> float:
+    """Predict for how long no endpoint of a model can attach an adapter, in seconds.
 
-    An endpoint carries out one order at a time, and nodes are told of loads under way.
+    An endpoint carries out one order at a time, and nodes announce the loads in progress.
     """
     left_s = min((view.coming[1] - state.now for view in hosts), default=0.0)
     return min(max(0.0, left_s), defaults.ADAPTER_WAIT_MOST_S)
--- a/packages/rookspring-core/src/rookspring_core/once.py
+++ b/packages/rookspring-core/src/rookspring_core/once.py
@@ -1,9 +1,9 @@
-"""At most one run of each unrepeatable request.
+"""At-most-once execution of unrepeatable requests.
 
-A request is keyed by session and sequence. Only the node incarnation that
-issued the session may start it, from this table in its memory. What falls out
-of the table is remembered as a low-water mark: such a key answers ``unknown``
-and never runs again. See ``docs/design/at-most-once.md``.
+A request's idempotency key is its session and sequence number. Only the node incarnation
+that issued the session may start the request, using this in-memory table. Evicted keys are
+covered by a low-water mark: a request with such a key gets the outcome ``unknown`` and
+never runs again. See ``docs/design/at-most-once.md``.
 """
 
 import typing as t
@@ -12,7 +12,7 @@
 
 
 class OnceEntry:
-    """One key: whether it runs or has ended, its answer, and who waits for it."""
+    """One key: its outcome (empty while it runs), its answer, and the requests that wait for it."""
 
     __slots__ = ("answer", "body_digest", "owner", "settled", "status", "waiters")
 
@@ -38,20 +38,20 @@
 
 
 class Verdict(t.NamedTuple):
-    """What is to be done with a keyed request."""
+    """How to handle a request with an idempotency key."""
 
     action: t.Literal["start", "wait", "replay", "unknown", "mismatch", "forgotten"]
     entry: OnceEntry | None = None
 
 
 class OnceTable:
-    """Sessions that this incarnation issued, with bounded memory."""
+    """The sessions that this incarnation issued and their keys, bounded in number."""
 
     def __init__(self) -> None:
         self._sessions: dict[str, OnceSession] = {}
 
     def open(self, session: str, team: str, now: float) -> None:
-        """Begin a session that was just issued, and let idle ones go."""
+        """Add a new session; above the limit, remove the oldest one that runs nothing."""
         self._sessions[session] = OnceSession(team, now)
         if len(self._sessions) > defaults.SESSIONS_MAX:
             self._expire(now, force=True)
@@ -59,41 +59,46 @@
     def begin(
         self, key: tuple[str, int], digest: str, team: str, owner: str, now: float
     ) -> Verdict:
-        """Judge a keyed request; on ``start`` the owner is recorded at once."""
+        """Decide on a request with a key; on ``start`` the key is entered as running.
+
+        :param request_id: identifier of the request.
+        """
         session = self._sessions.get(key[0])
         if session is None or session.team != team:
             return Verdict("forgotten")
         session.used_at = now
         entry = session.entries.get(key[1])
         if entry is not None:
-            return self._judge(entry, digest, owner)
+            return self._decide(entry, digest, owner)
         if key[1] <= session.low_water:
             return Verdict("forgotten")
         if len(session.entries) >= defaults.ONCE_PER_SESSION_MAX and not self._evict(session):
             return Verdict("forgotten")
-        # Eviction may have raised the mark to or above this very key.
+        # The eviction may have raised the low-water mark to this key or above it.
         if key[1] <= session.low_water:
             return Verdict("forgotten")
         entry = OnceEntry(digest, owner)
         session.entries[key[1]] = entry
         return Verdict("start", entry)
 
-    def _judge(self, entry: OnceEntry, digest: str, owner: str) -> Verdict:
+    def _decide(self, entry: OnceEntry, digest: str, request_id: str) -> Verdict:
         if entry.body_digest != digest:
             return Verdict("mismatch")
         if entry.settled == "ran":
             return Verdict("replay", entry)
         if entry.settled == "unknown":
             return Verdict("unknown", entry)
-        entry.waiters.append(owner)
+        entry.waiters.append(request_id)
         return Verdict("wait", entry)
 
     def settle(
         self, key: tuple[str, int], settled: t.Literal["ran", "unknown"], status: int, answer: bytes
     ) -> list[str]:
-        """Keep the end of a key and give back who waited for it.
+        """Record the outcome of a key.
+
+        An answer above the size limit is not kept; a retry then gets ``unknown``.
 
-        An answer above the size limit is not kept; a retry then learns ``unknown``.
+        :return: identifiers of the requests that waited for it.
         """
         entry = self._find(key)
         if entry is None:
@@ -109,7 +114,10 @@
         return waiters
 
     def release(self, key: tuple[str, int]) -> list[str]:
-        """Take back a key that truly did not run, so that it may be tried again."""
+        """Remove a key that certainly did not run, so that it may be tried again.
+
+        :return: identifiers of the requests that waited for it.
+        """
         session = self._sessions.get(key[0])
         if session is None:
             return []
@@ -117,7 +125,7 @@
         return entry.waiters if entry else []
 
     def leave(self, key: tuple[str, int], owner: str) -> None:
-        """A waiter's caller has left."""
+        """Remove a waiting request whose caller has left."""
         entry = self._find(key)
         if entry is not None and owner in entry.waiters:
             entry.waiters.remove(owner)
@@ -144,14 +152,14 @@
             force = False
 
     def tick(self, now: float) -> None:
-        """Let sessions go that were idle for too long."""
+        """Remove sessions that were idle for longer than ``SESSION_IDLE_S`` and run nothing."""
         self._expire(now)
 
     def export(self) -> dict[str, t.Any]:
-        """Give all that a later node needs to answer for this incarnation.
+        """Return what another node needs to answer for keys of this incarnation after its end.
 
-        ``low_water`` goes along, so that absence of a key is only read as "not
-        run" where nothing above the mark was ever let go.
+        ``low_water`` is included, so that a missing key is read as "not run" only above
+        that mark, where no key was ever evicted.
         """
         sessions: dict[str, t.Any] = {}
         for name, session in self._sessions.items():
@@ -164,5 +172,5 @@
         return sessions
 
     def sizes(self) -> tuple[int, int]:
-        """Give how many sessions and keys are held."""
-        return len(self._sessions), sum(len(one.entries) for one in self._sessions.values())
+        """Return the number of sessions and of keys in the table."""
+        return len(self._sessions), sum(len(session.entries) for session in self._sessions.values())
--- a/packages/rookspring-core/src/rookspring_core/recovering.py
+++ b/packages/rookspring-core/src/rookspring_core/recovering.py
@@ -1,6 +1,7 @@
-"""What becomes of a request whose attempt failed, or whose entry node was lost.
+"""Recovery of requests whose attempt failed or whose entry node was lost.
 
-It is tried elsewhere where that is safe and worth it; else it ends with a true outcome.
+A request is retried at another endpoint where that is safe and within the retry limits;
+otherwise it ends with the outcome that is known: ``not_run`` or ``unknown``.
 """
 
 from . import admission
@@ -25,7 +26,10 @@
 
 @handles(ResumeAsked)
 def resume_request(state: NodeState, event: ResumeAsked) -> Effects:
-    """Take over a stream whose entry node was lost; it may go on elsewhere if it must."""
+    """Take over a stream whose entry node was lost.
+
+    It is read from its endpoint, or continued at another one if that endpoint is gone.
+    """
     arrived = RequestArrived(
         at=event.at,
         request_id=event.request_id,
@@ -55,41 +59,41 @@
 
 @handles(AttemptFailed)
 def recover_request(state: NodeState, event: AttemptFailed) -> Effects:
-    """Try elsewhere if that is safe and worth it; else end with a true outcome."""
+    """Retry after a failed attempt where that is safe and allowed; else end the request."""
     request = requests.current(state, event.request_id, event.attempt)
     if request is None:
         return []
-    # What an earlier attempt may have run stays so, whatever a later one says.
+    # Once any attempt may have run, a later "not run" from another endpoint does not undo it.
     request.maybe_ran = request.maybe_ran or (event.sent and not event.said_not_run)
     request.sent = request.maybe_ran
     request.not_run_said = event.said_not_run
-    told = routed.end_prompt(state, request)
-    told += slotting.free(state, request, failed=True, unsent=not event.sent)
-    told += suspecting.note_broken(state, request, event)
-    told += _blame(state, request, event)
+    effects = routed.end_prompt(state, request)
+    effects += slotting.free(state, request, failed=True, unsent=not event.sent)
+    effects += suspecting.note_broken(state, request, event)
+    effects += _count_failure(state, request, event)
     request.running = False
     terms = request.arrived.route
     if routed.may_retry(state, request, event) if terms else _may_retry(state, request, event):
-        return told + _requeue(state, request)
+        return effects + _requeue(state, request)
     status = 503 if not request.sent else 502
     if terms is not None and request.sent and request.arrived.deadline_at <= state.now:
         status = 504
     text = f"endpoint failed: {event.reason}"
     after_s = max(defaults.FAILED_BACK_S, comebacks.rest_back_s(state, request) if terms else 0.0)
-    effects = requests.give_up(state, request, status, "endpoint_failed", text, after_s)
-    return told + effects + requests.pump(state)
+    ended = requests.give_up(state, request, status, "endpoint_failed", text, after_s)
+    return effects + ended + requests.pump(state)
 
 
-def _blame(state: NodeState, request: RequestState, event: AttemptFailed) -> Effects:
+def _count_failure(state: NodeState, request: RequestState, event: AttemptFailed) -> Effects:
     endpoint = state.endpoints.get(request.endpoint)
     if endpoint is None:
         return []
     endpoint.end(request.arrived.request_id, state.now)
     if request.dispatched_at < endpoint.began_at:
-        # It ended with the process that it was sent to, which says nothing of this one.
+        # The attempt ended with an earlier process, so it does not count against this one.
         return []
     if event.withheld or (event.said_not_run and endpoint.leaving):
-        # What it says of itself has come ahead of this; see :mod:`noticing`.
+        # The endpoint's own notice was processed before this event; see :mod:`noticing`.
         return []
     if event.said_not_run:
         endpoint.heard_at = state.now
@@ -106,18 +110,18 @@
     if request.arrived.deadline_at <= state.now:
         return False
     if not request.arrived.repeatable and request.sent:
-        # In doubt an unrepeatable request is never sent again.
+        # An unrepeatable request that may have run is never sent again.
         return False
     if request.delivered > 0:
-        # What a caller has the half of is worth more than a retry; only attempts
-        # that bring nothing are bounded.
+        # A stream that has begun is continued outside the retry budget; only consecutive
+        # attempts without a token are limited.
         request.barren += 1
         return request.barren <= defaults.BARREN_ATTEMPTS_MAX
     if request.attempt >= defaults.ATTEMPTS_MAX:
         return False
     endpoint = state.endpoints.get(request.endpoint)
     if event.said_not_run and endpoint is not None and endpoint.leaving:
-        # The refusal of a leaving endpoint costs it nothing, so it is no retry.
+        # Refusing costs a leaving endpoint nothing, so this retry is not charged to the budget.
         return True
     return state.budget.spend()
 
@@ -128,11 +132,13 @@
     queue = state.queues.setdefault(requests.queue_key(arrived), admission.AdmissionQueue(pool))
     if arrived.route is not None:
         return requests.wait_routed(state, request, queue) + requests.pump(state)
-    # What is begun goes before what waits: it has the caller's time in it already.
-    order = arrived.at - defaults.PRIORITY_HEADSTART_S["ledger"]
+    # A request that was sent before goes ahead of new ones: its caller has waited longer.
+    sort_key = arrived.at - defaults.PRIORITY_HEADSTART_S["ledger"]
     rank = defaults.PRIORITY_RANK[arrived.priority]
-    left = max(1, arrived.tokens - request.delivered)
+    tokens = max(1, arrived.tokens - request.delivered)
     queue.push(
-        admission.Queued(order, arrived.at, arrived.request_id, left, rank, arrived.deadline_at)
+        admission.Queued(
+            sort_key, arrived.at, arrived.request_id, tokens, rank, arrived.deadline_at
+        )
     )
     return requests.pump(state)
--- a/packages/rookspring-core/src/rookspring_core/requests.py
+++ b/packages/rookspring-core/src/rookspring_core/requests.py
@@ -1,4 +1,4 @@
-"""The life of a request at its entry node: admission, attempts, its one ending."""
+"""Requests at their entry node, from the queue through their attempts to a single end."""
 
 import heapq
 import typing as t
@@ -33,32 +33,35 @@
 
 
 def queue_key(arrived: RequestArrived) -> str:
-    """Name the queue in which a request waits: one for all that fit the same endpoints."""
+    """Name a request's queue: its target, or if it is routed its service and adapter or model."""
     if arrived.route is None:
         return arrived.target
     return f"{arrived.route.service}/{arrived.adapter or arrived.target}"
 
 
 def service_time(state: NodeState, target: str, service: bool, tokens: int) -> float:
-    """Predict the least seconds in which a target's endpoints could serve a request."""
-    best = 0.0
+    """Predict the least seconds in which an endpoint of a model could serve a request.
+
+    0 for a service, or where no endpoint has reported.
+    """
+    shortest_s = 0.0
     if service:
-        return best
+        return shortest_s
     rates = [
-        min(one.report.stream_rate, one.report.token_rate / one.slots())
-        for one in state.hosts.get(target, {}).values()
-        if one.report is not None
+        min(view.report.stream_rate, view.report.token_rate / view.slots())
+        for view in state.hosts.get(target, {}).values()
+        if view.report is not None
     ]
     if not rates:
-        return best
+        return shortest_s
     return tokens / max(1e-9, *rates)
 
 
 def pump(state: NodeState) -> Effects:
-    """Send on as many waiting requests as endpoints have room for.
+    """Send as many queued requests as endpoints have room for.
 
-    Models share runners, so their queues are served in one common order; the
-    queue whose first request finds no room is left for this time.
+    Models share runners, so the heads of all queues are merged in one order. A queue whose
+    head finds no room is skipped until the next call.
     """
     effects: Effects = []
     if not state.queues:
@@ -97,22 +100,22 @@
 
 
 def send(state: NodeState, request: RequestState, endpoint: EndpointView) -> Effects:
-    """Send a request from its queue."""
+    """Send a request that was removed from its queue."""
     state.pools[pool_of(state, request.arrived)].served(request.arrived.tokens)
-    begun = dispatch(state, request, endpoint)
-    return begun + routed.begin_prompt(state, request, endpoint)
+    sent = dispatch(state, request, endpoint)
+    return sent + routed.begin_prompt(state, request, endpoint)
 
 
 def _push_head(
     heads: list[tuple[float, str]], queue: admission.AdmissionQueue, target: str
 ) -> None:
-    following = queue.peek()
-    if following is not None:
-        heapq.heappush(heads, (following.order, target))
+    head = queue.peek()
+    if head is not None:
+        heapq.heappush(heads, (head.order, target))
 
 
 def find_fault(state: NodeState, request: RequestState) -> suspecting.Barred | None:
-    """Say why a request that was let in may not be sent now; None where it may."""
+    """Return why a request that was admitted may not be sent now; None where it may."""
     arrived = request.arrived
     fault = keys.find_fault(state, arrived)
     if fault is not None:
@@ -128,7 +131,7 @@
 
 
 def pool_of(state: NodeState, arrived: RequestArrived) -> str:
-    """Name the endpoints that a target shares with others: an engine or a service."""
+    """Name the endpoints that a target shares with other targets: an engine or a service."""
     if arrived.service:
         return f"service/{arrived.target}"
     if arrived.route is not None:
@@ -137,28 +140,31 @@
     return f"engine/{spec.engine}" if spec else "engine/"
 
 
-def _choose_among(state: NodeState, arrived: RequestArrived) -> list[EndpointView]:
-    fitting = [
-        one
-        for one in state.hosts.get(arrived.target, {}).values()
-        if one.open_for_work(state.now)
-        and one.serves(arrived.target, arrived.service)
-        and (not state.admission_on or one.load(state.now) < 1.0)
+def _list_candidates(state: NodeState, arrived: RequestArrived) -> list[EndpointView]:
+    candidates = [
+        view
+        for view in state.hosts.get(arrived.target, {}).values()
+        if view.open_for_work(state.now)
+        and view.serves(arrived.target, arrived.service)
+        and (not state.admission_on or view.load(state.now) < 1.0)
     ]
     if arrived.adapter:
-        return [one for one in fitting if one.has_adapter(arrived.adapter)]
-    return fitting
+        return [view for view in candidates if view.has_adapter(arrived.adapter)]
+    return candidates
 
 
 def choose_endpoint(state: NodeState, request: RequestState) -> EndpointView | None:
-    """Choose where a request goes now, or None while there is no room."""
+    """Choose the endpoint to send a request to now; None while none has room.
+
+    Endpoints that an earlier attempt went to are used only if there is no other.
+    """
     arrived = request.arrived
     if arrived.route is not None:
-        fitting = routed.choose_among(state, request)
+        candidates = routed.choose_among(state, request)
     else:
-        fitting = _choose_among(state, arrived)
-    fresh = [one for one in fitting if one.name not in request.tried] or fitting
-    if not fresh:
+        candidates = _list_candidates(state, arrived)
+    usable = [view for view in candidates if view.name not in request.tried] or candidates
+    if not usable:
         return None
     query = routing.RouteQuery(
         now=state.now,
@@ -170,15 +176,19 @@
         data_centre=state.identity.data_centre,
     )
     if suspecting.suspected(state, request):
-        return min(fresh, key=lambda one: (one.load(state.now), one.name))
+        return min(usable, key=lambda view: (view.load(state.now), view.name))
     name = state.routing_override or state.catalogue.policy.routing
     if arrived.route is not None:
         name = state.routing_override or routed.POLICY
-    return routing.find_routing(name)(query, fresh)
+    return routing.find_routing(name)(query, usable)
 
 
 def dispatch(state: NodeState, request: RequestState, endpoint: EndpointView) -> Effects:
-    """Begin a request's next attempt, at an endpoint."""
+    """Begin a request's next attempt, at the given endpoint.
+
+    Retries of requests without a route wait for a back-off, unless the last attempt brought
+    the caller tokens.
+    """
     request.attempt += 1
     request.endpoint = endpoint.name
     request.tried.add(endpoint.name)
@@ -193,19 +203,19 @@
     endpoint.begin(identity, state.now)
     if request.arrived.prefix:
         endpoint.hint((request.arrived.prefix,), state.now)
-    wait = 0.0
+    wait_s = 0.0
     if request.arrived.route is not None:
         routed.count(state, request)
     elif request.attempt > 1 and (request.delivered == 0 or request.barren > 1):
         failed = request.barren or request.attempt - 1
-        wait = retries.back_off(failed, routing.mix(identity))
-    told = suspecting.begin_trial(state, request)
-    begun = Dispatch(identity, request.attempt, endpoint.name, request.delivered, state.now + wait)
-    return [*told, begun]
+        wait_s = retries.back_off(failed, routing.mix(identity))
+    effects = suspecting.begin_trial(state, request)
+    sent = Dispatch(identity, request.attempt, endpoint.name, request.delivered, state.now + wait_s)
+    return [*effects, sent]
 
 
 def current(state: NodeState, request_id: str, attempt: int) -> RequestState | None:
-    """Give a request if this attempt of it is the one that runs."""
+    """Return the request if this attempt of it runs now; None for an event of an earlier one."""
     request = state.requests.get(request_id)
     if request is None or request.attempt != attempt or not request.running:
         return None
@@ -214,7 +224,7 @@
 
 @handles(AttemptStarted)
 def note_start(state: NodeState, event: AttemptStarted) -> Effects:
-    """From here on a byte may be with the endpoint."""
+    """Note that from now on the endpoint may have received a byte of the request."""
     request = current(state, event.request_id, event.attempt)
     if request is not None:
         request.sent = True
@@ -223,7 +233,11 @@
 
 @handles(AttemptProgressed)
 def note_progress(state: NodeState, event: AttemptProgressed) -> Effects:
-    """Tokens reached the caller; a continuation begins after them."""
+    """Count tokens that were passed on to the caller; a continuation begins after them.
+
+    The first ones show that the prompt was read; the time that took is measured if the endpoint
+    had no other prompt to read and was not busy.
+    """
     request = current(state, event.request_id, event.attempt)
     if request is not None:
         request.delivered += event.tokens
@@ -242,7 +256,10 @@
 
 @handles(AttemptSucceeded)
 def finish_request(state: NodeState, event: AttemptSucceeded) -> Effects:
-    """The answer is whole: remember it if keyed, and answer those who wait for it."""
+    """End a request whose answer is complete; keep the answer for its key, if it has one.
+
+    Requests that wait for the same key get the same answer.
+    """
     request = current(state, event.request_id, event.attempt)
     if request is None:
         return []
@@ -265,17 +282,17 @@
 def wait_routed(
     state: NodeState, request: RequestState, queue: admission.AdmissionQueue
 ) -> Effects:
-    """Have a routed request wait for an endpoint, unless it would in vain."""
-    asked = slotting.ask(state, request)
-    queued = routed.place(state, request.arrived, state.now, bool(asked))
+    """Queue a routed request, or refuse it if all its endpoints cool down for longer."""
+    effects = slotting.ask(state, request)
+    queued = routed.place(state, request.arrived, state.now, bool(effects))
     if routed.rest_left_s(state, request.arrived) > queued.deadline_at - state.now:
-        return _end_resting(state, request)
+        return _refuse_cooling_down(state, request)
     queue.push(queued)
-    return asked
+    return effects
 
 
 def end_hopeless(state: NodeState) -> Effects:
-    """Refuse what waits for endpoints that all want rest for longer than it can wait."""
+    """Refuse queued requests whose endpoints all cool down for longer than they may wait."""
     effects: Effects = []
     for queue in list(state.queues.values()):
         head = queue.peek()
@@ -285,12 +302,12 @@
         for queued in queue.waiting() if left_s > 0.0 else ():
             if left_s > queued.deadline_at - state.now:
                 queue.remove(queued.request_id)
-                effects += _end_resting(state, state.requests[queued.request_id])
+                effects += _refuse_cooling_down(state, state.requests[queued.request_id])
     return effects
 
 
-def _end_resting(state: NodeState, request: RequestState) -> Effects:
-    """Refuse at once what waits for a rest to end: its caller is told when that is."""
+def _refuse_cooling_down(state: NodeState, request: RequestState) -> Effects:
+    """Refuse a request with the time at which the cool-down ends as its retry-after time."""
     request.slot_asked_at = None
     return end_waiting(state, request)
 
@@ -303,7 +320,12 @@
     message: str,
     after_s: float = 0.0,
 ) -> Effects:
-    """End a request that has no answer, at once and with a true outcome."""
+    """End a request without an answer: refuse it, and all requests that wait for its key.
+
+    Its outcome is ``unknown`` once a byte may have reached an endpoint, else ``not_run``.
+
+    :param after_s: retry-after time in seconds; 0 for none.
+    """
     arrived = request.arrived
     outcome = "unknown" if request.sent or request.delivered else "not_run"
     refusal = Refuse(arrived.request_id, status, reason, outcome, message, after_s)
@@ -322,8 +344,8 @@
 
 def _close(state: NodeState, request: RequestState) -> Effects:
     identity = request.arrived.request_id
-    told = routed.end_prompt(state, request)
-    told += slotting.free(state, request, failed=False, unsent=not request.running)
+    effects = routed.end_prompt(state, request)
+    effects += slotting.free(state, request, failed=False, unsent=not request.running)
     state.turns_asked.pop(identity, None)
     endpoint = state.endpoints.get(request.endpoint)
     if endpoint is not None:
@@ -331,18 +353,21 @@
     state.requests.pop(identity, None)
     if request.limited:
         state.limits.release(request.arrived.team)
-    return [*told, Forget(identity)]
+    return [*effects, Forget(identity)]
 
 
 @handles(CallerLeft)
 def leave_request(state: NodeState, event: CallerLeft) -> Effects:
-    """The caller is gone: stop repeatable work; let keyed work run to its end."""
+    """End a request whose caller has left, and cancel its attempt.
+
+    A request with a key that is running is not cancelled.
+    """
     state.parked.pop(event.request_id, None)
     request = state.requests.get(event.request_id)
     if request is None:
         return []
     if request.arrived.once_key is not None and request.running:
-        # A retry may come for this answer, so it is worth finishing.
+        # The caller may retry with the same key and get this answer.
         return []
     queue = state.queues.get(queue_key(request.arrived))
     if queue is not None:
@@ -363,7 +388,10 @@
 
 
 def sweep(state: NodeState, passed: float) -> Effects:
-    """Refuse what has become hopeless and send on what has room, in every queue."""
+    """Refuse queued requests that can no longer meet their deadline, and send what has room.
+
+    :param passed: since the last call, in seconds.
+    """
     effects: Effects = []
     for pool in state.pools.values():
         pool.measure(passed)
@@ -387,7 +415,7 @@
 
 
 def end_waiting(state: NodeState, request: RequestState) -> Effects:
-    """End a request that has waited in vain, or would."""
+    """Refuse a queued request that was not sent within its time, or would not be."""
     status = 502 if request.sent else 503
     if request.arrived.route is not None:
         reason, text = routed.lacking(state, request.arrived)
@@ -398,5 +426,5 @@
 
 
 def waiting(state: NodeState) -> t.Mapping[str, int]:
-    """Give the queue length of each target."""
+    """Return the length of each queue by name."""
     return {target: len(queue) for target, queue in state.queues.items()}
--- a/packages/rookspring-core/src/rookspring_core/retries.py
+++ b/packages/rookspring-core/src/rookspring_core/retries.py
@@ -1,11 +1,11 @@
-"""Budget for retries, so that a failing part never meets a storm.
+"""Retry budgets, which keep retries from overloading a failing endpoint.
 
-Retries may be a share of recent successes plus a small burst. Since each
+Retries are limited to a share of recent successes plus a small burst. Since each
 success earns only ``RETRY_SHARE`` of a retry, amplification stays below
-``1 + RETRY_SHARE`` but for the burst, whatever fails.
+``1 + RETRY_SHARE`` apart from the burst, whatever fails.
 
-Routed requests are budgeted by window instead: a service's resends in any window
-stay within a share of its requests plus a slack that all nodes have together.
+Routed requests have a budget by window instead: a service's resends in any window
+are limited to a share of its requests plus a slack that all nodes share.
 """
 
 import collections
@@ -15,7 +15,7 @@
 
 
 class RetryBudget:
-    """A bucket that successes fill and retries empty."""
+    """A token bucket: each success adds ``share`` of a retry, each retry takes a whole one."""
 
     def __init__(
         self, share: float = defaults.RETRY_SHARE, burst: float = defaults.RETRY_BURST
@@ -26,11 +26,14 @@
         self.spent = 0
 
     def earn(self) -> None:
-        """A request succeeded."""
+        """Credit the budget for a request that succeeded."""
         self.level = min(self.burst, self.level + self.share)
 
     def spend(self) -> bool:
-        """Take one retry, if there is one."""
+        """Take one retry from the budget.
+
+        :return: whether there was one.
+        """
         if self.level < 1.0:
             return False
         self.level -= 1.0
@@ -39,11 +42,11 @@
 
 
 class WindowTerms(t.NamedTuple):
-    """The bound on resends over the whole deployment.
+    """The limit on resends over the whole deployment.
 
-    :param share: of the requests of a window, in seconds ``window_s``.
-    :param slack: resends beyond that share, for all nodes together.
-    :param nodes: the most nodes that can be there, each with an even part of the slack.
+    :param share: resends allowed for each first send within a window of ``window_s`` seconds.
+    :param slack: resends allowed beyond that share, for all nodes together.
+    :param nodes: the most nodes that may exist; each gets an even part of the slack.
     """
 
     share: float = defaults.RETRY_SHARE
@@ -55,8 +58,8 @@
 class RetryWindow:
     """First sends and resends of one service at this node, over the last window.
 
-    Each node keeps to its own share and its part of the slack, so the sum over all
-    nodes holds without a message, whoever dies or joins.
+    Each node stays within its own share and its part of the slack, so the limit holds over
+    all nodes without coordination, also while nodes join or fail.
     """
 
     def __init__(self, terms: WindowTerms) -> None:
@@ -65,11 +68,14 @@
         self._resends: collections.deque[float] = collections.deque()
 
     def earn(self, now: float) -> None:
-        """A request was sent for the first time."""
+        """Count the first send of a request."""
         self._firsts.append(now)
 
     def spend(self, now: float) -> bool:
-        """Take one resend, if the window has room for it."""
+        """Count one resend, if the window allows it.
+
+        :return: whether it does.
+        """
         self._trim(now)
         terms = self.terms
         allowed = terms.share * len(self._firsts) + terms.slack / max(1, terms.nodes)
@@ -87,10 +93,10 @@
 
 
 def back_off(attempt: int, spread: int) -> float:
-    """Give the wait before an attempt, in seconds: exponential with jitter.
+    """Return the wait before an attempt, in seconds: exponential with jitter.
 
-    :param attempt: how many attempts came before.
-    :param spread: any number that differs by request; it takes the place of chance.
+    :param attempt: how many attempts failed before.
+    :param jitter_seed: any number that differs by request, used in place of a random one.
     """
-    full = defaults.RETRY_BACKOFF_S * float(2 ** min(attempt, 6))
-    return full * (0.5 + 0.5 * (spread % 1024) / 1024.0)
+    longest_s = defaults.RETRY_BACKOFF_S * float(2 ** min(attempt, 6))
+    return longest_s * (0.5 + 0.5 * (spread % 1024) / 1024.0)
--- a/packages/rookspring-core/src/rookspring_core/routed.py
+++ b/packages/rookspring-core/src/rookspring_core/routed.py
@@ -1,7 +1,7 @@
-"""Requests that a route passes through as they are: their bounds, order and retries.
+"""Routed requests, which are passed through unchanged: their limits, queue order and retries.
 
-They live the same life as the product's own requests, in :mod:`requests`; this
-module holds what a route decides in place of the catalogue.
+They are processed by :mod:`requests` like the product's own requests; this module has the
+decisions that depend on a route instead of the catalogue.
 """
 
 import math
@@ -24,13 +24,13 @@
 
 
 def check(state: NodeState, event: RequestArrived) -> Refuse | None:
-    """Refuse what this node cannot begin; None where it may go on."""
+    """Refuse a request that this node cannot serve; None where it may be admitted."""
     if state.stopped:
         text = "this node has stopped; ask for addresses"
         return Refuse(event.request_id, 503, "stopping", "not_run", text, defaults.COME_BACK_S)
     since = state.draining_since
     if since is not None and event.at - since > state.drain_serve_s:
-        # It could not be whole before the process ends.
+        # Its answer could not be complete before the process ends.
         text = "this node is leaving; ask for addresses"
         return Refuse(event.request_id, 503, "leaving", "not_run", text, defaults.COME_BACK_S)
     return None
@@ -39,24 +39,28 @@
 def place(
     state: NodeState, arrived: RequestArrived, now: float, slot_asked: bool = False
 ) -> admission.Queued:
-    """Give a request's place in its queue: by rank and arrival, for as long as it may wait.
+    """Make a request's queue entry: sorted by rank and arrival, with the time it may wait until.
 
-    :param slot_asked: its service's owner decides how long it waits.
+    :param now: start of the wait.
+    :param slot_asked: a slot was requested from its service's owner, so it may wait for the
+        whole objective instead of the route's ``patience_s``.
     """
     assert arrived.route is not None
     rank = arrived.route.rank
-    order = arrived.at + rank * defaults.RANK_HEADSTART_S
+    sort_key = arrived.at + rank * defaults.RANK_HEADSTART_S
     patience_s = arrived.route.patience_s
     if not arrived.service and not stands(state, arrived):
         patience_s = _wait_for_model_s(state, arrived)
     if slot_asked:
         patience_s = arrived.route.objective_s
     until = min(arrived.deadline_at, now + patience_s)
-    return admission.Queued(order, arrived.at, arrived.request_id, 0, rank, until)
+    return admission.Queued(sort_key, arrived.at, arrived.request_id, 0, rank, until)
 
 
 def meter(state: NodeState, arrived: RequestArrived, work: float) -> None:
-    """Count what a request asks of its adapter, and of its model if it can't be waited for.
+    """Count a request's work as demand for its adapter, and as urgent demand for its model.
+
+    Demand is urgent where the model could not be loaded within the route's objective.
 
     :param work: in tokens of the slowest model.
     """
@@ -72,15 +76,16 @@
 
 
 def note_missed(state: NodeState, arrived: RequestArrived, reason: str) -> None:
-    """Count what was refused for want of room, or of a place, where its model stands.
+    """Count a refused request as missed demand, if another replica of its model would help.
 
-    Adapters that find no place call for a second replica as tokens do.
+    That is so where endpoints that hold the model had no room, or none of them had a place
+    for the adapter.
 
-    :param reason: as :func:`lacking` gives it.
+    :param reason: as :func:`explain_refusal` gives it.
     """
-    no_place = reason == "absent" and bool(arrived.adapter) and stands(state, arrived)
+    lacks_place = reason == "absent" and bool(arrived.adapter) and stands(state, arrived)
     lacks_room = reason in ("no_room", "no_turn", "resting")
-    if (lacks_room or no_place) and not arrived.service:
+    if (lacks_room or lacks_place) and not arrived.service:
         work = arrived.tokens * state.paces.relative(arrived.target)
         state.control.missed.meter.add(arrived.target, work)
 
@@ -93,10 +98,10 @@
 
 
 def _wait_for_model_s(state: NodeState, arrived: RequestArrived) -> float:
-    """Give how long a request waits for a model that is on no endpoint, in seconds.
+    """Return how long a request waits for a model that is on no endpoint, in seconds.
 
-    It waits if the model can be there in time for the route's objective. Else it is
-    refused at once, and told when the model can be there.
+    It waits if the model can be loaded in time for the route's objective. Else the wait is 0,
+    and the refusal's retry-after time is when the model is expected.
     """
     terms = arrived.route
     assert terms is not None
@@ -106,7 +111,7 @@
 
 
 def ready_in_s(state: NodeState, service: str, model: str) -> float:
-    """Predict how soon a model that is on no endpoint can be there, in seconds."""
+    """Predict the seconds until a model that is on no endpoint is loaded on one; may be inf."""
     coming = [
         in_s
         for view in state.endpoints.values()
@@ -126,70 +131,73 @@
 
 
 def window(state: NodeState, service: str) -> RetryWindow:
-    """Give the resend window of a service at this node.
+    """Return the resend window of a service at this node.
 
-    Its part of the slack is for as many nodes as were ever seen, and some that may
-    join, since those that are out of sight now may be spending theirs.
+    The slack is divided by the most nodes that were ever seen, and some more that may join,
+    since nodes that this one cannot reach now may be using their parts.
     """
     nodes = math.ceil(state.membership.most_nodes * defaults.JOINING_SHARE)
     terms = state.window_terms._replace(nodes=max(state.window_terms.nodes, nodes))
-    found = state.windows.setdefault(service, RetryWindow(terms))
-    found.terms = terms
-    return found
+    resends = state.windows.setdefault(service, RetryWindow(terms))
+    resends.terms = terms
+    return resends
 
 
 def choose_among(state: NodeState, request: RequestState) -> list[EndpointView]:
     """List the endpoints that may get a request now.
 
-    Long prompts that an endpoint reads at once make pauses in all its streams, so one
-    with much unread gets no more. Where every endpoint that holds the model is ejected, those
-    are better than none; those that leave or want rest are not.
+    Prefill of long prompts stalls all streams of an endpoint, so one with many unread prompt
+    tokens gets no more. Ejected endpoints are used where all that hold the model are ejected;
+    those that are leaving or cooling down never are.
     """
     arrived = request.arrived
     assert arrived.route is not None
     holding = [
-        one
-        for one in state.hosts.get(arrived.target, {}).values()
-        if one.service == arrived.route.service and one.serves(arrived.target, arrived.service)
+        view
+        for view in state.hosts.get(arrived.target, {}).values()
+        if view.service == arrived.route.service and view.serves(arrived.target, arrived.service)
     ]
     if arrived.adapter:
-        holding = [one for one in holding if one.has_adapter(arrived.adapter)]
-    staying = [one for one in holding if _stays(state, one) and not _spared(state, one)]
-    ready = [one for one in staying if one.open_for_work(state.now)] or staying
-    kept = {one.name: _kept_slots(state, one, arrived) for one in ready}
-    ready = [one for one in ready if one.load(state.now) < 1.0 - kept[one.name] / one.slots()]
-    if any(one.rate is not None for one in ready):
+        holding = [view for view in holding if view.has_adapter(arrived.adapter)]
+    usable = [view for view in holding if _is_usable(state, view) and not _spared(state, view)]
+    ready = [view for view in usable if view.open_for_work(state.now)] or usable
+    reserved = {view.name: _kept_slots(state, view, arrived) for view in ready}
+    ready = [
+        view for view in ready if view.load(state.now) < 1.0 - reserved[view.name] / view.slots()
+    ]
+    if any(view.rate is not None for view in ready):
         ready = _with_turns(state, request, ready)
     if arrived.service:
         return ready
     work = _prompt_work(state, arrived)
-    return [one for one in ready if _takes(one, work, kept[one.name] > 0)]
+    return [view for view in ready if _has_prompt_room(view, work, reserved[view.name] > 0)]
 
 
 def _kept_slots(state: NodeState, endpoint: EndpointView, arrived: RequestArrived) -> int:
-    """Give how many of an endpoint's slots a request is to leave free.
+    """Return how many of an endpoint's slots are reserved for other adapters' requests.
 
-    An adapter that was attached for callers who wait is of no use where all slots go to those
-    of others, which ask more often; so each that has just come has a slot kept for it.
+    Each adapter that has just been attached gets a reserved slot. Otherwise requests for
+    busier adapters took all slots, and the callers it was attached for were not served.
     """
-    first = endpoint.first_calls(state.now)
-    if not first or arrived.adapter in first:
+    adapters = endpoint.first_calls(state.now)
+    if not adapters or arrived.adapter in adapters:
         return 0
-    return min(len(first), int(endpoint.slots() * defaults.FIRST_CALL_SHARE))
+    return min(len(adapters), int(endpoint.slots() * defaults.FIRST_CALL_SHARE))
 
 
-def _stays(state: NodeState, endpoint: EndpointView) -> bool:
-    """Say whether an endpoint may take requests yet; ejected ones may if there is no other.
+def _is_usable(state: NodeState, endpoint: EndpointView) -> bool:
+    """Return whether an endpoint may still get requests: it is not leaving, gone or down.
 
-    What crashed takes none: each try there would be spent on a refused connection.
+    An ejected one may, if there is no other. A crashed one may not, since each attempt would
+    be spent on a refused connection.
     """
     return not endpoint.leaving and not endpoint.gone and endpoint.listens(state.now)
 
 
 def _spared(state: NodeState, endpoint: EndpointView) -> bool:
-    """Say whether an endpoint is to get nothing now, as it asked for rest.
+    """Return whether an endpoint is in a cool-down, or has not answered the first request after it.
 
-    What turns requests away at once looks emptier than its neighbours, and would draw them all.
+    An endpoint that rejects requests at once has the lowest load, and would attract them all.
     """
     return endpoint.rests(state.now) or endpoint.returns(state.now)
 
@@ -197,74 +205,76 @@
 def _with_turns(
     state: NodeState, request: RequestState, ready: list[EndpointView]
 ) -> list[EndpointView]:
-    """Leave out endpoints that name a rate, and are not to be asked for a turn now.
+    """Leave out the rate-limited endpoints at which no permit may be requested now.
 
-    Of a plain service they are reached by its owner alone, which counts what it gives. Where others
-    hold the model too, a node stays away for as long as the owner told it.
+    Those of a plain service get requests from the service's owner alone, which counts them.
+    Where all endpoints of a model are rate-limited, the request skips those that had no permit
+    for it; else this node skips each one until the time that its owner set.
     """
     if request.arrived.service:
-        return [one for one in ready if one.rate is None]
+        return [view for view in ready if view.rate is None]
     if all_rated(state, request.arrived):
-        return [one for one in ready if one.rate is None or one.name not in request.turns_due]
-    return [one for one in ready if one.rate is None or one.turn_at <= state.now]
+        return [view for view in ready if view.rate is None or view.name not in request.turns_due]
+    return [view for view in ready if view.rate is None or view.turn_at <= state.now]
 
 
 def _rated_hosts(state: NodeState, arrived: RequestArrived) -> list[EndpointView]:
-    """List the endpoints that may serve a request, where all of them name a rate; else none."""
+    """List the endpoints that may serve a request if all are rate-limited; else an empty list."""
     assert arrived.route is not None
-    staying = [
-        one
-        for one in state.hosts.get(arrived.target, {}).values()
-        if one.service == arrived.route.service and _stays(state, one)
+    usable = [
+        view
+        for view in state.hosts.get(arrived.target, {}).values()
+        if view.service == arrived.route.service and _is_usable(state, view)
     ]
     if arrived.adapter:
-        staying = [one for one in staying if one.has_adapter(arrived.adapter)]
-    return [] if any(one.rate is None for one in staying) else staying
+        usable = [view for view in usable if view.has_adapter(arrived.adapter)]
+    return [] if any(view.rate is None for view in usable) else usable
 
 
 def all_rated(state: NodeState, arrived: RequestArrived) -> bool:
-    """Say whether all endpoints that may serve a request name a rate."""
+    """Return whether all endpoints that may serve a request are rate-limited."""
     return bool(_rated_hosts(state, arrived))
 
 
 def turnless(state: NodeState, request: RequestState) -> bool:
-    """Say whether no endpoint that may serve a request has a turn for it in time."""
+    """Return whether all endpoints that may serve a request have no permit for it in time."""
     hosts = _rated_hosts(state, request.arrived)
-    return bool(hosts) and all(one.name in request.turns_due for one in hosts)
+    return bool(hosts) and all(view.name in request.turns_due for view in hosts)
 
 
 def rest_left_s(state: NodeState, arrived: RequestArrived) -> float:
-    """Give how long all endpoints that hold a request's model rest yet, in seconds.
+    """Return the seconds until one of the endpoints that hold a request's model is available.
 
-    0 where one of them does not, or none holds it.
+    0 where one of them is not in a cool-down, or no endpoint holds the model.
     """
     assert arrived.route is not None
     ends = [
-        one.rest_until
-        for one in state.hosts.get(arrived.target, {}).values()
-        if one.service == arrived.route.service and not one.leaving and not one.gone
+        view.rest_until
+        for view in state.hosts.get(arrived.target, {}).values()
+        if view.service == arrived.route.service and not view.leaving and not view.gone
     ]
     return max(0.0, min(ends) - state.now) if ends else 0.0
 
 
 def stands(state: NodeState, arrived: RequestArrived) -> bool:
-    """Say whether a request's model is on an endpoint that stays."""
+    """Return whether a request's model is resident on an endpoint that may get requests."""
     assert arrived.route is not None
     return any(
-        one.service == arrived.route.service and _stays(state, one)
-        for one in state.hosts.get(arrived.target, {}).values()
+        view.service == arrived.route.service and _is_usable(state, view)
+        for view in state.hosts.get(arrived.target, {}).values()
     )
 
 
 def _prompt_work(state: NodeState, arrived: RequestArrived) -> int:
-    """Give a prompt's size as the slowest model's tokens that take as long to read."""
+    """Return a prompt's size in tokens of the slowest model that take the same prefill time."""
     return round(arrived.prompt_tokens * state.paces.relative(arrived.target))
 
 
-def _takes(endpoint: EndpointView, tokens: int, others_first: bool) -> bool:
-    """Say whether an endpoint may be given another prompt to read.
+def _has_prompt_room(endpoint: EndpointView, tokens: int, others_first: bool) -> bool:
+    """Return whether an endpoint may get another prompt.
 
-    :param others_first: a part is kept for requests that have the first call.
+    :param tokens: the prompt's size, see :func:`_prompt_work`.
+    :param others_first: part of the limit is reserved for just attached adapters.
     """
     unread = endpoint.unread()
     most = defaults.UNREAD_TOKENS_MAX - (defaults.FIRST_CALL_TOKENS if others_first else 0)
@@ -272,7 +282,7 @@
 
 
 def begin_prompt(state: NodeState, request: RequestState, endpoint: EndpointView) -> list[Effect]:
-    """Count a prompt as unread there, and tell the other nodes."""
+    """Count a prompt as unread at its endpoint, and share the new sum with the other nodes."""
     arrived = request.arrived
     if arrived.route is None or arrived.service:
         return []
@@ -281,7 +291,7 @@
 
 
 def end_prompt(state: NodeState, request: RequestState) -> list[Effect]:
-    """A prompt was read, or will not be; tell the other nodes once."""
+    """Count a prompt as read, or its attempt as ended; share the new sum the first time."""
     endpoint = state.endpoints.get(request.endpoint)
     if endpoint is None or endpoint.prompts.pop(request.arrived.request_id, None) is None:
         return []
@@ -289,17 +299,18 @@
 
 
 def count(state: NodeState, request: RequestState) -> None:
-    """Count a first send, which earns a part of a resend."""
+    """Count a request's first send, which earns its service a part of a resend."""
     terms = request.arrived.route
     if terms is not None and request.sends == 0 and request.attempt == 1:
         window(state, terms.service).earn(state.now)
 
 
 def may_retry(state: NodeState, request: RequestState, event: AttemptFailed) -> bool:
-    """Say whether another endpoint may be asked.
+    """Return whether a request may be sent to another endpoint after a failed attempt.
 
-    An attempt of which no byte left is free. Anything else counts towards the
-    route's bound and the service's window, also where the endpoint refused it.
+    Attempts that sent no byte are limited by ``UNSENT_TRIES_MAX`` and count towards no other
+    limit. Any other attempt counts towards the route's limit, and its retry towards the
+    service's resend window, also where the endpoint refused the request.
     """
     arrived = request.arrived
     terms = arrived.route
@@ -307,7 +318,7 @@
     if arrived.deadline_at <= state.now:
         return False
     if not event.sent:
-        return request.attempt <= defaults.UNSENT_TRIES_MAX and _clean(request)
+        return request.attempt <= defaults.UNSENT_TRIES_MAX and _resend_is_safe(request)
     request.sends += 1
     if not arrived.repeatable and not event.said_not_run:
         return False
@@ -316,31 +327,31 @@
     return window(state, terms.service).spend(state.now)
 
 
-def _clean(request: RequestState) -> bool:
-    """Say whether the request may go out again after an attempt that sent nothing."""
+def _resend_is_safe(request: RequestState) -> bool:
+    """Return whether a request may be sent again after an attempt that sent nothing."""
     return request.arrived.repeatable or request.sends == 0 or request.not_run_said
 
 
 def lacking(state: NodeState, arrived: RequestArrived) -> tuple[str, str]:
-    """Say what a request waited for in vain, as a reason and a text for the log."""
+    """Return why no endpoint took a request: a reason code, and a text for logs and the caller."""
     assert arrived.route is not None
     service = arrived.route.service
-    views = [one for one in state.endpoints.values() if one.service == service]
-    hosts = [one for one in views if one.serves(arrived.target, arrived.service)]
+    views = [view for view in state.endpoints.values() if view.service == service]
+    hosts = [view for view in views if view.serves(arrived.target, arrived.service)]
     if not hosts:
         return "absent", f"{arrived.target} is on none of {len(views)} endpoints of {service}"
-    held = [one for one in hosts if not arrived.adapter or one.has_adapter(arrived.adapter)]
-    if not held:
+    fitting = [view for view in hosts if not arrived.adapter or view.has_adapter(arrived.adapter)]
+    if not fitting:
         return "absent", f"{arrived.adapter} is on none of {len(hosts)} endpoints with its model"
     if rest_left_s(state, arrived) > 0.0:
         return "resting", f"all {len(hosts)} endpoints that hold it asked for rest"
     if all_rated(state, arrived):
-        rate = sum(one.rate or 0.0 for one in hosts)
+        rate = sum(view.rate or 0.0 for view in hosts)
         return "no_turn", f"all {len(hosts)} endpoints that hold it take {rate:g} requests a second"
-    ready = [one for one in held if one.open_for_work(state.now)]
+    ready = [view for view in fitting if view.open_for_work(state.now)]
     if not ready:
-        return "none_open", f"none of {len(held)} endpoints that hold it takes work"
-    least = min(ready, key=lambda one: one.load(state.now))
+        return "none_open", f"none of {len(fitting)} endpoints that hold it takes work"
+    least = min(ready, key=lambda view: view.load(state.now))
     text = f"the least loaded of {len(ready)} endpoints is at {least.load(state.now):.2f}"
     if not arrived.service:
         text += f", {least.unread()} tokens to read, {arrived.prompt_tokens} more"
--- a/packages/rookspring-core/src/rookspring_core/routes.py
+++ b/packages/rookspring-core/src/rookspring_core/routes.py
@@ -1,8 +1,8 @@
-"""Routes: which endpoints may serve a request that is passed through as it is.
+"""Routes: which services may get a request that is passed through unchanged.
 
-A route table is immutable, carries its version, and is replaced only by one of a
-higher version. Adapters make it from a platform's configuration; requests are
-matched to a route by host and the longest prefix of the path.
+A route table is immutable, has a version, and is replaced only by one of a higher
+version. Platform adapters build it from the platform's configuration; a request is
+matched to a route by its host and the longest prefix of its path.
 """
 
 import typing as t
@@ -19,16 +19,15 @@
 
 
 class Route(t.NamedTuple):
-    """What holds for the requests of one host and path prefix.
+    """The settings for requests of one host and path prefix.
 
     :param kind: ``safe``, ``unsafe`` or ``stream``.
-    :param objective_s: an answer within it is worth the most; to the first event
-        of a stream.
-    :param timeout_s: the final answer is due by then, whatever the caller waits.
+    :param objective_s: target for the time to the answer, or to a stream's first event.
+    :param timeout_s: longest time to the whole answer, whatever the caller's deadline.
     :param rank: 0 is the most urgent.
     :param attempts: most endpoints that one request may be sent to.
-    :param resumable: a stream may be taken up at another endpoint.
-    :param pause_s: longest pause in a stream that is still in time; 0 where none is told.
+    :param resumable: a stream may be continued at another endpoint.
+    :param pause_s: longest pause within a stream that counts as in time; 0 where none is set.
     :param public: its requests need no key.
     """
 
@@ -52,9 +51,10 @@
 
 
 class ModelSize(t.NamedTuple):
-    """What a model takes of an endpoint, in megabytes and seconds.
+    """The memory and load times of a model, in megabytes and seconds.
 
-    :param load_s: from the weight store; ``warm_s`` from memory, ``disk_s`` from disk.
+    :param load_s: time to load from the weight store; ``warm_s`` from the runner's memory,
+        ``disk_s`` from its disk.
     """
 
     name: str
@@ -66,9 +66,9 @@
 
 
 class EngineSize(t.NamedTuple):
-    """What each endpoint of a model service has.
+    """The capacity of each endpoint of a model service.
 
-    :param loads_per_s: loads that the weight store allows all endpoints together.
+    :param loads_per_s: loads a second that the weight store allows for all endpoints together.
     """
 
     memory_mb: float
@@ -78,13 +78,13 @@
 
 
 class ServiceSize(t.NamedTuple):
-    """A service of the configuration; ``engine`` is None for plain ones."""
+    """A service of the configuration; ``engine`` is None where it serves no models."""
 
     engine: EngineSize | None = None
 
 
 class CallerLimits(t.NamedTuple):
-    """What callers may send, and how long that may take; in bytes and seconds."""
+    """Limits on the size of callers' requests and the time to send them, in bytes and seconds."""
 
     header_bytes: int
     body_bytes: int
@@ -95,7 +95,7 @@
 class RouteTable(t.NamedTuple):
     """All routes, services and limits of one version.
 
-    :param directory: who may ask; None where requests need no key.
+    :param directory: the organisations and their keys; None where requests need no key.
     """
 
     version: int
@@ -105,7 +105,7 @@
     directory: Directory | None = None
 
     def match(self, host: str, path: str) -> Route | None:
-        """Give the route with the longest prefix of the path, or None."""
+        """Return the route with the longest prefix of the path, or None."""
         best: Route | None = None
         for route in self.hosts.get(host, ()):
             longer = best is None or len(route.prefix) > len(best.prefix)
@@ -114,7 +114,7 @@
         return best
 
     def engine_of(self, model: str, service: str) -> EngineSize | None:
-        """Give the engine of a service if it declares the model."""
+        """Return the engine of a service, or None if it does not declare the model."""
         size = self.services.get(service)
         if size is None or size.engine is None or model not in size.engine.models:
             return None
@@ -122,7 +122,7 @@
 
 
 def pick_service(route: Route, request_id: str) -> str:
-    """Pick one of a route's services by weight; the same request gives the same one."""
+    """Pick one of a route's services by weight, the same one each time for one request."""
     total = sum(split.weight for split in route.splits)
     point = mix("split", route.name, request_id) % 1_000_000 / 1_000_000 * total
     for split in route.splits:
--- a/packages/rookspring-core/src/rookspring_core/routing.py
+++ b/packages/rookspring-core/src/rookspring_core/routing.py
@@ -1,8 +1,8 @@
-"""Choice of an endpoint for a request, among a few candidates.
+"""Routing policies, which choose an endpoint for a request among candidates.
 
-Policies register by name in ``ROUTING``; a ``Policy`` resource names the one in
-force and the bench runs several side by side. All are free of randomness: the
-few candidates come from hashing the request's identity.
+Policies register by name in ``ROUTING``; a ``Policy`` resource selects one, and the bench
+compares several. All are deterministic: candidates and ties are picked by a hash of the
+request's identifier.
 """
 
 import typing as t
@@ -15,7 +15,7 @@
 
 
 class RouteQuery(t.NamedTuple):
-    """What a routing policy may know of a request."""
+    """What a routing policy is given of a request."""
 
     now: float
     request_id: str
@@ -33,7 +33,7 @@
 def routing(name: str) -> t.Callable[[Route], Route]:
     """Register a routing policy.
 
-    :param name: how ``Policy.routing`` names it.
+    :param name: its value in ``Policy.routing``.
     """
 
     def register(function: Route) -> Route:
@@ -45,7 +45,7 @@
 
 
 def find_routing(name: str) -> Route:
-    """Look a policy up.
+    """Look up a policy.
 
     :raises UnknownPolicy: when no module registered the name.
     """
@@ -56,7 +56,7 @@
 
 
 def predict_finish(query: RouteQuery, endpoint: EndpointView) -> float:
-    """Predict seconds until the whole answer, were it sent to this endpoint now."""
+    """Predict the seconds to the whole answer if a request is sent to this endpoint now."""
     load = endpoint.load(query.now)
     report = endpoint.report
     slots = endpoint.slots()
@@ -75,26 +75,28 @@
 
 @routing("least-finish")
 def route_least_finish(query: RouteQuery, endpoints: list[EndpointView]) -> EndpointView:
-    """Choose the least predicted finish, with a bounded pull to a cached prefix."""
-    few = sorted(endpoints, key=lambda one: mix(query.request_id, one.name))
-    holders = [one for one in endpoints if query.prefix and one.may_hold(query.prefix, query.now)]
-    few = few[: defaults.CANDIDATES] + holders[:2]
-    average = sum(one.load(query.now) for one in endpoints) / len(endpoints)
+    """Choose the earliest predicted finish, with a bounded preference for a cached prefix."""
+    candidates = sorted(endpoints, key=lambda view: mix(query.request_id, view.name))
+    holders = [
+        view for view in endpoints if query.prefix and view.may_hold(query.prefix, query.now)
+    ]
+    candidates = candidates[: defaults.CANDIDATES] + holders[:2]
+    average = sum(view.load(query.now) for view in endpoints) / len(endpoints)
 
     def score(endpoint: EndpointView) -> float:
         finish = predict_finish(query, endpoint)
-        near = endpoint in holders
-        if near and endpoint.load(query.now) <= defaults.AFFINITY_LOAD_BOUND * average + 0.1:
+        cached = endpoint in holders
+        if cached and endpoint.load(query.now) <= defaults.AFFINITY_LOAD_BOUND * average + 0.1:
             finish -= defaults.AFFINITY_BONUS_S
         return finish
 
-    return min(few, key=lambda one: (score(one), one.name))
+    return min(candidates, key=lambda view: (score(view), view.name))
 
 
 @routing("even-load")
 def route_even_load(query: RouteQuery, endpoints: list[EndpointView]) -> EndpointView:
-    """Choose the least loaded, with a small pull to the near and to a cached prefix."""
-    average = sum(one.load(query.now) for one in endpoints) / len(endpoints)
+    """Choose the least loaded; prefer a cached prefix and the own data centre slightly."""
+    average = sum(view.load(query.now) for view in endpoints) / len(endpoints)
 
     def score(endpoint: EndpointView) -> float:
         load = endpoint.load(query.now) + endpoint.unread() / defaults.UNREAD_TOKENS_FULL
@@ -105,16 +107,16 @@
             load += defaults.REMOTE_LOAD
         return load
 
-    return min(endpoints, key=lambda one: (score(one), mix(query.request_id, one.name)))
+    return min(endpoints, key=lambda view: (score(view), mix(query.request_id, view.name)))
 
 
 @routing("least-inflight")
 def route_least_inflight(query: RouteQuery, endpoints: list[EndpointView]) -> EndpointView:
     """Choose the endpoint with the fewest of this node's own requests (a baseline)."""
-    return min(endpoints, key=lambda one: (len(one.inflight), mix(query.request_id, one.name)))
+    return min(endpoints, key=lambda view: (len(view.inflight), mix(query.request_id, view.name)))
 
 
 @routing("round-robin")
 def route_round_robin(query: RouteQuery, endpoints: list[EndpointView]) -> EndpointView:
-    """Choose evenly, blind to load (a baseline)."""
-    return min(endpoints, key=lambda one: mix(query.request_id, one.name))
+    """Choose by hash alone, which spreads requests evenly whatever the load (a baseline)."""
+    return min(endpoints, key=lambda view: mix(query.request_id, view.name))
--- a/packages/rookspring-core/src/rookspring_core/streams.py
+++ b/packages/rookspring-core/src/rookspring_core/streams.py
@@ -1,6 +1,6 @@
-"""Guard of one caller's stream against late, doubled and reordered chunks.
+"""Deduplication of a caller's stream: drops late and duplicate chunks and detects gaps.
 
-The I/O loop asks it for each chunk, so that tokens need not pass the reducer.
+The I/O loop calls it for each chunk, so that tokens need not pass through the reducer.
 """
 
 import typing as t
@@ -9,7 +9,7 @@
 class StreamGuard:
     """Accepts each token of one answer exactly once and in order.
 
-    :param offset: tokens that the caller has already (on a resume).
+    :param offset: tokens that the caller already has (on a resume).
     """
 
     __slots__ = ("attempt", "dropped", "offset")
@@ -20,7 +20,7 @@
         self.dropped = 0
 
     def accept(self, attempt: int, offset: int, tokens: t.Sequence[str]) -> t.Sequence[str]:
-        """Give the part of a chunk that is new, which may be none of it.
+        """Return the tokens of a chunk that the caller does not have yet; empty if there are none.
 
         :param offset: position of the chunk's first token in the whole answer.
         :raises ValueError: when tokens before the chunk are missing.
@@ -41,9 +41,12 @@
         return fresh
 
     def renew(self, attempt: int) -> None:
-        """Go on with another attempt; chunks of the old one are dropped from now on."""
+        """Switch to another attempt; chunks of the previous one are dropped from now on."""
         self.attempt = attempt
 
     def whole(self, total: int) -> bool:
-        """Say whether the answer's end agrees with what was passed on."""
+        """Return whether all tokens of the answer were passed on.
+
+        :param total: the answer's length in tokens, as its last chunk gives it.
+        """
         return self.offset == total
