--- a/features/key_stories.py
+++ b/features/key_stories.py
@@ -1,8 +1,8 @@
-"""Stories of keys in a fleet: keys are taken, given and passed on while nodes fail.
+"""Runs of a fleet in which keys are revoked, restored and moved while nodes fail.
 
-At each step every node that runs is asked whether it would let each key in, and whether it
-would send on a request that waits. None may do so for a key that its organisation has not
-held within the bound.
+At each step every running node is asked whether it would accept each key, and whether it would
+send a waiting request. No node may do so for a key that was revoked from its organisation longer
+ago than the bound.
 """
 
 import random
@@ -39,12 +39,12 @@
 
 
 class KeyStory:
-    """A fleet, who held which key when, and what nodes did wrong."""
+    """A fleet, the organisation of each key over time, and the violations by nodes."""
 
     def __init__(self, nodes):
         self.holders = {"key-a1": "org-a", "key-b1": "org-b"}
         self.fleet = Fleet(FleetPlan(nodes, data_centres=3, directory=self._directory()))
-        # Ends of holdings: key, organisation, and when.
+        # By key and organisation, when the key was revoked from it.
         self.ended = {}
         self.wrong = []
         self.checks = 0
@@ -79,7 +79,7 @@
                 self.check(node)
 
     def check(self, node):
-        """Ask a node about each key, as requests do that wait at it."""
+        """Check a node's decisions on revoked keys, for new and for waiting requests."""
         now = self.fleet.now
         if node.state.table is None:
             return
@@ -90,14 +90,14 @@
             digest = digest_of(key.encode())
             verdict = keys.judge(node.state, ROUTE, digest, now, now)
             if verdict.status == 0 and verdict.organisation.name == name:
-                self.wrong.append((node.name, key, "let in", now - at))
+                self.wrong.append((node.name, key, "accepted", now - at))
             node.state.now = max(node.state.now, now)
             waits = RequestArrived(now, "r", name, "m", key=digest)
             if keys.find_fault(node.state, waits) is None:
-                self.wrong.append((node.name, key, "sent on", now - at))
+                self.wrong.append((node.name, key, "sent", now - at))
 
     def statuses(self, node, asked_at):
-        """Give what a node says of requests that came at a moment."""
+        """Return a node's status codes for requests that arrived at a given time."""
         now = self.fleet.now
         return {
             key: keys.judge(node.state, ROUTE, digest_of(key.encode()), asked_at, now).status
@@ -105,7 +105,7 @@
         }
 
     def play(self, acts):
-        """Play troubles and changes of keys, each with a wait in tenths of a second."""
+        """Apply faults and changes of keys, each followed by a wait in tenths of a second."""
         ends = []
         for act, tenths in acts:
             if act in troubles:
@@ -142,7 +142,7 @@
 
 
 def leaf_of(fleet):
-    """Give a node that is no relay, or in a mesh any."""
+    """Return the name of a node that is not a relay; in a mesh, of any node."""
     rows = [node for node in fleet.live() if not node.state.topology.relay]
     return (rows or fleet.live())[-1].name
 
@@ -230,14 +230,14 @@
     return end
 
 
-@trouble("a node hears nobody")
-def leaf_deaf(fleet):
+@trouble("a node receives no messages")
+def leaf_receives_nothing(fleet):
     name = leaf_of(fleet)
     return cut(fleet, [(one, name) for one in fleet.nodes if one != name])
 
 
-@trouble("a relay is heard by nobody")
-def relay_mute(fleet):
+@trouble("a relay's messages are lost")
+def relay_messages_lost(fleet):
     name = (relays_of(fleet) or [leaf_of(fleet)])[0]
     return cut(fleet, [(name, one) for one in fleet.nodes if one != name])
 
@@ -247,13 +247,13 @@
     return cut_store(fleet, readers_of(fleet))
 
 
-@trouble("a third is cut from the store")
+@trouble("a third of the nodes is cut from the store")
 def third_cut(fleet):
     return cut_store(fleet, list(fleet.nodes)[::3])
 
 
 @trouble("the store can't be reached")
-def store_away(fleet):
+def store_unreachable(fleet):
     return cut_store(fleet, list(fleet.nodes))
 
 
@@ -267,8 +267,8 @@
     return end
 
 
-@trouble("watches hear nothing")
-def watches_deaf(fleet):
+@trouble("watches deliver nothing")
+def watches_silent(fleet):
     fleet.deaf = True
 
     def end():
@@ -277,10 +277,10 @@
     return end
 
 
-@trouble("words of the relays take 4 s")
-def words_late(fleet):
-    ways = {(name, one): 4.0 for name in relays_of(fleet) for one in fleet.nodes}
-    fleet.ways.update(ways)
+@trouble("messages of the relays take 4 s")
+def relay_messages_late(fleet):
+    delays = {(name, one): 4.0 for name in relays_of(fleet) for one in fleet.nodes}
+    fleet.ways.update(delays)
     return fleet.ways.clear
 
 
--- a/features/rate_counts.py
+++ b/features/rate_counts.py
@@ -1,42 +1,43 @@
-"""Counts of what reached an endpoint that names the requests a second it takes from all nodes."""
+"""Counts of the requests that reached an endpoint with a rate limit over all nodes."""
 
 import bisect
 
-# The bound that users hold us to: in any so many seconds, from so long after the endpoint first
-# named a rate, summed over the nodes that heard it half a second before or earlier.
+# The bound that users require: it applies to any WINDOW_S seconds from BEGINS_S after the endpoint
+# first announced a limit, to the sum over the nodes that received it at least TOLD_S before.
 WINDOW_S = 4.0
 BEGINS_S = 3.0
 TOLD_S = 0.5
-# What is borne beyond the rate: a part of it, and so many requests.
+# The tolerated requests in a window: BORNE_SHARE times the limit, and BORNE more.
 BORNE_SHARE = 1.5
 BORNE = 5
-# What is aimed at: the rate itself, with two requests in hand and a quarter of a second's.
+# The bound that the program itself enforces: the limit, with a burst of IN_HAND requests and of
+# what the limit allows in IN_HAND_S.
 IN_HAND = 2
 IN_HAND_S = 0.25
 
 
 def borne(rate):
-    """Give the most that users bear in a window."""
+    """Return the most requests that users tolerate in a window."""
     return BORNE_SHARE * rate * WINDOW_S + BORNE
 
 
 def aimed(rate, owners=1):
-    """Give the most that a rate allows in a window, with what may be in hand at its begin.
+    """Return the most requests that a limit allows in a window, with the burst at its start.
 
-    :param owners: how many nodes give parts of the rate.
+    :param owners: how many nodes grant shares of the limit, each with a burst of its own.
     """
     return rate * (WINDOW_S + IN_HAND_S) + IN_HAND * owners
 
 
 def most_in_window(moments):
-    """Give the most that fall into any window."""
+    """Return the largest number of moments within any window."""
     moments = sorted(moments)
     ends = (bisect.bisect_right(moments, at + WINDOW_S) for at in moments)
     return max((end - begin for begin, end in enumerate(ends)), default=0)
 
 
 def first_named(runners, endpoint, start=0):
-    """Give when a node first heard a process name its rate."""
+    """Return when a node first received the limit of a process."""
     return min(
         word.at
         for word in runners.words
@@ -45,9 +46,9 @@
 
 
 def told_arrivals(runners, endpoint, start=0, excused=()):
-    """List when requests reached a process from nodes that it had told, once the bound holds.
+    """List when requests reached a process from nodes that knew its limit, once the bound applies.
 
-    :param excused: nodes that do not count, as they were started again, froze or were cut off.
+    :param excused: nodes that are not counted, as they restarted, froze or were cut off.
     """
     told = {}
     for word in runners.words:
@@ -65,7 +66,7 @@
 
 
 def all_arrivals(runners, endpoint, start=0):
-    """List when requests reached a process from any node, once the bound holds."""
+    """List when requests reached a process from any node, once the bound applies."""
     begins = first_named(runners, endpoint, start) + BEGINS_S
     return [
         one.at
--- a/features/rate_stories.py
+++ b/features/rate_stories.py
@@ -1,8 +1,8 @@
-"""Drawn stories of endpoints that name the requests a second they take, beside all other words.
+"""Random runs of a fleet whose endpoints announce rate limits, mixed with other notices and faults.
 
-The rate falls, rises, ends and comes again, while nodes and the store fail, entries lapse and
-processes end. What arrives is counted as users count it: over any four seconds in which a process
-named a rate all the while, from nodes that had heard it half a second before or earlier.
+Limits fall, rise, end and return, while nodes and the store fail, entries expire and processes
+end. Arrivals are counted as users count them: over any four seconds in which a process announced
+a limit throughout, from nodes that had received it at least half a second before.
 """
 
 from notice_stories import TROUBLES
@@ -24,13 +24,13 @@
     return register
 
 
-@trouble("an endpoint names a rate")
-def names(story):
+@trouble("an endpoint announces a limit")
+def announces(story):
     story.set_rate(some(story), story.drawn.choice((0.2, 1.4, 3.0)))
 
 
-@trouble("an endpoint names a rate, and it falls and rises")
-def falls(story):
+@trouble("an endpoint announces a limit, and it falls and rises")
+def falls_and_rises(story):
     name = some(story)
     start = story.runners.start_of(name)
 
@@ -43,8 +43,8 @@
     story.fleet.at(story.fleet.now + 6.0, lambda: change(4.0))
 
 
-@trouble("an endpoint names a rate by turns")
-def by_turns(story):
+@trouble("an endpoint announces and ends a limit in turn")
+def alternates(story):
     name = some(story)
     start = story.runners.start_of(name)
 
@@ -52,32 +52,32 @@
         if story.runners.start_of(name) == start:
             story.set_rate(name, rate)
 
-    for turn in range(4):
-        rate = 1.0 if turn % 2 == 0 else None
-        story.fleet.at(story.fleet.now + 1.5 * turn, lambda rate=rate: change(rate))
+    for step in range(4):
+        rate = 1.0 if step % 2 == 0 else None
+        story.fleet.at(story.fleet.now + 1.5 * step, lambda rate=rate: change(rate))
 
 
-@trouble("all endpoints name a rate")
-def all_name(story):
+@trouble("all endpoints announce a limit")
+def all_announce(story):
     for number in range(story.fleet.plan.endpoints):
         story.set_rate(f"e{number}", 2.0)
 
 
-@trouble("no endpoint names a rate any more")
-def none_name(story):
+@trouble("all limits end")
+def all_end(story):
     for number in range(story.fleet.plan.endpoints):
         if f"e{number}" in story.runners.rates:
             story.set_rate(f"e{number}", None)
 
 
 class RateStory(NoticeStory):
-    """A story with the rates that each process named, and when they changed."""
+    """A run with the limits that each process announced, and when they changed."""
 
     troubles = {**TROUBLES, **RATE_TROUBLES}
 
     def __init__(self, nodes, seed):
         super().__init__(nodes, seed)
-        # By process: the moments at which it began to name another rate, None for none.
+        # By process: when its limit changed, and to what; None if it ended.
         self.named = {}
 
     def set_rate(self, name, rate):
@@ -88,8 +88,8 @@
         rows = self.named.setdefault((name, self.runners.start_of(name)), [])
         rows.append((self.fleet.now, rate))
 
-    def spells(self):
-        """List for how long processes named rates without a break, and the highest of them."""
+    def periods(self):
+        """List the periods in which a process announced limits throughout, with the highest."""
         for process, rows in self.named.items():
             began, highest = None, 0.0
             for at, rate in [*rows, (self.fleet.now, None)]:
@@ -101,9 +101,9 @@
                     highest = max(highest, rate)
 
     def rate_faults(self):
-        """List the spells in which a process got more than users bear."""
+        """List the periods in which a process got more than users tolerate."""
         found = []
-        for (name, start), began, ended, highest in self.spells():
+        for (name, start), began, ended, highest in self.periods():
             told = {}
             for word in self.runners.words:
                 if (word.endpoint, word.start) != (name, start) or word.notice.rate is None:
@@ -123,7 +123,7 @@
         return found
 
     def _counts(self, one, told):
-        """Say whether an arrival is of a node that had been told, and has not failed since."""
+        """Return whether an arrival is from a node that knew the limit and has not frozen since."""
         node = self.fleet.nodes[one.node]
         heard_at = told.get(node)
         if heard_at is None or one.at < heard_at + TOLD_S:
--- a/features/steps/allotment_steps.py
+++ b/features/steps/allotment_steps.py
@@ -28,7 +28,7 @@
         self.asked = []
 
     def run(self, tokens_per_s, seconds, only=None):
-        """Ask for so many tokens a second; each request is of 300 to 2,700."""
+        """Send requests of 300 to 2,700 tokens each, at this rate of tokens a second."""
         fleet = self.fleet
         end = fleet.now + seconds
         next_at = fleet.now
@@ -60,7 +60,7 @@
             )
 
     def most_in_window(self, window_s=8.0):
-        """Give the most tokens of requests sent and run within a window, and when."""
+        """Return the most tokens sent and started within any window, and when it starts."""
         rows = [(sent, began, arrived.told_tokens) for sent, began, arrived in self.fleet.runs]
         most = (0.0, 0.0)
         for start, _, _ in rows:
@@ -110,8 +110,8 @@
     assert most <= bound(context.rate), (most, bound(context.rate), at - context.surged_at)
 
 
-@then("at least {share:g} of what it might have run has run")
-def has_run(context, share):
+@then("at least {share:g} of the permitted usage has run")
+def permitted_usage_ran(context, share):
     ran = context.demand.ran_between(context.surged_at, context.fleet.now)
     assert ran >= share * context.may_run, (ran, context.may_run)
 
@@ -120,7 +120,7 @@
     "an organisation with {rate:d} tokens a second asks for {times:g} times its limit, "
     "and after 10 s {trouble}"
 )
-def asks_in_trouble(context, rate, times, trouble):
+def asks_during_fault(context, rate, times, trouble):
     fleet = context.fleet = fleet_with(len(context.story.fleet.nodes), rate)
     context.rate = rate
     demand = context.demand = Demand(fleet)
@@ -179,17 +179,17 @@
     fleet.run(1.0)
 
 
-@then("in the {length:d} s after {start:d} s at least {share:g} of what it might have run has run")
+@then("in the {length:d} s after {start:d} s at least {share:g} of the permitted usage has run")
 def ran_after(context, length, start, share):
     begin = context.trouble_at + start
     ran = context.demand.ran_between(begin, begin + length)
-    # A smaller limit lets nothing in until what ran before has left the window.
+    # After the limit was lowered nothing is admitted until earlier usage has left the window.
     may_run = context.rate * length if context.rate_then == context.rate else 0.0
     assert ran >= share * may_run, (ran, may_run)
 
 
 @when("an organisation asks for 2 times its limit while no endpoint has room")
-def no_room(context):
+def asks_without_room(context):
     fleet = context.fleet = fleet_with(20, 2_700)
     for number in range(fleet.plan.endpoints):
         fleet.write_entry(f"e{number}", "leaving", "m")
@@ -199,8 +199,8 @@
     fleet.run(1.0)
 
 
-@then("nothing counts against it a second later")
-def nothing_counts(context):
+@then("no usage is counted for it a second later")
+def no_usage_counted(context):
     fleet = context.fleet
     assert not fleet.runs
     assert {one.reason for _, one in fleet.refusals} <= {"absent", "none_open", "no_room"}
@@ -210,7 +210,7 @@
 
 
 @then("no node has asked how new the configuration is")
-def none_asked(context):
+def no_proofs_asked(context):
     fleet = context.fleet
     before = sum(node.store_calls for node in fleet.live())
     fleet.run(4.0)
--- a/features/steps/organisation_steps.py
+++ b/features/steps/organisation_steps.py
@@ -77,7 +77,7 @@
     return configuration.read_table(Stored("main", 3, raw))
 
 
-def relaying(table):
+def relay_node_with(table):
     node = RelayHarness()
     node.state.table = None
     node.state.proof_terms = ProofTerms(5.0)
@@ -104,17 +104,17 @@
 @given("a configuration {which} organisations")
 def with_organisations(context, which):
     table = read_raw(raw_table(TENANTS if which == "with" else None))
-    context.node = relaying(table)
+    context.node = relay_node_with(table)
 
 
-@when("a request comes with the headers: {headers}")
-def comes_with(context, headers):
+@when("a request arrives with the headers: {headers}")
+def request_arrives(context, headers):
     request = make_request(headers.replace("\\|", "|").split("|"))
     context.verdict = judge(context.node, request)
 
 
-@then("it is of {name}")
-def is_of(context, name):
+@then("it belongs to {name}")
+def belongs_to(context, name):
     assert context.verdict.status == 0, context.verdict
     assert context.verdict.organisation.name == name
 
@@ -125,9 +125,10 @@
 
 
 @when(
-    "a request comes {seconds:g} s after the configuration was proved, with a key that is unknown"
+    "a request with an unknown key arrives {seconds:g} s "
+    "after the configuration was proved the newest"
 )
-def comes_unknown(context, seconds):
+def unknown_key_arrives(context, seconds):
     node = context.node
     node.now += seconds
     context.asked_at = node.now
@@ -138,13 +139,13 @@
     )
 
 
-@then("it waits for a newer one")
+@then("it waits for a newer proof")
 def waits_for_newer(context):
     assert context.verdict.waits and context.verdict.status == 503, context.verdict
 
 
-@then("once that was proved after the request it is refused 401")
-def refused_then(context):
+@then("once the configuration was proved the newest after its arrival, it gets 401")
+def refused_once_proved(context):
     node = context.node
     node.now += 0.6
     node.submit(TableProved(node.now, context.asked_at + 0.1, 7))
@@ -152,7 +153,7 @@
     assert (verdict.status, verdict.waits) == (401, False), verdict
 
 
-@then("{number:d} drawn header lines give it to the holder of the whole key, or to nobody")
+@then("{number:d} random header lines assign it to the organisation of the whole key, or to none")
 def drawn_headers(context, number):
     key = strategies.sampled_from([*KEYS, "key-a", "key-a11", "KEY-A1"])
     scheme = strategies.sampled_from(["Token", "token", "TOKEN", "Bearer", "Token Token", ""])
@@ -182,8 +183,11 @@
     check()
 
 
-@when("a request of {whose} goes to an endpoint with a key and another's name in its headers")
-def goes_to_endpoint(context, whose):
+@when(
+    "a request of {whose} is sent to an endpoint, "
+    "with a key and another organisation's name in its headers"
+)
+def sent_to_endpoint(context, whose):
     rows = (
         (b"Authorization", b"Token key-a1"),
         (b"x-rookspring-tenant", b"org-b"),
@@ -196,8 +200,8 @@
     context.seen = [(key.lower(), value) for key, value in headers]
 
 
-@then("the endpoint sees {seen}")
-def endpoint_sees(context, seen):
+@then("the endpoint receives {seen}")
+def endpoint_receives(context, seen):
     expected = {
         "the name org-a": ([b"org-a"], []),
         "neither": ([], []),
@@ -209,8 +213,8 @@
     assert (b"x-other", b"1") in context.seen
 
 
-@when("a configuration comes in which {field} is {value}")
-def malformed_comes(context, field, value):
+@when("a configuration arrives in which {field} is {value}")
+def configuration_arrives(context, field, value):
     tenants = [dict(TENANTS[0]), TENANTS[1]]
     tenants[0][field] = orjson.loads(value)
     context.error = None
@@ -220,14 +224,14 @@
         context.error = str(error)
 
 
-@then("it is malformed, and the error names {named} and no key")
+@then("it is rejected as malformed, and the error names {named} and no key")
 def is_malformed(context, named):
     assert context.error and named in context.error, context.error
     assert not any(key in context.error for key in KEYS), context.error
 
 
 @then("a request of org-a on a route of rank 1 has rank 0, and one of org-b rank 1")
-def ranks(context):
+def organisation_ranks(context):
     table = context.node.state.table
     route = table.match("h", "/a/x")
     request = make_request([])
@@ -239,7 +243,7 @@
     assert found == [0, 1], found
 
 
-# Until when.
+# Revoked keys.
 
 
 @given("{nodes:d} relay nodes with organisations that have run for {seconds:g} s")
@@ -248,8 +252,8 @@
     context.story.fleet.run(seconds)
 
 
-@when("{trouble} for {seconds:g} s, and a key is taken away 1 s later")
-def key_taken(context, trouble, seconds):
+@when("{trouble} for {seconds:g} s, and a key is revoked 1 s later")
+def key_revoked(context, trouble, seconds):
     story = context.story
     end = troubles[trouble](story.fleet)
     story.run(1.0)
@@ -259,19 +263,19 @@
     story.run(4.0)
 
 
-@then("no node lets that key in more than {seconds:g} s after it was taken away")
-def none_lets_in(context, seconds):
+@then("no node accepts that key more than {seconds:g} s after it was revoked")
+def no_node_accepts(context, seconds):
     assert context.story.checks > 0
     assert not context.story.wrong, context.story.wrong[:3]
 
 
 @then(
-    "{seconds:g} s after the trouble each node lets in the keys that are left, "
-    "and 401 is said of that one"
+    "{seconds:g} s after the fault each node accepts the remaining keys, "
+    "and refuses that one with 401"
 )
-def lets_in_again(context, seconds):
+def accepts_remaining(context, seconds):
     story = context.story
-    # A request of an unknown key waits for so long until it is told 401.
+    # A request with an unknown key waits for this long before it is refused with 401.
     asked_at = story.fleet.now
     story.run(defaults.KEY_WAIT_S)
     found = {node.name: story.statuses(node, asked_at) for node in story.fleet.live()}
@@ -280,8 +284,8 @@
     assert not wrong, wrong
 
 
-@then("{number:d} drawn stories of {nodes:d} nodes never let a key in past its bound")
-def drawn_stories(context, number, nodes):
+@then("{number:d} random runs of {nodes:d} nodes never accept a key after its bound")
+def random_runs(context, number, nodes):
     act = strategies.sampled_from([*troubles, "take", "give", "pass on", "end", "end"])
     acts = strategies.lists(strategies.tuples(act, strategies.integers(1, 30)), max_size=12)
 
@@ -308,10 +312,10 @@
 
 
 @when(
-    "at {now:g} s a word comes that was asked for at {stamp:g} s, "
-    "of a proof that was {age:g} s old then"
+    "at {now:g} s an answer arrives to a question of {stamp:g} s, "
+    "with a proof that was {age:g} s old"
 )
-def word_comes(context, now, stamp, age):
+def answer_arrives(context, now, stamp, age):
     node = RelayHarness()
     node.submit(RouteTableSeen(now, make_table(version=5)))
     node.submit(TableProved(now, stamp - age, 5))
@@ -325,8 +329,8 @@
     assert context.node.state.freshness.at == at
 
 
-@then("a word on version 9, asked for at {stamp:g} s, proves nothing before version 9 is in force")
-def word_ahead(context, stamp):
+@then("a proof of version 9, asked for at {stamp:g} s, counts only once version 9 is in force")
+def proof_of_newer_version(context, stamp):
     node = context.node
     before = node.state.freshness.at
     node.submit(TableProved(stamp + 3, stamp, 9))
@@ -338,7 +342,7 @@
 @given("a relaying node with organisations and a request of org-a that waits")
 def request_waits(context):
     table = make_table(2, [make_route()])._replace(directory=directory_of(KEYS))
-    node = context.node = relaying(table)
+    node = context.node = relay_node_with(table)
     node.list_endpoints(["e"], "svc", "service")
     terms = RouteTerms("r", "svc", 2, 1, 1, 9.0, 9.0)
     node.submit(node.report("e", slots=1))
@@ -352,8 +356,8 @@
     assert node.state.allotments.sums(node.now) == {"org-a": 700.0}
 
 
-@when("its key is taken away, and room comes")
-def taken_then_room(context):
+@when("its key is revoked, and an endpoint has room")
+def revoked_then_room(context):
     node = context.node
     holders = {key: name for key, name in KEYS.items() if key != "key-a1"}
     table = make_table(3, [make_route()])._replace(directory=directory_of(holders))
@@ -363,7 +367,7 @@
     node.submit(node.report("f", slots=1))
 
 
-@when("nothing has proved the configuration for 5 s, and room comes")
+@when("the configuration has not been proved for 5 s, and an endpoint has room")
 def unproved_then_room(context):
     node = context.node
     node.now += 5.0
@@ -371,7 +375,7 @@
     node.submit(node.report("f", slots=1))
 
 
-@then("it ended with {status:d} {reason}, and its tokens are given back")
+@then("it ended with {status:d} {reason}, and its tokens are refunded")
 def ended_with(context, status, reason):
     node = context.node
     (refusal,) = node.refused
--- a/features/steps/rate_limit_node_steps.py
+++ b/features/steps/rate_limit_node_steps.py
@@ -1,4 +1,4 @@
-"""A rate that an endpoint names, at one node: how long it holds, and the ways round it."""
+"""The rate limit of an endpoint at one node: how long it applies, and how it is enforced."""
 
 import random
 
@@ -38,7 +38,7 @@
 
 
 class RateHarness(NoticeHarness):
-    """A node with endpoints that hold the model m, the first of which names a rate."""
+    """A node with endpoints that hold the model m, the first of which has a rate limit."""
 
     def __init__(self, *names):
         self.asked = []
@@ -69,13 +69,13 @@
         return view.rate if view is not None else None
 
 
-@given("a node, and an endpoint of start 5 that names 2 requests a second")
-def names_two(context):
+@given("a node, and an endpoint with start 5 and a rate limit of 2 requests a second")
+def limited_endpoint(context):
     context.node = RateHarness()
     assert context.node.rate == 2.0
 
 
-# How long it holds.
+# How long the limit applies.
 
 AFTER = {}
 
@@ -146,53 +146,55 @@
 
 AFTER.update(
     {
-        "nothing else": lambda node: None,
-        "an answer sent at 1 s, heard at 2 s, names none": _answer(1.0, 2.0),
-        "an answer sent at -1 s, heard at 2 s, names none": _answer(-1.0, 2.0),
-        "an answer sent at -1 s, heard at 2 s, names 5": _answer(-1.0, 2.0, 5.0),
-        "an answer sent at -1 s, heard at 2 s, names 1": _answer(-1.0, 2.0, 1.0),
-        "an answer sent at 1 s, heard at 2 s, names 5": _answer(1.0, 2.0, 5.0),
-        "an answer sent at 1 s, heard at 2 s, names 1e9": _answer(1.0, 2.0, 1e9),
-        "an answer sent at 1 s, heard at 2 s, names 0": _answer(1.0, 2.0, 0.0),
-        "an answer sent at 1 s, heard at 2 s, names what can't be read": _answer(
+        "nothing else happens": lambda node: None,
+        "an answer to a request of 1 s, received at 2 s, has no limit": _answer(1.0, 2.0),
+        "an answer to a request of -1 s, received at 2 s, has no limit": _answer(-1.0, 2.0),
+        "an answer to a request of -1 s, received at 2 s, has limit 5": _answer(-1.0, 2.0, 5.0),
+        "an answer to a request of -1 s, received at 2 s, has limit 1": _answer(-1.0, 2.0, 1.0),
+        "an answer to a request of 1 s, received at 2 s, has limit 5": _answer(1.0, 2.0, 5.0),
+        "an answer to a request of 1 s, received at 2 s, has limit 1e9": _answer(1.0, 2.0, 1e9),
+        "an answer to a request of 1 s, received at 2 s, has limit 0": _answer(1.0, 2.0, 0.0),
+        "an answer to a request of 1 s, received at 2 s, has a malformed limit": _answer(
             1.0, 2.0, notice=Notice(names_rate=True, malformed="x")
         ),
-        "an answer to another request names none": lambda node: node.hear(None, None),
-        "its report names none": lambda node: node.hear(None, None),
-        "its report names 1": lambda node: node.hear(1.0, None),
-        "its entry lapses and comes back": _lapses,
-        "it starts again, with start 6": _born(6),
-        "it starts again, with start 4, and is sure": _born(4, sure=True),
-        "it starts again, and an answer of before names 3": _starts_and_late,
-        "its sure start 4 names 3, and a word of start 5 comes late": _earlier_and_late,
-        "another node tells at 0.5 s that it names none any more": _told(
-            0.5, RateWord("e1", 5, 2, None)
+        "an answer to an unknown request has no limit": lambda node: node.hear(None, None),
+        "its report has no limit": lambda node: node.hear(None, None),
+        "its report has limit 1": lambda node: node.hear(1.0, None),
+        "its entry expires and is listed again": _lapses,
+        "it restarts, with start 6": _born(6),
+        "it restarts, with the earlier start 4 confirmed": _born(4, sure=True),
+        "it restarts, and an answer of the previous process has limit 3": _starts_and_late,
+        "its confirmed start 4 has limit 3, and a record of start 5 comes late": _earlier_and_late,
+        "another node's record at 0.5 s ends the limit": _told(0.5, RateWord("e1", 5, 2, None)),
+        "another node's record at 3 s ends the limit": _told(3.0, RateWord("e1", 5, 2, None)),
+        "another node's record of an older version arrives": _told(3.0, RateWord("e1", 5, 0, None)),
+        "another node's record of the same version has limit 4": _told(
+            3.0, RateWord("e1", 5, 1, 4.0)
         ),
-        "another node tells at 3 s that it names none any more": _told(
-            3.0, RateWord("e1", 5, 2, None)
+        "another node's record of the same version has limit 1": _told(
+            3.0, RateWord("e1", 5, 1, 1.0)
         ),
-        "another node tells late what was before": _told(3.0, RateWord("e1", 5, 0, None)),
-        "another node tells of 4 at the same version": _told(3.0, RateWord("e1", 5, 1, 4.0)),
-        "another node tells of 1 at the same version": _told(3.0, RateWord("e1", 5, 1, 1.0)),
-        "it is on no list for 11 minutes": _long_gone,
-        "it is listed for 11 minutes and says nothing": _long_there,
+        "it is not listed for 11 minutes": _long_gone,
+        "it is listed for 11 minutes and sends no answer": _long_there,
     }
 )
 
 
-@when("then: {then}")
-def afterwards(context, then):
-    AFTER[then](context.node)
+@when("afterwards {event}")
+def afterwards(context, event):
+    AFTER[event](context.node)
 
 
-@then("it is known to take {what}")
-def known_to_take(context, what):
-    expected = None if what == "any" else float(what)
+@then("its known limit is {limit}")
+def known_limit_is(context, limit):
+    expected = None if limit == "none" else float(limit)
     assert context.node.rate == expected, context.node.rate
 
 
-@then("{number:d} drawn words of rates give the same in any order, told once or twice")
-def words_merge(context, number):
+@then(
+    "{number:d} random sets of records merge to the same state in any order, received once or twice"
+)
+def records_merge(context, number):
     word = strategies.builds(
         RateWord,
         strategies.sampled_from("ab"),
@@ -216,24 +218,24 @@
     check()
 
 
-# Ways round it.
+# Nothing is sent without a permit.
 
 
-def _sent_by_turn(node, **fields):
-    """Have a request sent there by its turn; gives its dispatch."""
+def _sent_with_permit(node, **fields):
+    """Have a request sent there with its permit; returns its dispatch."""
     assert node.come(**fields) == ""
     node.grant()
     return node.sent[-1]
 
 
-def _second_try(node):
-    one = _sent_by_turn(node, attempts=3)
+def _retry(node):
+    one = _sent_with_permit(node, attempts=3)
     node.submit(AttemptStarted(node.now, one.request_id, 1))
     node.submit(AttemptFailed(node.now, one.request_id, 1, True, True, "refused with 503"))
 
 
-def _stream(node):
-    one = _sent_by_turn(node, attempts=3)
+def _resumed_stream(node):
+    one = _sent_with_permit(node, attempts=3)
     node.submit(AttemptStarted(node.now, one.request_id, 1))
     node.submit(AttemptProgressed(node.now, one.request_id, 1, 3))
     failed = AttemptFailed(
@@ -242,14 +244,14 @@
     node.submit(failed)
 
 
-def _silent(node):
+def _owner_silent(node):
     node.come()
     node.pass_time(1.0)
     assert [one.outcome for one in node.refused] == ["not_run"], node.refused
     assert node.refused[0].retry_after_s > 0.0
 
 
-def _late(node):
+def _owner_late(node):
     node.come()
     asked = node.asked[-1]
     node.now += 0.6
@@ -257,14 +259,14 @@
     assert [one.unsent for one in node.freed] == [True], node.freed
 
 
-def _earlier(node):
+def _earlier_question(node):
     node.come()
     asked = node.asked[-1]._replace(queue="@e9")
     node.grant(asked)
     assert [one.unsent for one in node.freed] == [True], node.freed
 
 
-def _left(node):
+def _caller_left(node):
     node.come()
     asked = node.asked[-1]
     node.submit(CallerLeft(node.now, asked.request_id))
@@ -272,7 +274,7 @@
     assert [one.unsent for one in node.freed] == [True], node.freed
 
 
-def _rests(node):
+def _in_back_off(node):
     node.come()
     node.say(Notice(turned_away=True, rest_s=3.0, rate=2.0, names_rate=True))
     node.grant()
@@ -285,7 +287,7 @@
     node.come()
 
 
-def _waited(node):
+def _queued_before(node):
     node.hear(None, node.now + 1.0)
     node.now += 2.0
     node.hear(None, node.now)
@@ -297,34 +299,34 @@
     node.end(node.sent[0])
 
 
-WAYS = {
-    "a second try is due, and it is the only one": _second_try,
-    "a stream broke off there and is to go on": _stream,
-    "its owner does not answer": _silent,
-    "its owner's answer comes 0.3 s late": _late,
-    "its owner's answer is to an earlier question": _earlier,
-    "the caller leaves before its owner's answer": _left,
-    "the endpoint is at rest when its turn comes": _rests,
-    "it is ejected, and it is the only one": _ejected,
-    "a request that was let in has waited for another": _waited,
+CASES = {
+    "a retry is due, and it is the only endpoint": _retry,
+    "a stream broke there and is to be resumed": _resumed_stream,
+    "its owner does not answer": _owner_silent,
+    "its owner's answer comes 0.3 s late": _owner_late,
+    "its owner's answer is to an earlier question": _earlier_question,
+    "the caller disconnects before the owner's answer": _caller_left,
+    "the endpoint is in back-off when the permit comes": _in_back_off,
+    "it is ejected, and it is the only endpoint": _ejected,
+    "a request was queued before the limit was known": _queued_before,
 }
 
 
-@when("by the way round it: {way}")
-def way_round(context, way):
+@when("this happens: {case}")
+def case_happens(context, case):
     node = context.node
     context.before = len(node.sent)
-    WAYS[way](node)
+    CASES[case](node)
     context.before = getattr(node, "sent_before", context.before)
 
 
-@then("it got no request without a turn")
+@then("it got no request without a permit")
 def none_without(context):
     node = context.node
     sent = node.sent[context.before :]
     assert len(sent) <= 1, sent
     if sent:
-        # The first try, by its turn; what follows has asked anew.
+        # The first attempt used its permit; the next one has asked for another.
         assert sent[0].attempt == 1 and len(node.asked) == 2, node.asked
 
 
@@ -338,43 +340,43 @@
     node.come(adapter="m/a1")
 
 
-@then("its owner is asked to have it wait")
+@then("its owner is asked for a permit, and the request may wait for it")
 def may_wait(context):
     (asked,) = context.node.asked
     assert asked.queue == "@e1" and asked.wait_s > 0.0, asked
 
 
-@when("its turn comes, and nothing can be sent")
-def turn_unused(context):
+@when("its permit comes, and nothing can be sent")
+def permit_unused(context):
     node = context.node
-    one = _sent_by_turn(node)
+    one = _sent_with_permit(node)
     node.submit(AttemptFailed(node.now, one.request_id, 1, False, False, "no way", withheld=True))
 
 
-@then("the turn was given back as unsent, once")
+@then("the permit was returned as unsent, once")
 def unsent_once(context):
     assert [(one.queue, one.unsent) for one in context.node.freed] == [("@e1", True)]
 
 
 class RatedSlots(SlotHarness):
-    """A node whose plain service's one endpoint names a rate; its owner has not answered yet."""
+    """A node with a plain service of one endpoint; the owner has not answered its request yet."""
 
     def give(self, rated):
         self.submit(SlotAnswered(self.now, "r1", "svc", "f", 0.0, rated))
 
 
-@given("a plain service's node, and its endpoint names 2 requests a second")
+@given("a node, and a plain service whose endpoint has a rate limit of 2 requests a second")
 def rated_service(context):
     context.node = node = RatedSlots()
     node.submit(EndpointSaid(node.now, "f", 0, naming(2.0), "f"))
 
 
-@when("its owner gives a slot that {counts}")
+@when("its owner grants a slot that {counts}")
 def gives_slot(context, counts):
-    context.node.give(counts == "counts towards the rate")
+    context.node.give(counts == "counts towards the limit")
 
 
-@then("the rated endpoint gets {what}")
+@then("that endpoint gets {what}")
 def rated_gets(context, what):
     expected = {"nothing": [], "work": ["f"]}[what]
     assert [one.endpoint for one in context.node.sent] == expected
@@ -385,13 +387,13 @@
 # The owner's queue.
 
 
-@given("the queue of an endpoint that takes 2 requests a second, with none in hand")
+@given("the queue of an endpoint with a rate limit of 2 requests a second and no permits left")
 def rated_queue(context):
     queue = context.queue = SlotQueue()
     queue.use([SlotEndpoint("e", 0, 2.0)], 0.0, 100.0)
 
 
-@when("requests of ranks 2, 1, 0 and of a loud and a quiet organisation come at once")
+@when("requests of ranks 2, 1, 0 and of a loud and a quiet organisation arrive at once")
 def ranks_come(context):
     rows = [(2, "loud"), (2, "loud"), (2, "loud"), (2, "quiet"), (1, "loud"), (0, "loud")]
     for number, (rank, whose) in enumerate(rows):
@@ -400,8 +402,8 @@
         assert not answer.endpoint and not answer.after_s
 
 
-@then("they are let in by rank, and the quiet one between the loud ones")
-def let_in(context):
+@then("they are admitted by rank, and the quiet organisation's between the loud one's")
+def admitted(context):
     keys = []
     for step in range(80):
         now = 100.0 + step * 0.05
@@ -412,8 +414,10 @@
     assert most_in_window([at for at, _ in keys]) <= aimed(2.0)
 
 
-@then("{number:d} drawn stories of turns taken and given back keep the rate of what was sent")
-def turns_given_back(context, number):
+@then(
+    "in {number:d} random sequences of permits taken and returned, what is sent keeps to the limit"
+)
+def permits_returned(context, number):
     @drawing(max_examples=number, derandomize=True, deadline=None)
     @drawn(strategies.integers(0, 1_000_000), strategies.sampled_from((0.5, 1.4, 6.0, 30.0)))
     def check(seed, rate):
@@ -441,7 +445,9 @@
 # The planner.
 
 
-@given("a lease holder over runners, the one that holds the model names 0.5 requests a second")
+@given(
+    "a lease holder over runners, and the one with the model has a limit of 0.5 requests a second"
+)
 def rated_holder(context):
     context.holder = holder = HolderHarness(["m", "n"])
     holder.orders.clear()
@@ -450,8 +456,8 @@
     holder.submit(EndpointSaid(holder.now, "e1", 0, naming(0.5), "e1", asked_at=holder.now))
 
 
-@when("8 requests a second are asked of that model")
-def asked_much(context):
+@when("8 requests a second arrive for that model")
+def many_arrive(context):
     holder = context.holder
     for _ in range(80):
         holder.demand("m", 24_000.0)
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -1,4 +1,4 @@
-"""Endpoints that name the requests a second they take, over whole fleets."""
+"""Rate limits of endpoints, over whole fleets."""
 
 import functools
 import random
@@ -28,19 +28,22 @@
 
 LIMITED = "e0"
 ASKED = "asked"
-# From when on a rate is to be used: its owner has to have settled by then.
+# The limit has to be used from then on: its owner grants permits only after OWNER_SETTLES_S.
 USED_AFTER_S = 5.0
 
 
-@given("{nodes:d} nodes, and an endpoint among {endpoints:d} that names {rate:g} requests a second")
-def names_rate(context, nodes, endpoints, rate):
+@given(
+    "{nodes:d} nodes and {endpoints:d} endpoints, "
+    "one with a rate limit of {rate:g} requests a second"
+)
+def limited_endpoint(context, nodes, endpoints, rate):
     context.stage = FleetCallers(nodes, endpoints)
     context.stage.runners.rates[LIMITED] = context.rate = rate
     context.drawn = random.Random(7)
     context.sent = {}
 
 
-def come_for(context, asked, seconds):
+def send_requests(context, asked, seconds):
     stage = context.stage
     end = stage.fleet.now + seconds
     while stage.fleet.now < end:
@@ -50,38 +53,36 @@
         stage.fleet.run(context.drawn.expovariate(asked))
 
 
-@when("{asked:g} requests a second come to nodes by chance for {seconds:g} s")
-def come_by_chance(context, asked, seconds):
-    come_for(context, asked, seconds)
+@when("{asked:g} requests a second arrive at random nodes for {seconds:g} s")
+def requests_arrive(context, asked, seconds):
+    send_requests(context, asked, seconds)
 
 
-@when("nobody asks for {seconds:g} s")
-def nobody_asks(context, seconds):
+@when("no requests arrive for {seconds:g} s")
+def no_requests(context, seconds):
     context.stage.fleet.run(seconds)
 
 
-@then("no node keeps a queue of it")
+@then("no node keeps a queue for the endpoint")
 def no_queue(context):
     kept = [node.name for node in context.stage.fleet.live() if node.state.slot_queues]
     assert not kept, kept
 
 
-@then("in no 4 s it got more than users bear, from nodes that it had told")
-def got_no_more(context):
+@then("in no 4 s it got more than users tolerate, from nodes that knew its limit")
+def within_tolerance(context):
     found = most_in_window(told_arrivals(context.stage.runners, LIMITED))
     assert 0 < found <= borne(context.rate), (found, borne(context.rate))
 
 
-@then("in no 4 s it got more than it names, from whichever node")
-def got_what_it_names(context):
+@then("in no 4 s it got more than its limit, from all nodes")
+def within_limit(context):
     found = most_in_window(all_arrivals(context.stage.runners, LIMITED))
     assert 0 < found <= aimed(context.rate), (found, aimed(context.rate))
 
 
-@then(
-    "in no 4 s it got more than it names, from whichever node, and what {owners:d} may have in hand"
-)
-def got_of_owners(context, owners):
+@then("in no 4 s it got more than its limit with the bursts of {owners:d} owners")
+def within_limit_of_owners(context, owners):
     found = most_in_window(all_arrivals(context.stage.runners, LIMITED))
     most = aimed(context.rate, owners)
     assert 0 < found <= most, (found, most)
@@ -93,15 +94,15 @@
     return len(there) / (context.rate * (context.stage.fleet.now - moment))
 
 
-@then("it got nine tenths of what it names")
+@then("it got nine tenths of its limit")
 def used_nine_tenths(context):
-    # A turn that falls on the last moment may be counted or not.
+    # A permit that is due at the very end may be counted or not.
     begins = first_named(context.stage.runners, LIMITED) + USED_AFTER_S
     due = context.rate * (context.stage.fleet.now - begins)
     assert used_since(context, begins) >= 0.9 - 1.0 / due, used_since(context, begins)
 
 
-@then("in the last {seconds:g} s it got at least {share:g} of what it names")
+@then("in the last {seconds:g} s it got at least {share:g} of its limit")
 def used_lately(context, seconds, share):
     found = used_since(context, context.stage.fleet.now - seconds)
     assert found >= share, found
@@ -112,23 +113,23 @@
     assert not context.stage.fleet.refusals, context.stage.fleet.refusals[0]
 
 
-@then("whoever was refused was told so within {seconds:g} s, and a time to come back")
-def told_soon(context, seconds):
+@then("each refusal came within {seconds:g} s, with a time to retry")
+def refused_soon(context, seconds):
     refusals = context.stage.fleet.refusals
     assert refusals
     for at, one in refusals:
         assert one.outcome == "not_run" and one.retry_after_s > 0.0, one
         assert at - context.sent[one.request_id] <= seconds, (at, one)
-    # Told one moment all would come back for one turn.
-    told = {round(at + one.retry_after_s, 2) for at, one in refusals[-20:]}
-    assert len(told) > 10, told
+    # With the same time to retry, all would come back for one permit.
+    retry_at = {round(at + one.retry_after_s, 2) for at, one in refusals[-20:]}
+    assert len(retry_at) > 10, retry_at
 
 
-# What becomes of the node that keeps the sum.
+# Faults of the owner.
 
 
 def owner_of(fleet):
-    """Name the owner of the endpoint's queue, as a node that may own it sees it."""
+    """Return the owner of the endpoint's queue, by the view of a node that may own it."""
     state = next(
         node.state for node in fleet.live() if node.state.topology.mesh or node.state.topology.relay
     )
@@ -157,13 +158,13 @@
     fleet.nodes[owner].frozen = True
 
 
-@trouble("its owner freezes and goes on 3 s later")
+@trouble("its owner freezes and resumes 3 s later")
 def _thaws(fleet, owner):
     fleet.nodes[owner].frozen = True
     fleet.at(fleet.now + 3.0, functools.partial(fleet.thaw, owner))
 
 
-@trouble("its owner leaves as planned")
+@trouble("its owner shuts down gracefully")
 def _leaves(fleet, owner):
     with fleet.running():
         fleet.drain(owner)
@@ -174,18 +175,18 @@
     cut_off(fleet, owner)
 
 
-@trouble("its owner is started again")
+@trouble("its owner restarts")
 def _starts(fleet, owner):
     fleet.kill(owner)
     fleet.at(fleet.now + 1.0, functools.partial(fleet.start, int(owner[1:])))
 
 
-@trouble("its owner reaches no store")
+@trouble("its owner can't reach the store")
 def _storeless(fleet, owner):
     fleet.cut_from_store.add(owner)
 
 
-@trouble("no node reaches the store")
+@trouble("no node can reach the store")
 def _all_storeless(fleet, owner):
     fleet.cut_from_store |= set(fleet.nodes)
 
@@ -207,7 +208,7 @@
 
 def _register(text, function):
     @when(text)
-    def befalls(context):
+    def fault_begins(context):
         owner = owner_of(context.stage.fleet)
         assert owner
         function(context.stage.fleet, owner)
@@ -217,11 +218,11 @@
     _register(_text, _function)
 
 
-# Who was not there.
+# Nodes that were away.
 
 
-@when("{node} {was}, and is asked alone from then on")
-def was_not_there(context, node, was):
+@when("{node} {was}, and then receives all requests")
+def was_away(context, node, was):
     fleet = context.stage.fleet
     name = context.name = pick(fleet, node)
     if was == "is started":
@@ -256,11 +257,11 @@
     assert len(there) <= rate * seconds + 2, (len(there), seconds)
 
 
-# Stories.
+# Random runs.
 
 
-@then("{number:d} drawn stories of {nodes:d} nodes send no endpoint more than it names")
-def stories_hold(context, number, nodes):
+@then("{number:d} random runs of {nodes:d} nodes send no endpoint more than its limit")
+def random_runs_hold(context, number, nodes):
     names = [*RATE_TROUBLES, *RATE_TROUBLES, *TROUBLES, *node_troubles, "end", "end"]
     acts = strategies.lists(
         strategies.tuples(strategies.sampled_from(names), strategies.integers(0, 20)),
--- a/features/steps/relay_lease_steps.py
+++ b/features/steps/relay_lease_steps.py
@@ -37,14 +37,14 @@
 
 
 @when("it is asked who may take the lease")
-def asked_who(context):
+def list_candidates(context):
     state = context.relay_node.state
     up_s = state.now - state.started_at
     context.names = state.membership.successors(up_s, state.now, None)
 
 
 @then("those are {names}")
-def those_are(context, names):
+def candidates_are(context, names):
     if names.startswith("not "):
         assert names.removeprefix("not ") not in context.names, context.names
     elif names.endswith(" first"):
@@ -85,7 +85,7 @@
 
 
 @then("it does not hold the lease and tells that the epoch has ended")
-def let_go(context):
+def lease_dropped(context):
     assert context.ended == 1, context.ended
     assert not context.holder.state.control.holding(context.holder.now)
 
@@ -101,7 +101,7 @@
             assert lease.answer(LeaseWritten(now, now, wish.nonce, True, 8), "n")
             context.taken_s = now - 100.0
             return
-    raise AssertionError("never taken")
+    raise AssertionError("the lease was not taken within 10 s")
 
 
 @then("it holds it after {taken:g} s and gives orders after {orders:g} s")
--- a/features/steps/slot_steps.py
+++ b/features/steps/slot_steps.py
@@ -24,7 +24,7 @@
 from rookspring_core.slot_queues import SlotQueue
 
 OBJECTIVE_S = 0.3
-# From a node to a service's owner, and from heartbeat to heartbeat.
+# Network delay from a node to a service's owner, and the interval of heartbeats.
 HOP_S = 0.0015
 BEAT_S = 0.4
 QUEUE = 24
@@ -40,7 +40,7 @@
         self.ends = []
 
     def take(self, now):
-        """Give when a request is over that comes now; None where it is turned away."""
+        """Return when a request that arrives now ends; None if it is rejected."""
         self.ends = sorted(end for end in self.ends if end > now)
         if len(self.ends) >= self.slots + QUEUE:
             return None
@@ -54,7 +54,7 @@
 
 
 class PlainService:
-    """A plain service under a load, on a clock of its own."""
+    """A plain service under load, on a simulated clock."""
 
     def __init__(self, endpoints, slots, run_s):
         self.drawn = random.Random(5)
@@ -84,7 +84,7 @@
             call(moment, *arguments)
 
     def send(self, now, name, arrived_at):
-        """Send a request to an endpoint; gives when it is over there."""
+        """Send a request to an endpoint; returns when it ends there."""
         end = self.endpoints[name].take(now)
         if end is None:
             self.shed += 1
@@ -93,7 +93,7 @@
         return end
 
 
-def play_by_owner(service, rate, seconds, whose=lambda number: ""):
+def simulate_owner(service, rate, seconds, whose=lambda number: ""):
     queue = SlotQueue()
     queue.use(SlotEndpoint(name, service.slots) for name in service.endpoints)
     arrived = {}
@@ -129,8 +129,8 @@
     service.play(rate, seconds, arrive)
 
 
-def play_by_views(service, rate, seconds):
-    """Have each node choose by what all had in flight at the last heartbeat."""
+def simulate_own_views(service, rate, seconds):
+    """Let each node choose by the requests in flight at the last heartbeat, and by its own."""
     views = dict.fromkeys(service.endpoints, 0)
     own = [dict.fromkeys(service.endpoints, 0) for _ in range(69)]
 
@@ -161,7 +161,7 @@
     service.play(rate, seconds, arrive)
 
 
-WAYS = {"its owner": play_by_owner, "views": play_by_views}
+WAYS = {"the owner": simulate_owner, "their own views": simulate_own_views}
 
 
 @given("a plain service of {endpoints:d} endpoints with {slots:d} slots and runs of {ms:d} ms")
@@ -169,8 +169,8 @@
     context.service = PlainService(endpoints, slots, ms / 1000.0)
 
 
-@when("69 nodes bring {rate:d} requests a second for {seconds:d} s, placed by {way}")
-def bring(context, rate, seconds, way):
+@when("69 nodes send {rate:d} requests a second for {seconds:d} s, placed by {way}")
+def send_load(context, rate, seconds, way):
     WAYS[way](context.service, rate, seconds)
 
 
@@ -179,75 +179,75 @@
     return sum(took <= OBJECTIVE_S for took in service.took) / may_run
 
 
-@then("at least {share:g} of what it can run is answered within 300 ms")
+@then("at least {share:g} of the requests that it can run are answered within 300 ms")
 def in_time(context, share):
     found = share_in_time(context.service)
     assert found >= share, found
 
 
-@then("less than {share:g} of what it can run is answered within 300 ms")
+@then("less than {share:g} of the requests that it can run are answered within 300 ms")
 def not_in_time(context, share):
     found = share_in_time(context.service)
     assert found < share, found
 
 
-@then("at most {share:g} of the requests are turned away by an endpoint")
-def turned_away(context, share):
+@then("at most {share:g} of the requests are rejected by an endpoint")
+def rejected(context, share):
     assert context.service.shed <= share * len(context.service.took), context.service.shed
 
 
-@then("whoever is refused has waited at most {ms:d} ms")
+@then("refused requests have waited at most {ms:d} ms")
 def refused_soon(context, ms):
     assert max(context.service.refused_after, default=0.0) <= ms / 1000.0
 
 
-@when("one organisation brings {hot:d} requests a second and 15 others 6 each, for {seconds:d} s")
-def one_is_hot(context, hot, seconds):
+@when("one organisation sends {busy:d} requests a second and 15 others 6 each, for {seconds:d} s")
+def one_is_busy(context, busy, seconds):
     context.others = 15 * 6 * seconds
-    share = hot / (hot + 15 * 6)
+    share = busy / (busy + 15 * 6)
     drawn = random.Random(3)
     names = {}
 
     def whose(number):
-        name = "hot" if drawn.random() < share else f"other {drawn.randrange(15)}"
+        name = "busy" if drawn.random() < share else f"other {drawn.randrange(15)}"
         return names.setdefault(number, name)
 
-    play_by_owner(context.service, hot + 15 * 6, seconds, whose)
+    simulate_owner(context.service, busy + 15 * 6, seconds, whose)
 
 
-@then("at least {share:g} of the others' are answered within 300 ms")
+@then("at least {share:g} of the others' requests are answered within 300 ms")
 def others_in_time(context, share):
     served = context.service.served
-    others = sum(count for name, count in served.items() if name != "hot")
+    others = sum(count for name, count in served.items() if name != "busy")
     assert others >= share * context.others, (others, context.others)
 
 
-@then("the hot one gets at least {share:g} of what the others leave")
-def hot_gets(context, share):
+@then("the busy one gets at least {share:g} of the remaining capacity")
+def busy_gets(context, share):
     service = context.service
     left = service.can_run_per_s * service.seconds - context.others
-    assert service.served["hot"] >= share * left, (service.served["hot"], left)
+    assert service.served["busy"] >= share * left, (service.served["busy"], left)
 
 
 @given("a service's queue with one slot that is taken")
 def one_slot(context):
     queue = context.queue = SlotQueue()
     queue.use([SlotEndpoint("e", 1)])
-    # One more than its slots is on its way at once.
+    # The queue grants one slot more than the endpoint has, see ``SLOT_AHEAD_SHARE``.
     for key in ("first", "second"):
         (answer,) = queue.ask(SlotAsk("n", key, 0, "", 9.0), 10.0)
         assert answer.endpoint == "e"
 
 
-@when("requests of rank 2, 1, 2 and 0 come in this order")
+@when("requests of rank 2, 1, 2 and 0 arrive in this order")
 def ranks_come(context):
     for number, rank in enumerate((2, 1, 2, 0)):
         asked = SlotAsk("n", f"rank {rank} of {number}", rank, "", 9.0)
         context.queue.ask(asked, 10.0 + number * 0.01)
 
 
-@then("they are let in as ranks 0, 1, 2, 2")
-def let_in(context):
+@then("they are admitted in the order of ranks 0, 1, 2, 2")
+def admitted(context):
     found = []
     key = "first"
     for _ in range(4):
@@ -257,7 +257,7 @@
     assert found == ["rank 0 of 3", "rank 1 of 1", "rank 2 of 0", "rank 2 of 2"], found
 
 
-@when("{seconds:g} s pass and a request comes")
+@when("{seconds:g} s pass and a request arrives")
 def passes(context, seconds):
     context.answers = context.queue.ask(SlotAsk("n", "late", 0, "", 9.0), 10.0 + seconds)
 
@@ -273,7 +273,7 @@
     context.queue.use([SlotEndpoint("good", 6), SlotEndpoint("bad", 6)])
 
 
-@when("200 requests come, a slot free for each")
+@when("200 requests arrive, with a free slot for each")
 def two_hundred(context):
     context.got = []
     for number in range(200):
@@ -282,7 +282,7 @@
         context.got.append(answer.endpoint)
         if number < 2:
             continue
-        # What a node tells of a failed run; see ``SLOT_FAILED_S``.
+        # The run time that a node reports of a failed request; see ``SLOT_FAILED_S``.
         name = context.got[number - 2]
         took_s = 0.5 if name == "bad" else 0.06
         context.queue.free(name, "n", str(number - 2), took_s, now + 0.01)
@@ -294,7 +294,7 @@
 
 
 class SlotNode(RelayHarness):
-    """A relaying node that keeps what it asked of a service's owner."""
+    """A relay node that records its messages to a service's owner."""
 
     def __init__(self):
         super().__init__()
@@ -329,22 +329,25 @@
         self.submit(SlotAnswered(self.now, "r1", "svc", endpoint, after_s, blind=blind))
 
     def refuse_blind(self):
-        """Answer as an owner that knows no endpoint does."""
-        (told,) = SlotQueue().ask(SlotAsk("n", "r1", 0, "", 0.3), self.now)
-        self.answer(after_s=told.after_s, blind=told.blind)
+        """Answer like an owner that knows no endpoint."""
+        (answer,) = SlotQueue().ask(SlotAsk("n", "r1", 0, "", 0.3), self.now)
+        self.answer(after_s=answer.after_s, blind=answer.blind)
 
     def forget_endpoints(self):
         self.submit(BoxListCame(self.now, ()))
 
 
 ANSWERS = {
-    "says nothing": lambda node: None,
-    "says that it waits": lambda node: node.answer(),
-    "gives it a slot": lambda node: node.answer("f"),
+    "does not answer": lambda node: None,
+    "queues it": lambda node: node.answer(),
+    "grants it a slot": lambda node: node.answer("f"),
     "refuses it": lambda node: node.answer(after_s=0.7),
     "knows no endpoint": lambda node: node.refuse_blind(),
-    "knows none, nor does the node": lambda node: (node.forget_endpoints(), node.refuse_blind()),
-    "gives a gone one": lambda node: node.answer("g"),
+    "knows no endpoint, nor does the node": lambda node: (
+        node.forget_endpoints(),
+        node.refuse_blind(),
+    ),
+    "grants a slot at a removed endpoint": lambda node: node.answer("g"),
 }
 
 
@@ -354,7 +357,7 @@
     context.answers = ANSWERS[answers]
 
 
-@when("a request comes and {ms:d} ms pass")
+@when("a request arrives and {ms:d} ms pass")
 def request_comes(context, ms):
     node = context.node
     node.come()
@@ -371,19 +374,19 @@
         "waits": not node.sent and not node.refused,
         "was sent": len(node.sent) == 1 and not node.freed,
         "was refused": [one.status for one in node.refused] == [503] and not node.sent,
-        "was sent and gave it back": len(node.sent) == 1 and len(node.freed) == 1,
+        "was sent, and the slot released": len(node.sent) == 1 and len(node.freed) == 1,
     }
     assert found[state], (node.sent, node.refused, node.freed)
 
 
-@when("its run <ends>, as each run may")
-def runs_end(context):
+@when("its request ends in each possible way")
+def request_ends(context):
     context.freed = {}
     ends = {
         "succeeds": AttemptSucceeded(101.0, "r1", 1),
         "breaks": AttemptFailed(101.0, "r1", 1, True, False, "reset"),
-        "is turned away": AttemptFailed(101.0, "r1", 1, True, True, "503"),
-        "is left": CallerLeft(101.0, "r1"),
+        "is rejected": AttemptFailed(101.0, "r1", 1, True, True, "503"),
+        "loses its caller": CallerLeft(101.0, "r1"),
     }
     for name, event in ends.items():
         node = SlotNode()
@@ -395,8 +398,8 @@
         context.freed[name] = [one.endpoint for one in node.freed]
 
 
-@then("the slot was given back once")
-def given_back(context):
+@then("the slot was released once")
+def released_once(context):
     assert set(map(tuple, context.freed.values())) == {("f",)}, context.freed
 
 
@@ -405,7 +408,7 @@
     context.queue = SlotQueue()
 
 
-@then("a request is refused, to come back within {seconds:g} s")
+@then("a request is refused, to be retried within {seconds:g} s")
 def refused_within(context, seconds):
     (answer,) = context.queue.ask(SlotAsk("n", "r", 0, "", 0.3), 10.0)
     assert 0.0 < answer.after_s <= seconds, answer
@@ -417,14 +420,14 @@
     context.after_s = seconds
 
 
-@when("a request with a deadline of {seconds:g} s comes")
-def deadline_comes(context, seconds):
+@when("a request with a deadline of {seconds:g} s arrives")
+def request_with_deadline(context, seconds):
     context.node.come(seconds)
     context.node.answer(after_s=context.after_s)
 
 
-@then("it is told to come back within {seconds:g} s")
-def told_within(context, seconds):
+@then("its caller is told to retry within {seconds:g} s")
+def retry_within(context, seconds):
     (refusal,) = context.node.refused
     assert 0.0 < refusal.retry_after_s <= seconds, refusal
 
@@ -435,12 +438,12 @@
     context.queue.use([SlotEndpoint("good", 6), SlotEndpoint("bad", 6)])
 
 
-@when("60 slots there come back after {ms:d} ms because {why}")
-def slots_back(context, ms, why):
+@when("60 slots there are released after {ms:d} ms because {why}")
+def slots_released(context, ms, why):
     node = SlotNode()
     node.come()
     node.answer("f")
-    if "turned" in why:
+    if "rejected" in why:
         node.submit(AttemptStarted(node.now, "r1", 1))
         node.now += ms / 1000.0
         node.submit(AttemptFailed(node.now, "r1", 1, True, True, "refused with 503"))
@@ -458,6 +461,6 @@
         queue.free("bad", "n", str(number), freed.took_s, now + 0.01)
 
 
-@then("a run there is taken to last {seconds:g} s at least")
-def lasts_at_least(context, seconds):
+@then("the estimated run time there is at least {seconds:g} s")
+def run_time_at_least(context, seconds):
     assert context.queue.run_s("bad") >= seconds, context.queue.run_s("bad")
--- a/packages/rookspring-core/src/rookspring_core/allotting.py
+++ b/packages/rookspring-core/src/rookspring_core/allotting.py
@@ -1,6 +1,7 @@
-"""Requests against their organisations' allotments: who decides, and what is given back.
+"""Checks of requests against the allotments of their organisations.
 
-:mod:`allotments` has the sums; this module says what they mean for a request.
+Decides whether this node or the organisation's owner admits a request, and takes back units that
+did not run. :mod:`allotments` keeps the counts.
 """
 
 from . import defaults
@@ -21,7 +22,7 @@
 
 
 def charge_of(state: NodeState, arrived: RequestArrived) -> Charge | None:
-    """Give what a request counts for; None where its organisation has no limit."""
+    """Return the units that a request counts for; None if its organisation has no limit."""
     if arrived.route is None or not arrived.team:
         return None
     terms = find_terms(state, arrived.team)
@@ -31,26 +32,26 @@
 
 
 def find_terms(state: NodeState, organisation: str) -> Allotment | None:
-    """Give an organisation's allotment by the configuration in force."""
+    """Return an organisation's allotment in the configuration in force."""
     directory = state.table.directory if state.table else None
     found = directory.by_name.get(organisation) if directory else None
     return found.allotment if found else None
 
 
 def all_terms(state: NodeState) -> dict[str, Allotment]:
-    """Give the allotments of all organisations that have a limit."""
+    """Return the allotments of all organisations that have a limit."""
     directory = state.table.directory if state.table else None
     rows = directory.by_name.values() if directory else ()
     return {one.name: one.allotment for one in rows if one.allotment.rate > 0.0}
 
 
 def needs_owner(state: NodeState, charge: Charge) -> bool:
-    """Say whether the organisation's owner is to decide."""
+    """Return whether the organisation's owner has to decide."""
     return not state.allotments.far(charge.organisation, state.now)
 
 
 def decide(state: NodeState, organisation: str, units: float, now: float) -> Grant:
-    """Decide on a request as its organisation's owner."""
+    """Decide on a request as the owner of its organisation."""
     terms = find_terms(state, organisation)
     if terms is None or terms.rate <= 0.0:
         return Grant(0.0)
@@ -59,22 +60,22 @@
 
 
 def spend(state: NodeState, charge: Charge) -> None:
-    """Count a request that is let in."""
+    """Count the units of an admitted request."""
     state.allotments.spend(charge.organisation, charge.units, state.now)
 
 
 def park(state: NodeState, arrived: RequestArrived, charge: Charge) -> list[Effect]:
-    """Have a request wait for its organisation's owner."""
+    """Hold a request until its organisation's owner has answered, and ask that owner."""
     until = state.now + defaults.OWNER_ANSWER_S
     state.parked[arrived.request_id] = Parked(arrived, charge._replace(asked=True), until)
     return [AskAllotment(arrived.request_id, charge.organisation, charge.units)]
 
 
 def refuse(state: NodeState, parked: Parked, after_s: float) -> Refuse:
-    """Refuse a request that is beyond its organisation's allotment.
+    """Refuse a request that exceeds its organisation's allotment.
 
-    It is told when there may be room, spread by request over as long again, so that those
-    who are refused together don't return together.
+    The retry delay is ``after_s`` plus jitter of up to as long again, derived from the request's
+    id, so that callers refused together don't retry together.
     """
     identity = parked.arrived.request_id
     spread = mix("allotment", identity) % 1000 / 1000.0
@@ -84,7 +85,7 @@
 
 
 def expire(state: NodeState) -> list[Effect]:
-    """Refuse the requests whose owner has not answered."""
+    """Refuse requests whose owner has not answered within ``OWNER_ANSWER_S``."""
     effects: list[Effect] = []
     for identity, parked in list(state.parked.items()):
         if parked.until > state.now:
@@ -99,7 +100,7 @@
 
 
 def give_back(state: NodeState, charge: Charge | None) -> list[Effect]:
-    """Count no more a request that did not run; its owner is told if it granted it."""
+    """Take back the units of a request that did not run, also from the owner that granted them."""
     if charge is None:
         return []
     state.allotments.spend(charge.organisation, -charge.units, state.now)
@@ -108,20 +109,20 @@
 
 @handles(TightHeard)
 def take_tight(state: NodeState, event: TightHeard) -> list[Effect]:
-    """Take which organisations are near their limits."""
+    """Store which organisations are near their limits, as another node reported."""
     state.allotments.hear_tight(event.names, event.as_of)
     return []
 
 
 @handles(UseRecalled)
 def take_recalled(state: NodeState, event: UseRecalled) -> list[Effect]:
-    """Take what was used before this node started."""
+    """Store the usage from before this node started or became a relay, as the store has it."""
     state.allotments.recall(dict(event.shares))
     return []
 
 
 def used_shares(state: NodeState, now: float) -> dict[str, float]:
-    """Give the parts of their limits that organisations have used, but for the least."""
+    """Return the used shares of limits that are at least ``RECALLED_SHARE_MIN``."""
     shares = state.allotments.find_shares(all_terms(state), now)
     return {
         name: round(share, 2)
@@ -131,9 +132,9 @@
 
 
 def watch(state: NodeState, was_relay: bool) -> None:
-    """Work out which organisations are near their limits, where the sums come together.
+    """Update which organisations are near their limits, on nodes that receive all usage reports.
 
-    :param was_relay: this node was a relay at the tick before.
+    :param was_relay: this node was a relay at the previous tick.
     """
     if state.topology.relay and not was_relay:
         state.allotments.begin(state.now)
--- a/packages/rookspring-core/src/rookspring_core/freshness.py
+++ b/packages/rookspring-core/src/rookspring_core/freshness.py
@@ -1,18 +1,18 @@
-"""How new a node's configuration is known to be, and what that allows.
+"""Freshness of a node's configuration: the last time at which it was provably the newest.
 
-A key that was taken away must not run anything at a node that has not heard of it. So a
-node keeps a moment of which it is sure: at that moment no configuration newer than its
-own had been accepted. Two things show such a moment:
+A revoked key must not run anything, even at a node that has not learnt of the revocation. So
+each node keeps the latest time at which, provably, no configuration newer than its own had been
+accepted. There are two kinds of proof:
 
-- a read of the platform's store that began then, since the store answers with all that
-  it had accepted before it was asked;
-- another node's word. This node asks with a stamp of its own clock, and is told how much
-  older than the question's coming the other's own moment is. The question came after the
-  stamp, so stamp less age is never later than the truth, however long the question or the
-  answer was on its way, or either process stood still.
+- A read of the platform's store proves the time at which the read began, since the store answers
+  with everything that it had accepted before.
+- Another node's answer. This node sends a timestamp of its own clock, and the other answers with
+  the age of its own proof when the question arrived. The question arrived after the timestamp, so
+  timestamp minus age is never later than the other's proof, however long the messages took or
+  either process was frozen.
 
-Clocks of two nodes are never compared, and a process that was frozen finds its moment
-old when it goes on, since the clock of the events does not stand still.
+Clocks of two nodes are never compared. The clock of the events advances while a process is frozen,
+so its proof is old when it resumes.
 """
 
 import typing as t
@@ -23,60 +23,60 @@
 
 
 class Freshness:
-    """The moment at which this node's configuration was the newest, for sure."""
+    """The last time at which this node's configuration was provably the newest."""
 
     def __init__(self) -> None:
         self.at = NEVER
-        # A later moment, shown for a version that this node is yet to get.
-        self._ahead: tuple[int, float] = (0, NEVER)
-        # When the store came back from a copy, and the version that was in force here then.
-        self._copied: tuple[float, int] = (NEVER, 0)
+        # A newer version that is not in force here yet, and the time that was proved for it.
+        self._pending: tuple[int, float] = (0, NEVER)
+        # When the store was restored from a backup, and the version in force here at that time.
+        self._restored: tuple[float, int] = (NEVER, 0)
 
     def begin_era(self, at: float, applied: int) -> None:
-        """Take that the store came back from a copy, which may lack what was accepted."""
-        self._copied = (at, applied)
+        """Record that the store was restored from a backup, which may lack accepted versions."""
+        self._restored = (at, applied)
 
     def _lacks(self, as_of: float, version: int) -> bool:
-        """Say whether the store may lack a newer version that it had accepted before."""
-        copied_at, applied = self._copied
-        if copied_at == NEVER or as_of < copied_at:
+        """Return whether the restored store may lack a newer version that it had accepted."""
+        restored_at, applied = self._restored
+        if restored_at == NEVER or as_of < restored_at:
             return False
-        return as_of < copied_at + defaults.REWRITE_S or version < applied
+        return as_of < restored_at + defaults.REWRITE_S or version < applied
 
     def note(self, as_of: float, version: int, applied: int) -> None:
-        """Take that a version was the newest at a moment.
+        """Record a proof that a version was the newest at a time.
 
-        :param as_of: of this node's own clock.
+        :param as_of: the time, by this node's own clock.
         :param applied: the version that is in force here.
         """
         if self._lacks(as_of, version):
             return
         if version <= applied:
             self.at = max(self.at, as_of)
-        elif (version, as_of) > self._ahead:
-            self._ahead = (version, as_of)
+        elif (version, as_of) > self._pending:
+            self._pending = (version, as_of)
 
     def settle(self, applied: int) -> None:
-        """Take that a version is in force here now."""
-        version, as_of = self._ahead
+        """Use the pending proof once its version is in force here."""
+        version, as_of = self._pending
         if version <= applied:
             self.at = max(self.at, as_of)
-            self._ahead = (0, NEVER)
+            self._pending = (0, NEVER)
 
     def age_s(self, now: float) -> float:
-        """Give how long ago the configuration was the newest, at most, in seconds."""
+        """Return the seconds since the configuration was last proved the newest."""
         return now - self.at
 
 
 class ProofTerms(t.NamedTuple):
-    """What is promised of a key's end.
+    """The guarantee on revoked keys.
 
-    :param bound_s: a request that its caller sends later than this after the key was
-        taken away does not run; 0 where that is promised of nodes in touch alone.
+    :param bound_s: a request sent later than this many seconds after its key was revoked does
+        not run; 0 if this is guaranteed only for nodes that are connected.
     """
 
     bound_s: float = 0.0
 
     def stale(self, age_s: float) -> bool:
-        """Say whether requests with keys must be refused at such an age."""
+        """Return whether requests with keys must be refused at this age of the last proof."""
         return self.bound_s > 0.0 and age_s > self.bound_s * defaults.PROOF_SHARE
--- a/packages/rookspring-core/src/rookspring_core/governing.py
+++ b/packages/rookspring-core/src/rookspring_core/governing.py
@@ -1,6 +1,6 @@
 """Handlers of the control jobs: lease, acceptance and publication.
 
-Only a node that holds the lease with time to spare gives orders or publishes.
+Only a node whose lease does not lapse within a safety margin gives orders or publishes.
 """
 
 import typing as t
@@ -32,7 +32,7 @@
 
 @handles(LeaseSeen)
 def see_lease(state: NodeState, event: LeaseSeen) -> Effects:
-    """Take the lease object as read."""
+    """Update the lease from a read of the lease object."""
     control = state.control
     control.lease.see(event, state.identity.name)
     return _begin_if_new(state)
@@ -40,14 +40,14 @@
 
 @handles(LeaseWritten)
 def note_lease(state: NodeState, event: LeaseWritten) -> Effects:
-    """Take the answer to a lease write."""
+    """Update the lease from the answer to a write."""
     state.control.lease.answer(event, state.identity.name)
     return _begin_if_new(state)
 
 
 @handles(StoreEraBegan)
 def begin_era(state: NodeState, event: StoreEraBegan) -> Effects:
-    """Take that the store came back from a copy, and tell the other nodes at once."""
+    """Record that the store was restored from a backup, and announce it to the other nodes."""
     if event.era <= state.store_era:
         return []
     state.store_era = event.era
@@ -81,13 +81,13 @@
 
 
 def holding(state: NodeState) -> bool:
-    """Say whether this node may act as the lease holder now."""
+    """Return whether this node may act as the lease holder now."""
     return state.control.holding(state.now)
 
 
 @handles(RevisionSeen)
 def apply_revision(state: NodeState, event: RevisionSeen) -> Effects:
-    """Put a published revision in force if, and only if, it is newer."""
+    """Apply a published revision if, and only if, it is newer."""
     if event.revision <= state.catalogue.revision:
         return []
     state.control.entries = event.entries
@@ -97,7 +97,7 @@
 
 @handles(HeadSeen)
 def see_head(state: NodeState, event: HeadSeen) -> Effects:
-    """Know the head's version, on which the next publication is conditional."""
+    """Store the version of the head object, on which the next publication is conditional."""
     publication = state.control.publication
     publication.head_version = event.version
     publication.head_revision = event.revision
@@ -108,7 +108,7 @@
 
 @handles(DesiredSeen)
 def see_desired(state: NodeState, event: DesiredSeen) -> Effects:
-    """Take operators' resources; they are accepted at the end of the batch window."""
+    """Store the operators' resources; they are accepted at the end of the batch window."""
     publication = state.control.publication
     if publication.desired == event.resources:
         return []
@@ -121,7 +121,7 @@
 
 @handles(Published)
 def note_publication(state: NodeState, event: Published) -> Effects:
-    """Take the answer to a publication; anything but a win is settled by reading."""
+    """Handle the answer to a publication; unless it was written, the head is read again."""
     publication = state.control.publication
     if event.revision != publication.in_flight:
         return []
@@ -135,24 +135,24 @@
 
 
 def publish_due(state: NodeState) -> Effects:
-    """Accept and publish what operators changed, when the batch window has passed."""
+    """Accept and publish the operators' changes, once the batch window has passed."""
     publication = state.control.publication
     if publication.in_flight:
         return []
     rooms = acceptance.rooms_of(state.control.ledgers.values(), _engines(state))
     if rooms != publication.judged_rooms and state.catalogue.rejected:
-        # What did not fit may fit now.
+        # Resources that did not fit may fit now.
         publication.dirty = True
     if publication.desired is None or not publication.dirty or publication.head_version < 0:
         return []
     if state.now - publication.desired_changed_at < defaults.PUBLISH_BATCH_S:
         return []
     if state.catalogue.revision < publication.head_revision:
-        # The published entries themselves are still on their way to this node.
+        # The entries of the published revision have not arrived at this node yet.
         return []
     surveyed = state.now - state.control.acquired_at >= defaults.SURVEY_S
     if not surveyed and (not rooms or len(rooms) < _runner_count(state)):
-        # Without reports nothing seems to fit, so reports come first.
+        # Nothing would fit without reports, so wait for those of all runners, up to SURVEY_S.
         return []
     publication.dirty = False
     publication.judged_rooms = rooms
@@ -173,7 +173,7 @@
 
 
 def may_hold(state: NodeState) -> bool:
-    """Say whether this node may take the lease when it is free."""
+    """Return whether this node may take the lease when it is free."""
     if state.leaving:
         return False
     name = state.identity.name
@@ -188,7 +188,7 @@
 
 
 def forfeit_lapsed(state: NodeState) -> None:
-    """Let the lease go once it has lapsed, so that a successor need not wait it out."""
+    """Drop the lease for good once it has lapsed, so that a successor need not wait it out."""
     lease = state.control.lease
     if lease.own_epoch and not lease.holding(state.now):
         state.record("lease", f"epoch {lease.own_epoch} ended", "it could not be renewed in time")
@@ -196,7 +196,7 @@
 
 
 def holder_heard(state: NodeState) -> bool:
-    """Say whether another node has just told that it holds the lease."""
+    """Return whether another node has reported lately that it holds the lease."""
     return any(
         peer.heard.lease_epoch >= max(1, state.control.lease.epoch)
         and state.now - peer.heard_at < defaults.HOLDER_QUIET_S
@@ -205,10 +205,10 @@
 
 
 def reads_lease(state: NodeState) -> bool:
-    """Say whether this node is to read the lease now.
+    """Return whether this node should read the lease now.
 
-    The holder does where a renewal got no answer; a relay node that may be next does once
-    the holder is no longer heard, which saves the platform most of these calls.
+    The holder reads it if a renewal was not answered. A node that may take it over reads it once
+    no heartbeat of the holder arrives any more, which saves the platform most of these calls.
     """
     lease = state.control.lease
     if holding(state):
@@ -217,13 +217,13 @@
 
 
 def awaits_release(state: NodeState) -> bool:
-    """Say whether the lease's holder has told that it leaves, and its release was not seen yet."""
+    """Return whether the holder has announced that it leaves and has not released the lease."""
     holder = state.membership.peers.get(state.control.lease.holder)
     return holder is not None and holder.heard.leaving and may_hold(state)
 
 
 def lease_due(state: NodeState) -> Effects:
-    """Write the lease when it is due: to renew it, or to take it over."""
+    """Write the lease if due, to renew it or to take it over."""
     identity = state.identity
     candidate = may_hold(state) and not (state.relaying and holder_heard(state))
     wish = state.control.lease.wish(state.now, identity.name, identity.incarnation, candidate)
@@ -233,7 +233,10 @@
 
 
 def govern(state: NodeState, passed: float) -> Effects:
-    """Do whatever control work is due at a tick."""
+    """Run the control jobs that are due at a tick.
+
+    :param passed: seconds since the last tick.
+    """
     control = state.control
     control.meter.roll(passed)
     effects: Effects = [] if state.leaving else lease_due(state)
@@ -255,17 +258,17 @@
 
 
 def sum_demand(state: NodeState, passed: float) -> None:
-    """Add up what all nodes were asked for, and move the forecast towards it."""
-    heard = (
+    """Add up the demand at all nodes, and update the forecast from it."""
+    peer_rates = (
         rates for peer, rates in state.control.peer_demand.items() if peer in state.membership.peers
     )
-    state.control.forecast.update(add_rates([state.control.meter.rates, *heard]), passed)
+    state.control.forecast.update(add_rates([state.control.meter.rates, *peer_rates]), passed)
     state.control.urgent.sum_up(passed)
     state.control.missed.sum_up(passed)
 
 
 def resident_models(state: NodeState) -> t.Mapping[str, list[str]]:
-    """Give the endpoints that report each declared model resident."""
+    """Return, for each declared model, the endpoints that report it resident."""
     hosts: dict[str, list[str]] = {name: [] for name in state.catalogue.models}
     for view in state.endpoints.values():
         if view.gone or view.report is None:
--- a/packages/rookspring-core/src/rookspring_core/granting.py
+++ b/packages/rookspring-core/src/rookspring_core/granting.py
@@ -1,7 +1,7 @@
-"""What becomes of a request once a slot's owner has answered it, or has not.
+"""Handling of owners' answers to requests for slots, and of answers that don't come.
 
-:mod:`slotting` asks; here a request goes on by the slot that it was given, looks for another
-endpoint, or ends.
+A request is sent with the slot that it was granted, placed at another endpoint, or refused.
+:mod:`slot_requests` asks for the slots.
 """
 
 from . import admission
@@ -23,23 +23,23 @@
 
 @handles(SlotAnswered)
 def take_slot(state: NodeState, event: SlotAnswered) -> Effects:
-    """Send a request where its service's owner says, or refuse it."""
+    """Send a request to the endpoint of its slot, let it wait, or refuse it, by the answer."""
     request = state.requests.get(event.request_id)
     if request is None or not slotting.answers(state, request, event):
         if event.endpoint:
-            # It is gone, or was placed without an answer.
+            # The request has ended, or was placed without an answer.
             return [FreeSlot(event.request_id, event.queue, event.endpoint, 0.0, True)]
         return []
     asked = state.turns_asked.get(event.request_id)
     if asked is not None:
-        return _take_turn(state, request, asked, event)
+        return _take_permit(state, request, asked, event)
     if event.after_s > 0.0:
         if event.blind and routed.choose_among(state, request):
-            # This node knows more than the owner, which may have just started.
+            # This node knows endpoints that the owner does not; the owner may have just started.
             state.record(event.request_id, "placed without a slot", "its owner knows no endpoint")
             request.slot_asked_at = None
             return requests.pump(state)
-        return _end_unslotted(state, request, event.after_s)
+        return _refuse_unslotted(state, request, event.after_s)
     if not event.endpoint:
         request.slot_heard = True
         return []
@@ -47,22 +47,22 @@
     fault = requests.find_fault(state, request)
     view = slotting.usable(state, event)
     if fault is not None or view is None:
-        # It is judged, or placed, by this node.
+        # This node refuses it, or places it by itself.
         freed = slotting.free(state, request, failed=view is None, unsent=True)
         return freed + requests.pump(state)
     state.queues[requests.queue_key(request.arrived)].remove(event.request_id)
     return requests.dispatch(state, request, view)
 
 
-def _take_turn(
+def _take_permit(
     state: NodeState, request: RequestState, asked: TurnAsked, event: SlotAnswered
 ) -> Effects:
-    """Send a request by its turn, have it wait for one, or look for another endpoint."""
+    """Send a request with its permit, let it wait for one, or look for another endpoint."""
     endpoint = state.endpoints.get(asked.endpoint)
     if endpoint is not None:
         endpoint.turn_at = state.now + event.stay_s
     if event.after_s > 0.0:
-        return _look_elsewhere(state, request, event.after_s)
+        return _place_elsewhere(state, request, event.after_s)
     if not event.endpoint:
         request.slot_heard = True
         return []
@@ -75,21 +75,24 @@
     freed = slotting.free(state, request, failed=False, unsent=True)
     if fault is not None:
         return freed + requests.end_barred(state, request, fault)
-    return freed + _put_back(state, request, asked.until)
+    return freed + _requeue(state, request, asked.until)
 
 
-def _look_elsewhere(state: NodeState, request: RequestState, after_s: float) -> Effects:
-    """Place a request anew that has no turn at an endpoint for so long, in seconds."""
+def _place_elsewhere(state: NodeState, request: RequestState, after_s: float) -> Effects:
+    """Place a request anew that gets no permit at an endpoint.
+
+    :param after_s: seconds until a permit may be available there.
+    """
     asked = state.turns_asked.pop(request.arrived.request_id)
     request.slot_asked_at = None
     request.turns_due[asked.endpoint] = state.now + after_s
     if routed.turnless(state, request):
         return requests.end_waiting(state, request)
-    return _put_back(state, request, asked.until)
+    return _requeue(state, request, asked.until)
 
 
-def _put_back(state: NodeState, request: RequestState, until: float) -> Effects:
-    """Have a request wait in its queue again, for what is left of its patience."""
+def _requeue(state: NodeState, request: RequestState, until: float) -> Effects:
+    """Put a request back into its queue, to wait at least until ``until``."""
     arrived = request.arrived
     pool = state.pools.setdefault(requests.pool_of(state, arrived), admission.Pace())
     queue = state.queues.setdefault(requests.queue_key(arrived), admission.AdmissionQueue(pool))
@@ -99,7 +102,7 @@
 
 
 def expire_turns(state: NodeState) -> Effects:
-    """Place those anew who hear nothing of an endpoint's owner; nothing is sent without it."""
+    """Place requests anew whose endpoint's owner does not answer: without it none may be sent."""
     effects: Effects = []
     for identity, asked in list(state.turns_asked.items()):
         request = state.requests.get(identity)
@@ -111,18 +114,18 @@
         endpoint = state.endpoints.get(asked.endpoint)
         if endpoint is not None:
             endpoint.turn_at = state.now + defaults.UNPROVED_BACK_S
-        state.record(identity, f"no turn at {asked.endpoint}", "its owner does not answer")
-        effects += _look_elsewhere(state, request, defaults.UNPROVED_BACK_S)
+        state.record(identity, f"no permit at {asked.endpoint}", "its owner does not answer")
+        effects += _place_elsewhere(state, request, defaults.UNPROVED_BACK_S)
     return effects
 
 
-def _end_unslotted(state: NodeState, request: RequestState, after_s: float) -> Effects:
-    """Refuse a request for which there is no slot in time."""
+def _refuse_unslotted(state: NodeState, request: RequestState, after_s: float) -> Effects:
+    """Refuse a request that can't get a slot in time."""
     state.queues[requests.queue_key(request.arrived)].remove(request.arrived.request_id)
     reason, text = routed.lacking(state, request.arrived)
     status = 502 if request.sent else 503
-    # Spread by request, so that those who are refused together do not return together.
-    spread = mix("come back", request.arrived.request_id) % 1000 / 1000.0
+    # Jitter by request, so that callers refused together don't retry together.
+    jitter = mix("come back", request.arrived.request_id) % 1000 / 1000.0
     left_s = request.arrived.deadline_at - state.now
-    after_s = min(after_s * (1.0 + spread), left_s * defaults.COME_BACK_SHARE)
+    after_s = min(after_s * (1.0 + jitter), left_s * defaults.COME_BACK_SHARE)
     return requests.give_up(state, request, status, reason, text, after_s)
--- a/packages/rookspring-core/src/rookspring_core/keys.py
+++ b/packages/rookspring-core/src/rookspring_core/keys.py
@@ -1,4 +1,4 @@
-"""Whose a relayed request is, and whether its key may still run anything here."""
+"""Checks of the keys of relayed requests: whose a key is, and whether it is still valid here."""
 
 import typing as t
 
@@ -14,11 +14,12 @@
 
 
 class KeyVerdict(t.NamedTuple):
-    """What is to become of a request by its key.
+    """The result of checking a request's key.
 
-    :param status: 0 where it may go on; 401 where no organisation has the key; 503 where
-        this node can't tell.
-    :param waits: an answer that is newer than the request may tell of a key that is new.
+    :param status: 0 if the request is accepted; 401 if no organisation has the key; 503 if this
+        node can't decide.
+    :param may_wait: the key may be newer than the configuration here, so the request may wait
+        until a configuration is proved the newest at a time after its arrival.
     """
 
     status: int
@@ -28,7 +29,7 @@
 
 
 class KeyFault(t.NamedTuple):
-    """Why a request that was let in may not be sent to an endpoint after all."""
+    """Why a request that was accepted may not be sent to an endpoint after all."""
 
     status: int
     reason: str
@@ -36,10 +37,9 @@
 
 
 def judge(state: NodeState, route: Route, key: str, arrived_at: float, now: float) -> KeyVerdict:
-    """Say whose a request is, or why it can't be let in.
+    """Return the organisation of a request, or why it is not accepted.
 
-    :param key: the digest of its key; empty where it has none.
-    :param arrived_at: when it came.
+    :param key: the digest of its key; empty if it has none.
     """
     assert state.table is not None
     directory = state.table.directory
@@ -49,8 +49,8 @@
         return KeyVerdict(401, "no_key")
     found = directory.find(key)
     if found is None:
-        # A key may be newer than this node's configuration, and callers don't come back
-        # after a 401, so it is said only where nothing newer was there when they asked.
+        # A key may be newer than this node's configuration, and callers don't retry after a 401,
+        # so 401 is answered only if this configuration was the newest when the request arrived.
         proved = state.freshness.at >= arrived_at
         return KeyVerdict(401, "unknown_key") if proved else KeyVerdict(503, "unproved", waits=True)
     if state.proof_terms.stale(state.freshness.age_s(now)):
@@ -59,10 +59,10 @@
 
 
 def find_fault(state: NodeState, arrived: "RequestArrived") -> KeyFault | None:
-    """Say why a request that waited may not be sent now; None where it may.
+    """Return why a request may not be sent now; None if it may.
 
-    It is asked at each send, also of resends and of streams that go on elsewhere: the key
-    may have been taken away, or this node cut off, since the request came.
+    Checked at each send, including retries and streams that are resumed at another endpoint: the
+    key may have been revoked, or this node cut off, since the request arrived.
     """
     if not arrived.key or state.table is None or state.table.directory is None:
         return None
@@ -78,6 +78,6 @@
 
 @handles(TableProved)
 def take_proof(state: NodeState, event: TableProved) -> "list[Effect]":
-    """Take that a version of the configuration was the newest at a moment."""
+    """Record that a version of the configuration was the newest at a moment."""
     state.freshness.note(event.as_of, event.version, state.revision)
     return []
--- a/packages/rookspring-core/src/rookspring_core/limits.py
+++ b/packages/rookspring-core/src/rookspring_core/limits.py
@@ -1,8 +1,8 @@
-"""Limits of each team, shared out over the nodes without a platform call.
+"""Limits of each team, divided among the nodes without a platform call.
 
-Each node tells its recent demand by team in its heartbeats. A node's share of a
-limit is its part of the demand it knows of; an even floor keeps a share for a
-node whose first callers have just come. See ``docs/design/limits.md``.
+Each node reports its recent demand by team in its heartbeats. A node's share of a
+limit is its share of the known demand; a tenth is divided evenly, so that a node
+whose first callers have just arrived has a share too. See ``docs/design/limits.md``.
 """
 
 import typing as t
@@ -29,19 +29,19 @@
         self._peers: dict[str, dict[str, float]] = {}
 
     def hear(self, peer: str, demand: t.Iterable[tuple[str, float]]) -> None:
-        """Take another node's recent demand by team, in requests a second."""
+        """Store another node's recent demand by team, in requests a second."""
         self._peers[peer] = dict(demand)
 
     def lose(self, peer: str) -> None:
-        """Forget a node that has gone; its share falls to those that stay."""
+        """Remove a node that has gone; its share goes to the remaining nodes."""
         self._peers.pop(peer, None)
 
     def demand(self) -> tuple[tuple[str, float], ...]:
-        """Give this node's own recent demand by team, for its heartbeat."""
+        """Return this node's own recent demand by team, for its heartbeat."""
         return tuple((team, bucket.recent) for team, bucket in sorted(self._buckets.items()))
 
     def share(self, team: str) -> float:
-        """Give this node's part of a team's limits, from 0 to 1."""
+        """Return this node's share of a team's limits, from 0 to 1."""
         bucket = self._buckets.get(team)
         own = bucket.recent if bucket else 0.0
         others = [peer.get(team, 0.0) for peer in self._peers.values()]
@@ -49,25 +49,25 @@
         total = own + sum(others)
         if total <= 0.0:
             return 1.0 / nodes
-        # A tenth is spread evenly, so that demand can begin anywhere.
+        # A tenth is divided evenly, so that demand can start at any node.
         return 0.9 * own / total + 0.1 / nodes
 
     def admit(self, team: str, spec: TeamSpec, now: float) -> float:
         """Count a request against its team's limits.
 
-        :return: 0 when it is within them, else seconds after which to come back.
+        :return: 0 if it is within them, else seconds after which to retry.
         """
         share = self.share(team)
         rate = spec.requests_per_s * share
         bucket = self._buckets.get(team)
         if bucket is None:
-            # A new team begins with a second's worth, as any has after a pause.
+            # A new team starts with a full bucket of one second's requests, as after any pause.
             bucket = self._buckets[team] = _Bucket(now, max(1.0, rate))
-        passed = max(0.0, now - bucket.at)
+        elapsed = max(0.0, now - bucket.at)
         bucket.at = now
         burst = max(1.0, rate)
-        bucket.tokens = min(burst, bucket.tokens + passed * rate)
-        decay = min(1.0, passed / defaults.LIMIT_SHARE_INTERVAL_S)
+        bucket.tokens = min(burst, bucket.tokens + elapsed * rate)
+        decay = min(1.0, elapsed / defaults.LIMIT_SHARE_INTERVAL_S)
         bucket.recent += (0.0 - bucket.recent) * decay * 0.5 + 0.5
         if bucket.inflight >= max(1.0, spec.concurrency * share):
             return defaults.LIMIT_SHARE_INTERVAL_S
@@ -78,12 +78,12 @@
         return 0.0
 
     def release(self, team: str) -> None:
-        """A counted request is over."""
+        """Count a request that is over as no longer in flight."""
         bucket = self._buckets.get(team)
         if bucket is not None:
             bucket.inflight = max(0, bucket.inflight - 1)
 
     def tick(self, passed: float) -> None:
-        """Let recent demand fade."""
+        """Decay recent demand by the seconds since the last tick."""
         for bucket in self._buckets.values():
             bucket.recent *= max(0.0, 1.0 - 0.5 * passed / defaults.LIMIT_SHARE_INTERVAL_S)
--- a/packages/rookspring-core/src/rookspring_core/organisations.py
+++ b/packages/rookspring-core/src/rookspring_core/organisations.py
@@ -1,7 +1,7 @@
-"""Organisations: whose a request is, by its key, and how much each may run.
+"""Organisations, the keys that identify their requests, and their allotments.
 
-A key is known by its digest alone: the key itself is let go as soon as it is read, so
-that no log line, metric or message between nodes can tell it.
+Only digests of keys are kept. The key itself is discarded as soon as it is read, so that no
+log line, metric or message between nodes can reveal it.
 """
 
 import hashlib
@@ -12,12 +12,12 @@
 
 
 class Allotment(t.NamedTuple):
-    """How much an organisation may run, over all boxes together.
+    """The usage limit of an organisation, over all boxes together.
 
-    :param rate: units a second; 0 means that there is no limit.
-    :param burst: units beyond the rate, in any window.
+    :param rate: units a second; 0 means no limit.
+    :param burst: units in addition to the rate, in any window.
     :param unit: ``tokens`` or ``requests``.
-    :param plain_tokens: what a request counts for that tells no tokens.
+    :param default_tokens: tokens to count for a request that does not state its tokens.
     """
 
     rate: float = 0.0
@@ -26,24 +26,24 @@
     plain_tokens: int = 0
 
     def cost(self, tokens: int | None) -> float:
-        """Give what a request counts for.
+        """Return the units that a request counts for.
 
-        :param tokens: of its prompt and the most of its answer; None where it tells none.
+        :param tokens: of its prompt and the limit of its answer together; None if not stated.
         """
         if self.unit != TOKENS:
             return 1.0
         return float(self.plain_tokens if tokens is None else tokens)
 
     def most(self, window_s: float) -> float:
-        """Give the most that may run within any window; infinite without a limit."""
+        """Return the most units that may run within any window; infinite without a limit."""
         return self.rate * window_s + self.burst if self.rate > 0.0 else float("inf")
 
 
 class Organisation(t.NamedTuple):
     """One organisation of a configuration.
 
-    :param digests: of its keys, as :func:`digest_of` gives them; it may have none left.
-    :param rank: goes before that of a request's route; None where it has none.
+    :param digests: of its keys, see :func:`digest_of`; empty if all were revoked.
+    :param rank: overrides the rank of a request's route; None to use that of the route.
     """
 
     name: str
@@ -59,9 +59,10 @@
     by_digest: t.Mapping[str, Organisation]
 
     def find(self, digest: str) -> Organisation | None:
-        """Give the organisation that holds a key, by the key's digest.
+        """Return the organisation of a key, by the key's digest.
 
-        The digests are of SHA-256, so how far two of them are alike tells nothing of a key.
+        A plain lookup is safe: the digests are SHA-256, so timing that depends on how much of two
+        digests is equal reveals nothing about a key.
         """
         return self.by_digest.get(digest)
 
@@ -69,7 +70,7 @@
 def make_directory(organisations: t.Iterable[Organisation]) -> Directory:
     """Index organisations.
 
-    :raises ValueError: where two have one name or one key.
+    :raises ValueError: if two organisations have the same name or the same key.
     """
     by_name: dict[str, Organisation] = {}
     by_digest: dict[str, Organisation] = {}
@@ -85,5 +86,5 @@
 
 
 def digest_of(key: bytes) -> str:
-    """Give the digest by which a key is known."""
+    """Return the digest that identifies a key."""
     return hashlib.sha256(key).hexdigest()
--- a/packages/rookspring-core/src/rookspring_core/owners.py
+++ b/packages/rookspring-core/src/rookspring_core/owners.py
@@ -1,11 +1,11 @@
-"""Which node decides for all, and since when.
-
-A bound on a sum over all nodes is kept by one of them, the *owner* of its subject: an
-organisation's allotment, the slots of a plain service, the requests a second that an endpoint
-takes. Every node works out the owners for itself, so two may think that they own one subject
-for a moment: while word of a node that came, left, froze or was cut off goes round. An owner that
-has just begun, or begins anew, therefore takes as spent what another may have given; how, is up
-to what it gives.
+"""Ownership of limits: which node decides on a subject for all nodes, and since when.
+
+A limit on a sum over all nodes is enforced by one of them, the *owner* of its subject: an
+organisation's allotment, the slots of a plain service, the rate limit of an endpoint. Every node
+computes the owners from its own view of the nodes, so two may regard themselves as the owner of
+one subject for a short time, until the nodes have learnt that one has joined, left, frozen or was
+cut off. An owner that has just become one, or becomes one again, therefore allows for what
+another may have granted; how depends on the kind of subject.
 """
 
 import collections
@@ -16,15 +16,15 @@
 
 
 def choose_owner(subject: str, nodes: t.Iterable[str]) -> str:
-    """Choose the node that decides on a subject: the same one wherever all know all.
+    """Choose the owner of a subject; nodes with the same view of the nodes choose the same one.
 
-    By rendezvous hashing, so a node that goes moves only what it owned.
+    Rendezvous hashing: when a node goes, only its own subjects move to other nodes.
     """
     return max(nodes, key=lambda node: mix("allotment", subject, node), default="")
 
 
 class _Tenure:
-    """Since when this node decides on a subject without a gap, and when it was asked last."""
+    """Since when this node has owned a subject without a gap, and when it last decided on it."""
 
     __slots__ = ("asked_at", "since")
 
@@ -34,7 +34,7 @@
 
 
 class OwnerTable:
-    """What this node decides for all, and which part of the nodes it may decide for.
+    """The subjects that this node owns, and the share of the nodes that it can hear.
 
     :param name: this node's name.
     """
@@ -43,49 +43,49 @@
         self._name = name
         self._tenures: dict[str, _Tenure] = {}
         self._kept_at = -1e9
-        # Among which nodes the owners were at the last look, and what has begun since.
+        # The candidate nodes at the last update, and the subjects added since.
         self._nodes: frozenset[str] = frozenset()
-        self._begun: set[str] = set()
-        # Part of the nodes of the last while that this node hears of.
+        self._added: set[str] = set()
+        # Nodes visible now, as a share of the most that were visible within VISIBLE_KEPT_S.
         self.reach = 1.0
         self._visible: collections.deque[tuple[float, int]] = collections.deque()
 
     def begin(self, subject: str, now: float) -> float:
-        """Give since when this node decides on a subject without a gap: now, at the latest."""
-        self._end_gap(now)
+        """Return since when this node has owned a subject without a gap, starting now if new."""
+        self._drop_after_gap(now)
         tenure = self._tenures.get(subject)
         if tenure is None:
             tenure = self._tenures[subject] = _Tenure(now)
-            self._begun.add(subject)
+            self._added.add(subject)
         tenure.asked_at = now
         return tenure.since
 
     def decides(self, subject: str) -> bool:
-        """Say whether this node has decided on a subject lately, without a gap."""
+        """Return whether this node owns a subject that it has recently decided on."""
         return subject in self._tenures
 
     def keep(self, nodes: t.Collection[str], now: float) -> None:
-        """Take, at a tick, among which nodes the owners are; what others own now has ended."""
-        self._end_gap(now)
+        """Update the candidate nodes, at each tick; drops idle subjects and those of others."""
+        self._drop_after_gap(now)
         self._kept_at = now
-        looked = self._begun if self._nodes == nodes else set(self._tenures)
+        unchecked = self._added if self._nodes == nodes else set(self._tenures)
         self._nodes = frozenset(nodes)
-        lost = {one for one in looked if choose_owner(one, nodes) != self._name}
+        lost = {one for one in unchecked if choose_owner(one, nodes) != self._name}
         lost |= {one for one, tenure in self._tenures.items() if _idle(tenure, now)}
-        self._begun = set()
+        self._added = set()
         for subject in lost:
             self._tenures.pop(subject, None)
 
-    def _end_gap(self, now: float) -> None:
-        """End all where this node stood still: others have taken over meanwhile."""
+    def _drop_after_gap(self, now: float) -> None:
+        """Drop all subjects if this node did not run for a while: others may have taken over."""
         if now - self._kept_at > defaults.OWNER_GAP_S:
             self._tenures.clear()
 
     def note_visible(self, nodes: int, now: float) -> None:
-        """Take how many nodes this one hears of now, itself among them.
+        """Record how many nodes are visible to this one now, including itself.
 
-        What is cut off may have an owner of its own, so a part of the nodes gives a part of
-        each limit until the others are back, or have long been gone.
+        In a network partition each side may have an owner. Each side therefore grants only its
+        share of each limit, until the others are visible again or ``VISIBLE_KEPT_S`` has passed.
         """
         while self._visible and now - self._visible[0][0] > defaults.VISIBLE_KEPT_S:
             self._visible.popleft()
--- a/packages/rookspring-core/src/rookspring_core/rate_buckets.py
+++ b/packages/rookspring-core/src/rookspring_core/rate_buckets.py
@@ -1,22 +1,23 @@
-"""Turns at an endpoint that names how many requests a second it takes from all nodes.
+"""Token buckets for endpoints that limit the requests a second from all nodes together.
 
-The endpoint's owner gives them out (:mod:`slot_queues`). In any w seconds it gives no more than w
-times the rate, with what may be in hand at the begin of them: :func:`in_hand`. So much may come at
-once; of what users bear beyond a rate, the rest is left for what is on its way.
+A token is a *permit* for one request; the endpoint's owner grants it (:mod:`slot_queues`). In any
+w seconds it grants at most w times the rate plus the burst, :func:`burst_size`, which may be sent
+at once. The burst takes up only a part of the excess over the rate that users tolerate; the rest
+is left for requests that are delayed on their way.
 """
 
 from . import defaults
 
 
 def in_hand(rate: float) -> float:
-    """Give the most turns that an endpoint may have in hand."""
+    """Return the most permits that an endpoint's bucket may hold."""
     return defaults.TURNS_IN_HAND + rate * defaults.TURNS_IN_HAND_S
 
 
 class RateBucket:
-    """The turns that are in hand now, and when the next one is due.
+    """The permits available now, and the time of the next one.
 
-    :param opens_at: from when on it fills; until then another owner may have given turns.
+    :param opens_at: when it starts to fill; until then another owner may have granted permits.
     """
 
     def __init__(self, rate: float, opens_at: float) -> None:
@@ -26,20 +27,20 @@
         self._at = opens_at
 
     def use(self, rate: float, now: float) -> None:
-        """Take the rate that holds from now on; less of it leaves less in hand."""
+        """Set the rate from now on; a lower rate also lowers the permits that are kept."""
         self._fill(now)
         self.rate = rate
         self._turns = min(self._turns, in_hand(rate))
 
     def turns(self, now: float) -> float:
-        """Give how many turns are in hand."""
+        """Return how many permits are available."""
         self._fill(now)
         return self._turns
 
     def take(self, now: float) -> float:
-        """Give a turn out.
+        """Take a permit.
 
-        :return: how many were in hand before.
+        :return: how many were available before.
         """
         self._fill(now)
         before = self._turns
@@ -47,13 +48,13 @@
         return before
 
     def put_back(self, before: float, taken_at: float, now: float) -> bool:
-        """Take back a turn of which nothing came.
+        """Return a permit with which nothing was sent.
 
-        It counts only where the bucket would not have been full without it meanwhile; else what
-        was given since may have been given in its place.
+        The permit is added only if the bucket would not have become full meanwhile had it not
+        been taken; otherwise a later permit may already have been granted in its place.
 
-        :param before: how many were in hand before it was taken.
-        :return: whether it counts.
+        :param before: how many permits were available before it was taken.
+        :return: whether the permit was added.
         """
         self._fill(now)
         full = before + self.rate * (now - taken_at) > in_hand(self.rate)
@@ -63,9 +64,9 @@
         return True
 
     def due_in_s(self, now: float) -> float:
-        """Give how long until there is a turn in hand, in seconds."""
+        """Return the seconds until a permit is available."""
         self._fill(now)
-        # It may not fill yet.
+        # The bucket may not have started to fill yet.
         starts_s = max(0.0, self._at - now)
         return starts_s + max(0.0, 1.0 - self._turns) / self.rate
 
--- a/packages/rookspring-core/src/rookspring_core/slot_queues.py
+++ b/packages/rookspring-core/src/rookspring_core/slot_queues.py
@@ -1,18 +1,19 @@
-"""Slots: leave to send one request to an endpoint, given out by one node for all.
-
-A plain service has a few endpoints of a few slots each, and runs that are shorter than the
-heartbeats by which nodes learn of each other's work. Left to themselves 69 nodes sent 30
-requests to endpoints of 6 slots, which took 0.35 s in place of 0.06 s and turned the rest
-away. So one node, the service's *owner*, gives each request a slot, by rank, and within a rank to
-organisations in turn, and refuses at once what can't be answered within its objective.
-
-It answers overload: what is served is served in time, and the rest is told so before it
-waits. See ``docs/design/shifted.md`` for the other way and the figures.
-
-An endpoint that names how many requests a second it takes from all nodes together gets no more
-of them than its owner has given slots for, be it one of a plain service or a model runner, which
-has a queue of its own. Nodes that each kept to the rate, or to a part of it, would pass the
-bound or serve nothing: see ``docs/design/request-rates.md``.
+"""Slots: the right to send one request to an endpoint, granted by one node for all nodes.
+
+A plain service has a few endpoints with a few slots each, and its requests run for less time
+than passes between the heartbeats that carry the load of other nodes. When each of 69 nodes chose
+endpoints on its own, endpoints with 6 slots were sent 30 requests, which took 0.35 s instead of
+0.06 s, and the endpoints rejected the rest. So one node, the service's *owner*, grants the slots:
+by rank, and fairly between organisations within a rank. A request that can't be answered within
+its objective is refused at once.
+
+This handles overload: admitted requests are answered in time, and the rest are refused before
+they wait. See ``docs/design/shifted.md`` for the alternative and the figures.
+
+An endpoint may limit how many requests a second it accepts from all nodes together. Its owner
+grants no more slots than that, for endpoints of plain services and for model runners, which have
+a queue each. If every node kept to the whole limit by itself, the sum would exceed it; with a
+fixed part of the limit each, nodes would serve nothing: see ``docs/design/request-rates.md``.
 """
 
 import heapq
@@ -27,13 +28,13 @@
 class SlotAsk(t.NamedTuple):
     """A request that needs a slot.
 
-    :param origin: the node that it came to; ``key`` is its name there.
-    :param rank: 0 is the most urgent, and goes first.
-    :param organisation: whose it is; within a rank they take turns.
-    :param wait_s: how long it may wait and be in time yet, with nothing for its run.
-    :param avoid: the endpoint that it failed at.
-    :param rate: the requests a second that the endpoint names, as the origin knows it; None
-        where it asks for any of a service.
+    :param origin: the node that received it; ``key`` is its id there.
+    :param rank: 0 is the most urgent and is served first.
+    :param organisation: the customer; organisations share the slots of a rank fairly.
+    :param wait_s: seconds that it may wait; the time of its run is not deducted.
+    :param avoid: the endpoint at which it failed before.
+    :param rate: the endpoint's rate limit in requests a second, as known to the origin; None
+        if any endpoint of a service will do.
     """
 
     origin: str
@@ -46,14 +47,14 @@
 
 
 class SlotAnswer(t.NamedTuple):
-    """What becomes of a request that needs a slot.
-
-    :param endpoint: where it has one; empty where it waits or is refused.
-    :param after_s: when to come back where it is refused, in seconds; else 0.
-    :param rated: the slot counts towards the requests a second that the endpoint takes.
-    :param stay_s: how long its node is to use other endpoints, if there are any, in seconds.
-    :param blind: it is refused as its owner knows no endpoint that takes work; its own node
-        may.
+    """The owner's answer to a request for a slot.
+
+    :param endpoint: where the slot was granted; empty if the request waits or is refused.
+    :param after_s: seconds after which to retry if it is refused; else 0.
+    :param rated: the slot counts towards the endpoint's rate limit.
+    :param avoid_s: seconds for which its node should prefer other endpoints, if there are any.
+    :param blind: it is refused because the owner knows no endpoint that accepts work; the
+        request's own node may know one.
     """
 
     origin: str
@@ -66,10 +67,10 @@
 
 
 class SlotEndpoint(t.NamedTuple):
-    """An endpoint that takes work.
+    """An endpoint that accepts work.
 
-    :param slots: how many requests run there at once; 0 where that is no matter here.
-    :param rate: how many requests it takes a second; None where it names none.
+    :param slots: how many requests run there at once; 0 if the queue does not limit that.
+    :param rate: its rate limit in requests a second; None if it has none.
     """
 
     name: str
@@ -78,42 +79,43 @@
 
 
 class _Grant(t.NamedTuple):
-    """A slot that was given, when, and the turns that its endpoint had in hand before."""
+    """A granted slot: when it was granted, and how many permits its endpoint had before."""
 
     at: float
-    before: float
+    permits_before: float
 
 
 class _Waiting(t.NamedTuple):
-    """A request that waits; the tuple's order is that of service.
+    """A waiting request; tuples compare in the order of service.
 
-    :param turn: of its organisation, as start-time fair queueing numbers them.
+    :param start_tag: its start tag in start-time fair queueing between organisations.
     """
 
     rank: int
-    turn: float
+    start_tag: float
     number: int
-    ask: SlotAsk
+    request: SlotAsk
     until: float
 
 
-class _Served:
-    """What is known of one endpoint: who has its slots, and how long runs take there."""
+class _EndpointSlots:
+    """The granted slots of one endpoint, and how long requests run there."""
 
     __slots__ = ("bucket", "grants", "run_s", "witness")
 
     def __init__(self) -> None:
         self.grants: dict[tuple[str, str], _Grant] = {}
         self.run_s = defaults.SLOT_RUN_S
-        # Where it names a rate; and what the check of the sum remembers.
+        # None unless the endpoint has a rate limit.
         self.bucket: RateBucket | None = None
+        # For the invariant check on the rate of all grants.
         self.witness = RateWitness()
 
-    def note(self, took_s: float) -> None:
+    def record_run(self, took_s: float) -> None:
         self.run_s += (took_s - self.run_s) * defaults.SLOT_RUN_GAIN
 
-    def use_rate(self, rate: float | None, opens_at: float, now: float) -> None:
-        """Take the rate that it names; one that names it anew begins with nothing in hand."""
+    def set_rate(self, rate: float | None, opens_at: float, now: float) -> None:
+        """Set the rate limit; an endpoint that had none starts without permits."""
         if rate is None:
             self.bucket = None
         elif self.bucket is None:
@@ -121,121 +123,124 @@
         else:
             self.bucket.use(rate, now)
 
-    def give(self, key: tuple[str, str], now: float) -> None:
-        before = 0.0
+    def grant(self, key: tuple[str, str], now: float) -> None:
+        permits_before = 0.0
         if self.bucket is not None:
-            before = self.bucket.take(now)
+            permits_before = self.bucket.take(now)
             self.witness.note(now, self.bucket.rate)
-        self.grants[key] = _Grant(now, before)
+        self.grants[key] = _Grant(now, permits_before)
 
-    def put_back(self, grant: _Grant, now: float) -> None:
-        """Take back a slot with which nothing was sent."""
+    def return_unsent(self, grant: _Grant, now: float) -> None:
+        """Return the permit of a slot with which nothing was sent."""
         if self.bucket is None:
             return
         self.witness.forget(grant.at)
-        if not self.bucket.put_back(grant.before, grant.at, now):
+        if not self.bucket.put_back(grant.permits_before, grant.at, now):
             return
-        # What was given since was given with one more in hand.
+        # Later grants would have found one more permit in the bucket.
         for key, one in self.grants.items():
             if one.at >= grant.at:
-                self.grants[key] = one._replace(before=one.before + 1.0)
+                self.grants[key] = one._replace(permits_before=one.permits_before + 1.0)
 
 
-class _Askers:
-    """Which nodes have asked for turns lately, and for how long each is to use other endpoints.
+class _PermitRequesters:
+    """Nodes that have requested permits lately, and for how long each avoids the endpoint.
 
-    That is a part of the time that the others need to have their turns: of 195 nodes that asked
-    whenever they could each would ask for each turn, and one would get it. The part falls while
-    turns lie in hand that nobody asks for, and rises with each that asks in vain.
+    A node avoids it for a share of the time in which all these nodes could get one permit each.
+    If 195 nodes requested whenever they could, each would compete for every permit, and only one
+    would get it. The share falls while permits are left unused, and rises with each request that
+    finds none.
     """
 
     def __init__(self) -> None:
-        self._asked: dict[str, float] = {}
+        self._requested_at: dict[str, float] = {}
         self._share = defaults.TURN_STAY_SHARE
 
-    def stay_s(self, origin: str, rate: float, turns: float, now: float) -> float:
-        """Give how long a node is to use other endpoints, in seconds.
+    def avoid_s(self, origin: str, rate: float, permits: float, now: float) -> float:
+        """Return the seconds for which a node should prefer other endpoints.
 
-        :param turns: in hand when it asked.
+        :param permits: how many were available when it asked.
         """
-        if turns < 1.0:
+        if permits < 1.0:
             self._share = min(defaults.TURN_STAY_SHARE, self._share * defaults.TURN_STAY_RISE)
-        elif turns >= defaults.TURNS_IN_HAND:
+        elif permits >= defaults.TURNS_IN_HAND:
             self._share = max(defaults.TURN_STAY_LEAST, self._share * defaults.TURN_STAY_FALL)
-        self._asked.pop(origin, None)
-        self._asked[origin] = now
-        kept_s = max(defaults.TURN_ASKERS_S, 2.0 * len(self._asked) / rate)
-        while now - next(iter(self._asked.values())) > kept_s:
-            del self._asked[next(iter(self._asked))]
-        share_s = len(self._asked) / rate * self._share
+        self._requested_at.pop(origin, None)
+        self._requested_at[origin] = now
+        kept_s = max(defaults.TURN_ASKERS_S, 2.0 * len(self._requested_at) / rate)
+        while now - next(iter(self._requested_at.values())) > kept_s:
+            del self._requested_at[next(iter(self._requested_at))]
+        share_s = len(self._requested_at) / rate * self._share
         return min(defaults.TURN_STAY_MOST_S, share_s)
 
 
 class SlotQueue:
-    """Slots and waiting requests of one service, of a part of its endpoints, or of one endpoint."""
+    """Slots and waiting requests of a service, of one of its partitions, or of one endpoint."""
 
     def __init__(self) -> None:
-        self._endpoints: dict[str, _Served] = {}
-        # How many each that takes work gets at once.
+        self._endpoints: dict[str, _EndpointSlots] = {}
+        # Endpoints that accept work, and how many requests each may have at once.
         self._open: dict[str, float] = {}
-        self._askers = _Askers()
-        # The rate of its one endpoint, as whoever asked last knew it.
+        self._requesters = _PermitRequesters()
+        # The rate limit of its one endpoint, as the last requesting node knew it.
         self.asked_rate: float | None = None
-        self._since = -1e9
-        # The latest time to which a caller was told to come back.
-        self._told_until = -1e9
+        self._owned_since = -1e9
+        # The latest time at which a refused caller was told to retry.
+        self._latest_retry_at = -1e9
         self._heap: list[_Waiting] = []
         self._numbers = itertools.count()
-        # The turn that was served last, and each organisation's next one.
-        self._turn = 0.0
-        self._next_turns: dict[str, float] = {}
+        # Virtual time, the start tag served last; and each organisation's next start tag.
+        self._virtual_time = 0.0
+        self._next_start_tags: dict[str, float] = {}
 
     def run_s(self, endpoint: str) -> float:
-        """Give how long a run is taken to last at an endpoint, in seconds."""
+        """Return the estimated time that a request runs at an endpoint, in seconds."""
         return self._endpoints[endpoint].run_s
 
     def idle(self) -> bool:
-        """Say whether nobody waits."""
+        """Return whether no request waits."""
         return not self._heap
 
     def use(
         self, endpoints: t.Iterable[SlotEndpoint], since: float = -1e9, now: float = 0.0
     ) -> None:
-        """Take which endpoints take work now.
+        """Set the endpoints that accept work now.
 
-        :param since: since when this node gives them out. Until then, and for as long as two nodes
-            may think that they do, another may have given as many requests a second as it
-            could; so it begins with none in hand, and not before that is over.
+        :param since: since when this node owns the queue. The previous owner may have granted up
+            to the full rate until then, and for ``OWNER_SETTLES_S`` after, while both nodes may
+            regard themselves as the owner; so permits start at none after that time.
         """
-        if since != self._since:
-            self._since = since
-            for served in self._endpoints.values():
-                served.bucket = None
+        if since != self._owned_since:
+            self._owned_since = since
+            for slots in self._endpoints.values():
+                slots.bucket = None
         self._open = {}
         for one in endpoints:
             self._open[one.name] = limit_of(one.slots)
-            served = self._endpoints.setdefault(one.name, _Served())
-            served.use_rate(one.rate, since + defaults.OWNER_SETTLES_S, now)
+            slots = self._endpoints.setdefault(one.name, _EndpointSlots())
+            slots.set_rate(one.rate, since + defaults.OWNER_SETTLES_S, now)
         for name in set(self._endpoints) - set(self._open):
             if not self._endpoints[name].grants:
                 del self._endpoints[name]
 
-    def ask(self, ask: SlotAsk, now: float) -> list[SlotAnswer]:
-        """Take a request: it gets a slot, waits for one, or is refused at once."""
+    def ask(self, request: SlotAsk, now: float) -> list[SlotAnswer]:
+        """Grant a request a slot, queue it, or refuse it at once."""
         self._expire(now)
-        turn = max(self._turn, self._next_turns.get(ask.organisation, 0.0))
-        wait_s = self._wait_s(ask.rank, turn, now)
-        spare_s = ask.wait_s
-        if ask.rate is None:
+        start_tag = max(self._virtual_time, self._next_start_tags.get(request.organisation, 0.0))
+        wait_s = self._wait_s(request.rank, start_tag, now)
+        spare_s = request.wait_s
+        if request.rate is None:
             spare_s -= defaults.SLOT_RUN_MARGIN * self._run_s()
         if not self._open or wait_s > max(0.0, spare_s):
-            return [self._refuse(ask, wait_s, now)]
-        self._next_turns[ask.organisation] = turn + 1.0
+            return [self._refuse(request, wait_s, now)]
+        self._next_start_tags[request.organisation] = start_tag + 1.0
         until = now + max(0.0, spare_s)
-        heapq.heappush(self._heap, _Waiting(ask.rank, turn, next(self._numbers), ask, until))
+        heapq.heappush(
+            self._heap, _Waiting(request.rank, start_tag, next(self._numbers), request, until)
+        )
         answers = self._grant(now)
-        if not any(one.key == ask.key and one.origin == ask.origin for one in answers):
-            answers.append(SlotAnswer(ask.origin, ask.key))
+        if not any(one.key == request.key and one.origin == request.origin for one in answers):
+            answers.append(SlotAnswer(request.origin, request.key))
         return answers
 
     def free(
@@ -247,116 +252,117 @@
         now: float,
         unsent: bool = False,
     ) -> list[SlotAnswer]:
-        """Take that a request's run is over; the next one may have its slot.
+        """Release the slot of a request that is over, and grant free slots to waiting requests.
 
-        :param took_s: how long it took; 0 where nothing ran.
+        :param took_s: how long it ran, in seconds; 0 if nothing ran.
         :param unsent: nothing of it was sent.
         """
-        served = self._endpoints.get(endpoint)
-        grant = served.grants.pop((origin, key), None) if served is not None else None
-        if served is not None and grant is not None:
+        slots = self._endpoints.get(endpoint)
+        grant = slots.grants.pop((origin, key), None) if slots is not None else None
+        if slots is not None and grant is not None:
             if took_s > 0.0:
-                served.note(took_s)
+                slots.record_run(took_s)
             if unsent:
-                served.put_back(grant, now)
+                slots.return_unsent(grant, now)
         return self.settle(now)
 
     def settle(self, now: float) -> list[SlotAnswer]:
-        """Give free slots, and refuse what has waited for too long."""
+        """Grant free slots, and refuse requests that have waited for too long."""
         self._expire(now)
-        return [*self._grant(now), *self._give_up(now)]
+        return [*self._grant(now), *self._refuse_late(now)]
 
-    def _refuse(self, ask: SlotAsk, wait_s: float, now: float) -> SlotAnswer:
+    def _refuse(self, request: SlotAsk, wait_s: float, now: float) -> SlotAnswer:
         least, most = defaults.SLOT_BACK_S
-        if ask.rate is None:
+        if request.rate is None:
             after_s = min(most, max(least, wait_s))
-            return SlotAnswer(ask.origin, ask.key, "", after_s, blind=not self._open)
-        stay_s = self._askers.stay_s(ask.origin, ask.rate, 0.0, now)
+            return SlotAnswer(request.origin, request.key, "", after_s, blind=not self._open)
+        avoid_s = self._requesters.avoid_s(request.origin, request.rate, 0.0, now)
         after_s = max(defaults.TURN_AGAIN_S, wait_s)
-        if ask.wait_s > 0.0:
-            # Its caller is told when a turn is due, each a later one: told the same, all would
-            # come back for it.
-            due_at = max(now + after_s, self._told_until + 1.0 / ask.rate)
-            self._told_until = min(due_at, now + most)
-            after_s = max(after_s, self._told_until - now)
-        return SlotAnswer(ask.origin, ask.key, "", after_s, False, max(stay_s, wait_s))
+        if request.wait_s > 0.0:
+            # Each refused caller gets a later retry time, one permit interval apart: with the
+            # same time, all would retry for the same permit.
+            due_at = max(now + after_s, self._latest_retry_at + 1.0 / request.rate)
+            self._latest_retry_at = min(due_at, now + most)
+            after_s = max(after_s, self._latest_retry_at - now)
+        return SlotAnswer(request.origin, request.key, "", after_s, False, max(avoid_s, wait_s))
 
     def _grant(self, now: float) -> list[SlotAnswer]:
         answers = []
         while self._heap:
-            ask = self._heap[0].ask
-            name = self._choose(ask.avoid, now)
+            request = self._heap[0].request
+            name = self._choose(request.avoid, now)
             if name is None:
                 break
-            self._turn = max(self._turn, heapq.heappop(self._heap).turn)
-            served = self._endpoints[name]
-            served.give((ask.origin, ask.key), now)
-            rated = served.bucket is not None
-            stay_s = 0.0
-            if ask.rate is not None:
-                turns = served.grants[(ask.origin, ask.key)].before
-                stay_s = self._askers.stay_s(ask.origin, ask.rate, turns, now)
-            answers.append(SlotAnswer(ask.origin, ask.key, name, 0.0, rated, stay_s))
+            self._virtual_time = max(self._virtual_time, heapq.heappop(self._heap).start_tag)
+            slots = self._endpoints[name]
+            slots.grant((request.origin, request.key), now)
+            rated = slots.bucket is not None
+            avoid_s = 0.0
+            if request.rate is not None:
+                permits = slots.grants[(request.origin, request.key)].permits_before
+                avoid_s = self._requesters.avoid_s(request.origin, request.rate, permits, now)
+            answers.append(SlotAnswer(request.origin, request.key, name, 0.0, rated, avoid_s))
         return answers
 
     def _choose(self, avoid: str, now: float) -> str | None:
-        """Choose the endpoint with a free slot at which a run is over soonest."""
+        """Choose the endpoint with a free slot that is expected to finish a request soonest."""
         free = {
-            name: served.run_s * (1.0 + len(served.grants) / limit)
+            name: slots.run_s * (1.0 + len(slots.grants) / limit)
             for name, limit in self._open.items()
-            if len((served := self._endpoints[name]).grants) < limit
-            and (served.bucket is None or served.bucket.turns(now) >= 1.0)
+            if len((slots := self._endpoints[name]).grants) < limit
+            and (slots.bucket is None or slots.bucket.turns(now) >= 1.0)
         }
         others = [name for name in free if name != avoid]
         return min(others or free, key=free.__getitem__, default=None)
 
-    def _give_up(self, now: float) -> list[SlotAnswer]:
+    def _refuse_late(self, now: float) -> list[SlotAnswer]:
         late = [one for one in self._heap if one.until <= now]
         if late:
             self._heap = [one for one in self._heap if one.until > now]
             heapq.heapify(self._heap)
         if not self._heap:
-            # Nobody waits, so nobody is owed a turn.
-            self._next_turns.clear()
-        return [self._refuse(one.ask, self._wait_s(one.rank, one.turn, now), now) for one in late]
+            # An empty queue ends the busy period: organisations start anew as equals.
+            self._next_start_tags.clear()
+        return [
+            self._refuse(one.request, self._wait_s(one.rank, one.start_tag, now), now)
+            for one in late
+        ]
 
     def _expire(self, now: float) -> None:
-        """Take back slots of which nothing was heard: their node is gone or cut off."""
-        for served in self._endpoints.values():
-            old = [
-                key for key, one in served.grants.items() if now - one.at > defaults.SLOT_LEASE_S
-            ]
+        """Drop slots held for longer than ``SLOT_LEASE_S``: their node is gone or cut off."""
+        for slots in self._endpoints.values():
+            old = [key for key, one in slots.grants.items() if now - one.at > defaults.SLOT_LEASE_S]
             for key in old:
-                del served.grants[key]
+                del slots.grants[key]
 
     def _run_s(self) -> float:
-        """Give how long a run takes, over the endpoints that are open."""
+        """Return the mean estimated run time over the open endpoints, in seconds."""
         times = [self._endpoints[name].run_s for name in self._open]
         return sum(times) / len(times) if times else defaults.SLOT_RUN_S
 
-    def _wait_s(self, rank: int, turn: float, now: float) -> float:
-        """Predict how long a request of a rank and turn waits for a slot, in seconds."""
+    def _wait_s(self, rank: int, start_tag: float, now: float) -> float:
+        """Predict how long a request waits for a slot, in seconds."""
         if self._choose("", now) is not None and not self._heap:
             return 0.0
-        ahead = 1 + sum(1 for one in self._heap if (one.rank, one.turn) <= (rank, turn))
-        pace = sum(self._pace(name) for name in self._open)
+        ahead = 1 + sum(1 for one in self._heap if (one.rank, one.start_tag) <= (rank, start_tag))
+        throughput = sum(self._throughput(name) for name in self._open)
         buckets = [self._endpoints[name].bucket for name in self._open]
         rated = [one for one in buckets if one is not None]
-        if pace <= 0.0:
+        if throughput <= 0.0:
             return float("inf")
         if len(rated) < len(buckets):
-            return ahead / pace
-        return min(one.due_in_s(now) for one in rated) + (ahead - 1) / pace
+            return ahead / throughput
+        return min(one.due_in_s(now) for one in rated) + (ahead - 1) / throughput
 
-    def _pace(self, name: str) -> float:
-        """Give how many requests a second an endpoint can be given."""
-        served = self._endpoints[name]
-        pace = self._open[name] / served.run_s
-        return pace if served.bucket is None else min(pace, served.bucket.rate)
+    def _throughput(self, name: str) -> float:
+        """Return how many requests a second an endpoint can be sent."""
+        slots = self._endpoints[name]
+        throughput = self._open[name] / slots.run_s
+        return throughput if slots.bucket is None else min(throughput, slots.bucket.rate)
 
 
 def limit_of(slots: int) -> float:
-    """Give how many requests an endpoint gets at once: so that its slots are never idle."""
+    """Return how many requests to send an endpoint at once, so that its slots are never idle."""
     if slots == 0:
         return float("inf")
     return slots + max(1, round(slots * defaults.SLOT_AHEAD_SHARE))
--- a/packages/rookspring-core/src/rookspring_core/slotting.py
+++ b/packages/rookspring-core/src/rookspring_core/slotting.py
@@ -1,11 +1,10 @@
-"""Requests that need a slot of its owner before they are sent, and what the owner says.
-
-:mod:`slot_queues` gives out the slots. Those of a plain service are one queue, or one for each
-part of its endpoints. A request that hears nothing of that owner is placed by this node itself, by
-what it knows of the endpoints. A model runner that names how many requests a second it takes has a
-queue of its own, and a slot there is a *turn*. Nothing is sent to an endpoint that names a rate
-without a slot that counts towards it: whoever hears nothing of the owner goes elsewhere, or is
-refused.
+"""Requests to owners for slots, the checks of their answers, and the queues that this node owns.
+
+:mod:`slot_queues` grants the slots. A plain service has one queue, or one for each partition of
+its endpoints. If its owner does not answer, this node places the request by its own view of the
+endpoints. A model runner with a rate limit has a queue of its own, and a slot there is a *permit*.
+Nothing is sent to an endpoint with a rate limit without a slot that counts towards the limit: if
+the owner does not answer, the request goes to another endpoint or is refused.
 """
 
 import math
@@ -25,12 +24,12 @@
 from .state import SlotHeld
 from .state import TurnAsked
 
-# Begins the name of the queue of one endpoint; services have no such names.
+# Prefix of the name of a queue for one endpoint; names of services don't begin with it.
 ENDPOINT_MARK = "@"
 
 
 def ask(state: NodeState, request: RequestState) -> list[Effect]:
-    """Ask for a slot for a request that waits, where its service is a plain one."""
+    """Ask for a slot for a waiting request, if it is for a plain service."""
     arrived = request.arrived
     request.slot_asked_at = None
     if arrived.route is None or not arrived.service or not state.slots_by_owner:
@@ -38,27 +37,28 @@
     wait_s = arrived.route.objective_s - (state.now - arrived.at)
     avoid = request.endpoint if request.attempt else ""
     rank = arrived.route.rank
-    queue = _begin(state, request, share_of(state, arrived))
+    queue = _start_question(state, request, share_of(state, arrived))
     return [AskSlot(arrived.request_id, queue, rank, arrived.team, wait_s, avoid)]
 
 
 def ask_turn(
     state: NodeState, request: RequestState, view: EndpointView, until: float
 ) -> list[Effect]:
-    """Ask for a turn for a request at an endpoint that names a rate.
+    """Ask for a permit for a request at an endpoint with a rate limit.
 
-    :param until: how long it may wait for one; not at all where others hold its model as well.
+    :param until: the time until which it may wait; not in the future if it may not wait, because
+        other endpoints hold its model too.
     """
     arrived = request.arrived
     assert arrived.route is not None
-    queue = _begin(state, request, ENDPOINT_MARK + view.name)
+    queue = _start_question(state, request, ENDPOINT_MARK + view.name)
     state.turns_asked[arrived.request_id] = TurnAsked(view.name, until)
     wait_s = max(0.0, until - state.now)
     rank = arrived.route.rank
     return [AskSlot(arrived.request_id, queue, rank, arrived.team, wait_s, "", view.rate)]
 
 
-def _begin(state: NodeState, request: RequestState, queue: str) -> str:
+def _start_question(state: NodeState, request: RequestState, queue: str) -> str:
     request.slot_asked_at = state.now
     request.slot_heard = False
     request.slot_queue = queue
@@ -66,7 +66,7 @@
 
 
 def waits(state: NodeState, request: RequestState) -> bool:
-    """Say whether a request is to wait for its service's owner."""
+    """Return whether a request should wait for the answer of its service's owner."""
     asked_at = request.slot_asked_at
     if asked_at is None:
         return False
@@ -74,9 +74,9 @@
 
 
 def answers(state: NodeState, request: RequestState | None, event: SlotAnswered) -> bool:
-    """Say whether an owner's answer is to what a request asks for yet.
+    """Return whether an owner's answer is to the request's current question, and not too late.
 
-    One that was held up says nothing of now: its turn may have been another's since.
+    The permit of a delayed answer may have been granted to another request since.
     """
     if request is None or request.running or request.slot_asked_at is None:
         return False
@@ -88,15 +88,15 @@
 
 
 def hold(request: RequestState, event: SlotAnswered, now: float) -> None:
-    """Note that a request has a slot."""
+    """Record that a request holds a slot."""
     request.slot = SlotHeld(request.slot_queue, event.endpoint, now, event.rated)
     request.slot_asked_at = None
 
 
 def free(state: NodeState, request: RequestState, failed: bool, unsent: bool) -> list[Effect]:
-    """Give a slot back, once.
+    """Release a request's slot, if it holds one.
 
-    :param unsent: nothing was sent by it.
+    :param unsent: nothing was sent with it.
     """
     held = request.slot
     if held is None:
@@ -104,22 +104,22 @@
     request.slot = None
     identity = request.arrived.request_id
     if held.queue.startswith(ENDPOINT_MARK):
-        # A turn is over with its first byte.
+        # A permit is used up by the first byte sent.
         return [FreeSlot(identity, held.queue, held.endpoint, 0.0, True)] if unsent else []
     took_s = state.now - held.at
     if failed:
-        # A failure is quick; counted as such it would draw more requests there.
+        # Failures are quick: their true time would make the endpoint look fast and draw requests.
         took_s = max(took_s, defaults.SLOT_FAILED_S)
     return [FreeSlot(identity, held.queue, held.endpoint, took_s, unsent)]
 
 
 def usable(state: NodeState, event: SlotAnswered) -> EndpointView | None:
-    """Give the endpoint of a slot, unless this node knows that it takes no work by it."""
+    """Return the endpoint of a slot; None if this node knows that the slot can't be used there."""
     view = state.endpoints.get(event.endpoint)
     if view is None or view.leaving or view.gone or view.rests(state.now):
         return None
     if view.rate is not None and not event.rated:
-        # It was given by an owner that did not know of the rate yet.
+        # It was granted by an owner that did not know of the rate limit yet.
         return None
     if not view.listens(state.now):
         return None
@@ -127,10 +127,10 @@
 
 
 def find_turnless(state: NodeState, request_id: str, endpoint: str) -> str:
-    """Say why a request that is about to be sent has no slot that counts; empty where it may go.
+    """Return why a request must not be sent for want of a valid permit; empty if it may be sent.
 
-    The endpoint may have named its rate since it was chosen, or the slot may be too old: what
-    waited with it would come together with what was given since.
+    The endpoint may have announced its rate limit after it was chosen, or the permit may be too
+    old: requests sent late would arrive together with those of later permits.
     """
     view = state.endpoints.get(endpoint)
     request = state.requests.get(request_id)
@@ -148,41 +148,46 @@
 
 
 def share_of(state: NodeState, arrived: RequestArrived) -> str:
-    """Name the service, or the part of its endpoints that a request is to use.
+    """Return the queue that a request is to use: its service, or one partition of its endpoints.
 
-    A part has no more endpoints than one node can give out slots for.
+    A partition has at most ``SLOT_ENDPOINTS_MAX`` endpoints, as many as one node can grant slots
+    for.
     """
     assert arrived.route is not None
     service = arrived.route.service
-    parts = _parts(len(state.hosts.get(arrived.target, {})))
-    return f"{service}/{mix('part', arrived.request_id) % parts}" if parts > 1 else service
+    count = _partition_count(len(state.hosts.get(arrived.target, {})))
+    return f"{service}/{mix('part', arrived.request_id) % count}" if count > 1 else service
 
 
-def _parts(endpoints: int) -> int:
+def _partition_count(endpoints: int) -> int:
     return max(1, math.ceil(endpoints / defaults.SLOT_ENDPOINTS_MAX))
 
 
 def subject_of(queue: str) -> str:
-    """Name what the owner of a queue decides on; see :mod:`owners`."""
+    """Return the subject under which the owner of a queue is chosen; see :mod:`owners`."""
     return f"slots/{queue}"
 
 
 def forgotten(state: NodeState, queue: str) -> bool:
-    """Say whether an endpoint's queue is of no use: it would begin anew if it were asked of."""
+    """Return whether an endpoint's queue can be dropped, as this node no longer owns it.
+
+    Its permits would start at none anyway if this node became the owner again.
+    """
     return queue.startswith(ENDPOINT_MARK) and not state.owners.decides(subject_of(queue))
 
 
 def queue_of(state: NodeState, name: str, now: float, rate: float | None = None) -> SlotQueue:
-    """Give a queue that this node owns, with its endpoints as they are now.
+    """Return a queue that this node owns, with its endpoints updated.
 
-    :param rate: the requests a second that its endpoint takes, as whoever asks knows it.
+    :param rate: the rate limit of its endpoint in requests a second, as the requesting node
+        knows it.
     """
     queue = state.slot_queues.setdefault(name, SlotQueue())
     since = state.owners.begin(subject_of(name), now)
     if name.startswith(ENDPOINT_MARK):
-        endpoints = _endpoint_of(state, name.removeprefix(ENDPOINT_MARK), queue, rate)
+        endpoints = _rated_endpoint(state, name.removeprefix(ENDPOINT_MARK), queue, rate)
     else:
-        endpoints = _endpoints_of(state, name)
+        endpoints = _service_endpoints(state, name)
     reach = state.owners.reach
     queue.use(
         [one if one.rate is None else one._replace(rate=one.rate * reach) for one in endpoints],
@@ -192,10 +197,10 @@
     return queue
 
 
-def _endpoint_of(
+def _rated_endpoint(
     state: NodeState, name: str, queue: SlotQueue, rate: float | None
 ) -> list[SlotEndpoint]:
-    """Give the endpoint of a queue of its own, with its rate as this node or the other knows it."""
+    """Return the endpoint of its own queue, with the rate limit as known here or by a requester."""
     view = state.endpoints.get(name)
     known = view.rate if view is not None else None
     queue.asked_rate = rate or queue.asked_rate
@@ -203,14 +208,14 @@
     return [SlotEndpoint(name, 0, found)] if found is not None else []
 
 
-def _endpoints_of(state: NodeState, service: str) -> list[SlotEndpoint]:
-    """Give the endpoints of a plain service, or of a part of it, that take work."""
-    name, _, part = service.partition("/")
+def _service_endpoints(state: NodeState, service: str) -> list[SlotEndpoint]:
+    """Return the endpoints of a plain service, or of one partition of it, that accept work."""
+    name, _, partition = service.partition("/")
     views = sorted(state.hosts.get(name, {}).values(), key=lambda one: one.name)
-    parts = _parts(len(views))
-    if part:
-        views = [one for place, one in enumerate(views) if place % parts == int(part) % parts]
-    there = [one for one in views if not one.leaving and not one.gone]
-    awake = [one for one in there if not one.rests(state.now)]
-    ready = [one for one in awake if one.open_for_work(state.now)] or awake
+    count = _partition_count(len(views))
+    if partition:
+        views = [one for index, one in enumerate(views) if index % count == int(partition) % count]
+    present = [one for one in views if not one.leaving and not one.gone]
+    available = [one for one in present if not one.rests(state.now)]
+    ready = [one for one in available if one.open_for_work(state.now)] or available
     return [SlotEndpoint(one.name, one.slots(), one.rate) for one in ready]
