--- a/features/notice_stories.py
+++ b/features/notice_stories.py
@@ -1,8 +1,8 @@
-"""Drawn stories of endpoints that say of themselves that they leave, or want rest.
+"""Random fault sequences with endpoints that are leaving or request back-offs.
 
-Beside them nodes and the store fail as in the stories of keys, entries lapse and come back, and
-processes end and start again. The invariants in the program hold throughout; what arrives at
-endpoints is judged here as well, by what each node had heard.
+Nodes and the store fail as in :mod:`key_stories`, entries lapse and are written again, and
+processes end and restart. The program's own invariant checks are on throughout; the requests that
+arrive at endpoints are checked here as well, against the notices that each node had got.
 """
 
 import functools
@@ -13,9 +13,9 @@
 from rookspring_fakes.fleet_callers import FATAL
 from rookspring_fakes.fleet_callers import FleetCallers
 
-# A request may arrive so long after its node heard that the endpoint leaves.
+# For how long after a node got the notice its requests may arrive at a leaving endpoint.
 LEFT_S = 2.0
-# Requests that may arrive while an endpoint rests, from half a second after it said so.
+# How many requests may arrive during a back-off, from half a second after its notice.
 RESTING_MOST = 2
 REST_BEGINS_S = 0.5
 STEP_S = 0.05
@@ -32,7 +32,7 @@
 
 
 class NoticeStory:
-    """A fleet under load, what its endpoints say, and what nodes did wrong."""
+    """A fleet under load, its endpoints' notices, and the requests that violated them."""
 
     troubles = TROUBLES
 
@@ -41,7 +41,7 @@
         self.fleet = self.callers.fleet
         self.runners = self.callers.runners
         self.drawn = random.Random(seed)
-        # Nodes that froze, with when they went on.
+        # Nodes that froze, and when they resumed.
         self.stood_still = {}
 
     def run(self, seconds):
@@ -54,7 +54,7 @@
                     self.stood_still[node.name] = self.fleet.now
 
     def play(self, acts):
-        """Play troubles, each with a wait in tenths of a second."""
+        """Apply faults in turn, each followed by a wait in tenths of a second."""
         ends = []
         for act, tenths in acts:
             if act == "end" and ends:
@@ -69,13 +69,13 @@
         self.run(2.0)
 
     def arrivals(self, word):
-        """List what reached the process that said something, from the node that heard it."""
+        """List when requests of the node that got a notice reached the process that gave it."""
         return [
             one.at
             for one in self.runners.arrived
             if (one.endpoint, one.start, one.node) == (word.endpoint, word.start, word.node.name)
             and one.at > word.at
-            # A node that was started again has heard nothing, and one that froze is excused.
+            # A restarted node has not got the notice, and a node that froze may send late.
             and self.fleet.nodes[one.node] is word.node
             and self.stood_still.get(one.node, -1.0) < word.at
         ]
@@ -88,10 +88,10 @@
                 continue
             at = self.arrivals(word)
             if word.notice.leaving and any(one > word.at + LEFT_S for one in at):
-                found.append(("sent to one that leaves", word, at))
+                found.append(("sent to a leaving endpoint", word, at))
             begins, ends = word.at + REST_BEGINS_S, word.at + rest_s
             if sum(begins <= one < ends for one in at) > RESTING_MOST:
-                found.append(("sent to one at rest", word, at))
+                found.append(("sent during a back-off", word, at))
         return found
 
 
@@ -99,7 +99,7 @@
     return f"e{story.drawn.randrange(story.fleet.plan.endpoints)}"
 
 
-@trouble("an endpoint leaves, and its entry says nothing")
+@trouble("an endpoint is leaving, and its entry stays live")
 def leaves(story):
     name = some(story)
     story.runners.leaving.add(name)
@@ -112,24 +112,24 @@
     story.fleet.at(story.fleet.now + story.drawn.uniform(4.0, 9.0), end)
 
 
-@trouble("an endpoint sheds and asks for rest")
+@trouble("an endpoint sheds load and requests a back-off")
 def sheds(story):
     until = story.fleet.now + story.drawn.uniform(0.5, 5.0)
     story.runners.shed(some(story), until, story.drawn.choice((0.4, 1.0, 3.0)))
 
 
-@trouble("an endpoint sheds and tells no time")
+@trouble("an endpoint sheds load and gives no time")
 def sheds_untold(story):
     story.runners.shed(some(story), story.fleet.now + story.drawn.uniform(0.5, 3.0), None)
 
 
-@trouble("all endpoints shed")
+@trouble("all endpoints shed load")
 def all_shed(story):
     for number in range(story.fleet.plan.endpoints):
         story.runners.shed(f"e{number}", story.fleet.now + 1.0, 1.0)
 
 
-@trouble("a request comes again and again that ends what runs it")
+@trouble("a request that crashes what runs it is sent again and again")
 def fatal_comes(story):
     story.runners.fatal.add(FATAL)
     for turn in range(4):
@@ -143,7 +143,7 @@
     story.runners.end(some(story))
 
 
-@trouble("an entry lapses and comes back, and says that its endpoint stays")
+@trouble("an entry lapses and is written again, as live")
 def lapses(story):
     name = some(story)
     born = 1 + story.runners.start_of(name)
--- a/features/steps/crash_end_steps.py
+++ b/features/steps/crash_end_steps.py
@@ -17,7 +17,7 @@
 from rookspring_core.suspects import Sighting
 from rookspring_fakes.fleet_callers import FATAL
 
-# What an end is, and who tells.
+# Which events count as a crash, and how they are detected.
 
 
 def send_fatal(node, key):
@@ -39,12 +39,12 @@
 
 
 class EndsHarness(RelayHarness):
-    """A node, and three endpoints of which one is there at a time."""
+    """A node whose request runs at one new endpoint after another."""
 
     def __init__(self):
         super().__init__()
         self.number = 0
-        # Endpoints that the list holds, with when they were started.
+        # The listed endpoints, with their start times.
         self.there = {}
 
     def relist(self, state="live"):
@@ -55,17 +55,17 @@
         self.submit(BoxListCame(self.now, tuple(rows)))
 
     def empty(self):
-        """Have those that are there hold nothing, so that the next one gets the request."""
+        """Have all listed endpoints hold no model, so that the next one gets the request."""
         for name, born in self.there.items():
             self.submit(self.report(name, [], born=born))
 
     def lapse(self):
-        """Have the entry of the last endpoint go."""
+        """Remove the entry of the last endpoint."""
         del self.there[self.name]
         self.relist()
 
     def attempt(self):
-        """Have the request run at an endpoint of its own."""
+        """Have the request run at a new endpoint."""
         self.number += 1
         self.empty()
         self.name = f"e{self.number}"
@@ -86,7 +86,7 @@
         )
 
     def find_refused(self):
-        """Have another request find that nothing listens there."""
+        """Have the endpoint refuse the connection of another request."""
         self.now += 1.2
         terms = RouteTerms("r", "llm", 1, 1, 1, 0.5, 1.0)
         other = f"other-{self.number}"
@@ -115,12 +115,12 @@
     return register
 
 
-@ending("nothing listened there at once")
+@ending("connections were refused at once")
 def _refused_at_once(node):
     node.fail(down=True)
 
 
-@ending("nothing listened there for the next request")
+@ending("the next request's connection was refused")
 def _refused_later(node):
     node.fail()
     node.find_refused()
@@ -133,7 +133,7 @@
     node.lapse()
 
 
-@ending("its next process told of its start")
+@ending("its next process reported its start time")
 def _started_anew(node):
     node.fail()
     node.now += 2.0
@@ -141,7 +141,7 @@
     node.submit(node.report(node.name, [], born=node.born + 1))
 
 
-@ending("another node said that it ended")
+@ending("another node reported its end")
 def _told(node):
     node.fail()
     life = Life(node.name, node.born)
@@ -149,31 +149,31 @@
     node.submit(EvidenceHeard(node.now, Evidence((seen,)), "n2"))
 
 
-@ending("it listened yet")
+@ending("it still accepted connections")
 def _listened(node):
     node.fail()
 
 
-@ending("it listened yet, and its entry lapsed 8 s later")
+@ending("it still accepted connections, and its entry lapsed 8 s later")
 def _lapsed_late(node):
     node.fail()
     node.now += 8.0
     node.lapse()
 
 
-@ending("it was leaving, and nothing listened there")
+@ending("it was leaving, and connections were refused")
 def _leaving(node):
     node.relist("leaving")
     node.fail(down=True)
 
 
-@ending("its entry had gone before, and nothing listened there")
+@ending("its entry had gone before, and connections were refused")
 def _gone(node):
     node.lapse()
     node.fail(down=True)
 
 
-@ending("nothing listened there, and a run of it ended well")
+@ending("connections were refused, and a later run of the request succeeded")
 def _well(node):
     node.fail(down=True)
     node.now += 3.0
@@ -183,7 +183,7 @@
     node.number -= 10
 
 
-@given("a node whose request ran at three endpoints by turns")
+@given("a node whose request runs at three endpoints, one after another")
 def three_endpoints(context):
     context.node = EndsHarness()
 
@@ -196,7 +196,7 @@
         context.node.now += 4.0
 
 
-@when("each time it ended with {end}, and nothing listened there later")
+@when("each attempt ended with {end}, and connections were refused later")
 def no_break(context, end):
     node = context.node
     for _ in range(3):
@@ -220,7 +220,7 @@
     assert len(sent) == (fate == "sent"), node.sent
 
 
-@when("2 times the connection broke off, and nothing listened there at once")
+@when("2 times the connection broke off, and connections were refused at once")
 def broke_twice(context):
     for _ in range(2):
         context.node.attempt()
@@ -228,7 +228,7 @@
         context.node.now += 4.0
 
 
-@when("it comes again where one endpoint holds its prefix and another runs nothing")
+@when("it is retried where one endpoint has cached its prefix and another is idle")
 def holds_prefix(context):
     node = context.node
     node.empty()
@@ -258,7 +258,7 @@
     node.submit(arrived._replace(request_id="last", fingerprint=FATAL))
 
 
-@then("it is sent to the one that runs nothing")
+@then("it is sent to the idle one")
 def sent_to_idle(context):
     last = context.node.sent[-1]
     assert (last.request_id, last.endpoint) == ("last", "idle"), last
@@ -275,7 +275,7 @@
         node.now += 4.0
 
 
-@when("it comes again, and nothing listens at the first of two endpoints")
+@when("it is retried, and the first of two endpoints refuses the connection")
 def first_is_down(context):
     node = context.node
     node.empty()
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -23,7 +23,7 @@
 from rookspring_fakes.fleet_callers import FleetCallers
 
 
-@given("{nodes:d} nodes, and a request that ends each endpoint that runs it")
+@given("{nodes:d} nodes, and a request that crashes each endpoint that runs it")
 def fatal_request(context, nodes):
     context.stage = FleetCallers(nodes)
     context.stage.runners.fatal.add(FATAL)
@@ -35,18 +35,18 @@
     stage = context.stage
     names = stage.names()
     for turn in range(times):
-        # Seven apart, so that data centres and relays come by turns.
+        # In steps of seven, so that nodes of all data centres, relays among them, get it in turn.
         name = names[0] if where == "the same node" else names[turn * 7 % len(names)]
         context.keys.append((stage.send(name, FATAL), stage.fleet.now))
         stage.fleet.run(AGAIN_S)
 
 
-@then("{number:d} endpoints have ended under it")
+@then("it has crashed {number:d} endpoints")
 def ended_under(context, number):
     assert context.stage.runners.ends_under(FATAL) == number, context.stage.runners.ended
 
 
-@then("each time after the third end it is refused as not run, with no time to come back")
+@then("each attempt after the third crash is refused as not run, with no retry time")
 def refused(context):
     stage = context.stage
     third = stage.third_end(FATAL)
@@ -59,11 +59,11 @@
         assert told == (503, "not_run", 0.0), refusal
 
 
-# Who was not there.
+# Nodes that missed the crashes.
 
 
-def convict(stage, names, times=3):
-    """Have processes end under the request, at some nodes by turns."""
+def crash_endpoints(stage, names, times=3):
+    """Have the request crash processes, sent by each of some nodes in turn."""
     for turn in range(times):
         stage.send(names[turn % len(names)], FATAL)
         stage.fleet.run(2.0 + AGAIN_S)
@@ -82,40 +82,40 @@
     return pairs
 
 
-@when("{who} is started while 3 endpoints end under it")
+@when("{who} is started while the request crashes 3 endpoints")
 def started(context, who):
     stage = context.stage
     name = context.name = pick(stage.fleet, who)
     others = [one for one in stage.names() if one != name]
     stage.fleet.kill(name)
-    convict(stage, others)
+    crash_endpoints(stage, others)
     stage.fleet.start(int(name[1:]))
     stage.fleet.run(1.0)
 
 
-@when("{who} freezes while 3 endpoints end under it")
+@when("{who} freezes while the request crashes 3 endpoints")
 def frozen(context, who):
     stage = context.stage
     name = context.name = pick(stage.fleet, who)
     others = [one for one in stage.names() if one != name]
     stage.fleet.nodes[name].frozen = True
-    convict(stage, others)
+    crash_endpoints(stage, others)
     stage.fleet.thaw(name)
     stage.fleet.run(1.0)
 
 
-@when("{who} is cut off from the others while 3 endpoints end under it")
+@when("{who} is cut off from the others while the request crashes 3 endpoints")
 def cut(context, who):
     stage = context.stage
     name = context.name = pick(stage.fleet, who)
     others = [one for one in stage.names() if one != name]
     pairs = cut_off(stage.fleet, name)
-    convict(stage, others)
+    crash_endpoints(stage, others)
     stage.fleet.cut -= pairs
     stage.fleet.run(3.0)
 
 
-@when("{who} loses the node that it follows while 3 endpoints end under it")
+@when("{who} loses the node that it follows while the request crashes 3 endpoints")
 def loses_followed(context, who):
     stage = context.stage
     name = context.name = pick(stage.fleet, who)
@@ -124,7 +124,7 @@
     for turn in range(3):
         stage.send(others[turn * 7 % len(others)], FATAL)
         if turn == 2:
-            # Just before the third end.
+            # Just before the third crash.
             stage.fleet.kill(followed)
         stage.fleet.run(2.0 + AGAIN_S)
 
@@ -135,7 +135,7 @@
     context.stage.fleet.run(1.0)
 
 
-@then("it was refused there as not run, with no time to come back")
+@then("it was refused there as not run, with no retry time")
 def refused_there(context):
     refusal = context.stage.refusal(context.key)
     assert refusal is not None
@@ -143,11 +143,11 @@
     assert told == (503, "not_run", 0.0), refusal
 
 
-@when("3 endpoints have ended under it, and all nodes are killed and started again")
+@when("it has crashed 3 endpoints, and all nodes are killed and restarted")
 def all_killed(context):
     stage = context.stage
     names = stage.names()
-    convict(stage, names)
+    crash_endpoints(stage, names)
     for name in names:
         stage.fleet.kill(name)
     stage.fleet.run(1.0)
@@ -156,7 +156,7 @@
     stage.fleet.run(8.0)
 
 
-@when("2 endpoints have ended under it")
+@when("it has crashed 2 endpoints")
 def two_ended(context):
     names = context.stage.names()
     for name in names[:2]:
@@ -165,8 +165,8 @@
     assert context.stage.runners.ends_under(FATAL) == 2
 
 
-@then("it is refused for some 2 s, with a time to come back")
-def held_back(context):
+@then("it is refused for some 2 s, with a retry time")
+def refused_for_a_while(context):
     stage = context.stage
     for name in stage.names():
         key = stage.send(name, FATAL)
@@ -189,7 +189,9 @@
 # Merging and bounds.
 
 
-@then("{number:d} drawn rows of evidence give the same verdicts in any order, told once or twice")
+@then(
+    "{number:d} random sets of evidence give the same verdicts in any order, merged once or twice"
+)
 def merges(context, number):
     row = strategies.tuples(
         strategies.sampled_from("abc"), strategies.integers(1, 5), strategies.integers(0, 300)
@@ -204,7 +206,7 @@
             else Evidence(cleared=(Cleared(name, float(at)),))
             for name, end, at in rows
         ]
-        # One process has one end, so a sighting of it has one time.
+        # A process ends once, so its crash records have one time.
         told = list({_key(one): one for one in told}.values())
         first, second = SuspectTable(), SuspectTable()
         for one in told:
@@ -232,7 +234,7 @@
         context.suspects.take(Evidence((seen,)), 1.0)
 
 
-@when("org-a has {number:d} different requests under ends")
+@when("org-a has {number:d} different requests in flight at crashes")
 def many_suspects(context, number):
     for one in range(number):
         seen = Sighting(f"a{one}", "org-a", Life("e", one), 2.0, True)
@@ -249,32 +251,34 @@
 def own_fingerprint(context):
     found = {make_fingerprint(name, "h", b"/a", b"body") for name in ("org-a", "org-b", "")}
     assert len(found) == 3
-    # Parts that run on into each other are told apart.
+    # The bounds between the parts count.
     assert make_fingerprint("", "h", b"/a", b"b") != make_fingerprint("", "h", b"/ab", b"")
 
 
-# Ordinary ends.
+# Crashes that no request causes.
 
 
-@given("8 nodes whose endpoints end {times:d} times in {seconds:d} s, for no request's sake")
+@given(
+    "8 nodes whose endpoints crash {times:d} times in {seconds:d} s, independently of the requests"
+)
 def ordinary_ends(context, times, seconds):
     context.day = EndsDay(times, seconds)
 
 
-@when("{rate:d} requests a second come, and those that broke off come again once")
+@when("{rate:d} requests a second come, and those that broke off are retried once")
 def come_once(context, rate):
     context.played = EndsPlayed(context.day._replace(rate=rate))
 
 
-@then("no request is found to end endpoints")
-def none_condemned(context):
+@then("no request is found to crash endpoints")
+def none_with_verdict(context):
     played = context.played
     assert len(played.callers.runners.ended) >= 30, len(played.callers.runners.ended)
     assert played.came_again >= 50, played.came_again
     assert not played.condemned(), played.condemned()
 
 
-# Between sockets.
+# Over sockets.
 
 BODY = b"ends what runs it"
 
@@ -336,7 +340,7 @@
     stage.fleet.run(2.0)
 
 
-@then("{number:d} endpoints have ended under it, and it was sent to {sent:d} in all")
+@then("it has crashed {number:d} endpoints, and was sent to {sent:d} in all")
 def ended_and_sent(context, number, sent):
     ended_under(context, number)
     arrived = [one for one in context.stage.runners.arrived if one.fingerprint == FATAL]
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -15,7 +15,7 @@
 MODEL_GB = 200_000.0
 
 
-@given("its runners tell when they were started")
+@given("its runners report their start times")
 def tell_starts(context):
     holder = context.holder
     for runner in holder.runners.values():
@@ -26,7 +26,7 @@
 
 
 def start_again(holder, later=5 * SECOND):
-    """Have e1 start again: it holds nothing, keeps its disk and counts anew."""
+    """Restart e1: it holds no model, keeps its disk and counts its orders from 0."""
     runner = holder.runners["e1"]
     runner.update(models=[], adapters=[], taken=0, disk=("m",), born=runner["born"] + later)
     holder.dead.discard("e1")
@@ -111,7 +111,7 @@
     assert not view.open_for_work(holder.now)
 
 
-@state("it has started again a moment before")
+@state("it restarted a moment before")
 def _twice(holder):
     start_again(holder)
     holder.submit(holder.entry("e1"))
@@ -122,7 +122,7 @@
     holder.submit(LeaseSeen(holder.now, 50, "another", 9, "x"))
 
 
-@when("{state}, and e1 starts again")
+@when("{state}, and e1 restarts")
 def starts_again(context, state):
     holder = context.holder
     context.before = holder.entry("e1")
@@ -145,20 +145,20 @@
     "a report that another node shares": lambda holder, before: holder.submit(
         before._replace(at=holder.now, order_token=(0, 99))
     ),
-    "a list of the endpoints as leaving": lambda holder, before: holder.submit(
+    "a list with the endpoint as leaving": lambda holder, before: holder.submit(
         before._replace(at=holder.now, leaving=True)
     ),
 }
 
 
-@when("{word} of the life before comes late")
-def late_word(context, word):
+@when("{message} of the earlier process arrives late")
+def late_message(context, message):
     holder = context.holder
     holder.now += 0.01
-    if word == "its own report":
+    if message == "its own report":
         holder.submit(context.own_before._replace(at=holder.now))
         return
-    LATE[word](holder, context.before)
+    LATE[message](holder, context.before)
 
 
 @then("no request for m or m/a2 is sent there until it holds them again")
@@ -172,7 +172,7 @@
     assert not [one for one in holder.sent if one.request_id.startswith("early")], holder.sent
 
 
-@then("m is loaded again within {seconds:g} s, upon the new life's own count")
+@then("m is loaded again within {seconds:g} s, with the new process's own order count")
 def loaded_again(context, seconds):
     holder = context.holder
     if not holder.state.control.holding(holder.now):
@@ -180,25 +180,25 @@
     for _ in range(int(seconds / 0.1)):
         holder.demand("m", 3_000.0)
         holder.pass_time(0.1)
-    # The harness has checked that each order names the count of the life that it comes to.
+    # The harness checks that each order carries the order count of the process that gets it.
     there = [name for name, runner in holder.runners.items() if "m" in runner["models"]]
     assert there, (holder.orders, holder.runners)
 
 
-@then("no runner is promised more than it has")
+@then("no runner is assigned more memory than it has")
 def within_memory(context):
     for name in context.holder.runners:
         assert context.holder.used_mb(name) <= MODEL_GB
 
 
-@when("e1 starts again with an earlier time, and {who} it")
+@when("e1 restarts with an earlier start time, and {who} it")
 def starts_earlier(context, who):
     holder = context.holder
     start_again(holder, later=-60 * SECOND)
     context.born = holder.runners["e1"]["born"]
     row = holder.entry("e1")
-    if who == "another node is sure of":
-        # This node itself cannot read it.
+    if who == "another node has verified":
+        # This node itself can't read the endpoint.
         holder.dead.add("e1")
         holder.submit(row)
         assert holder.state.endpoints["e1"].report.born == BORN
@@ -207,7 +207,7 @@
     holder.submit(row)
 
 
-@then("the new life is known within {seconds:g} s")
+@then("the new process is known within {seconds:g} s")
 def known_within(context, seconds):
     holder = context.holder
     holder.pass_time(seconds)
@@ -216,7 +216,7 @@
     assert "m" not in view.resident or "m" in holder.runners["e1"]["models"]
 
 
-@when("its row tells no start, after one that did")
+@when("its row has no start time, after one that had")
 def no_start(context):
     holder = context.holder
     holder.runners["e1"]["born"] = BORN
@@ -226,7 +226,7 @@
     holder.relist()
 
 
-@then("it is used as it was")
+@then("it is used as before")
 def used_as_before(context):
     holder = context.holder
     holder.ask(model="m", key="used")
@@ -245,31 +245,31 @@
 ENDPOINT = "e0"
 
 
-def again_with_word(fleet, word):
+def restart_with_message(fleet, message):
     fleet.write_entry(ENDPOINT, "live", "m", BORN)
     fleet.run(2.0)
-    later = -60 * SECOND if word == "its clock has stepped back" else 5 * SECOND
-    if word == "all that watch the store freeze":
+    later = -60 * SECOND if message == "its clock has stepped back" else 5 * SECOND
+    if message == "all that watch the store freeze":
         for node in fleet.live():
             node.frozen = node.state.topology.watching and node.name != "n0"
     fleet.write_entry(ENDPOINT, "live", "x", BORN + later)
-    if word == "its last row of the life before is written again":
+    if message == "the last row of its earlier process is written again":
         fleet.run(0.3)
         fleet.write_entry(ENDPOINT, "live", "m", BORN)
         fleet.run(1.2)
         fleet.write_entry(ENDPOINT, "live", "x", BORN + later)
-    elif word == "it starts once more within a second":
+    elif message == "it restarts once more within a second":
         fleet.run(0.5)
         fleet.write_entry(ENDPOINT, "live", "y", BORN + later + 1)
 
 
-@when("an endpoint starts again, holding another model, and {word}")
-def fleet_starts_again(context, word):
-    context.model = "y" if word == "it starts once more within a second" else "x"
-    again_with_word(context.fleet, word)
+@when("an endpoint restarts, holding another model, and {message}")
+def fleet_starts_again(context, message):
+    context.model = "y" if message == "it restarts once more within a second" else "x"
+    restart_with_message(context.fleet, message)
 
 
-@then("all nodes know within {seconds:g} s what it holds, and know it 3 s later")
+@then("all nodes know within {seconds:g} s what it holds, and still do 3 s later")
 def fleet_knows(context, seconds):
     fleet = context.fleet
 
--- a/features/steps/notice_node_steps.py
+++ b/features/steps/notice_node_steps.py
@@ -1,4 +1,4 @@
-"""What an endpoint says of itself, at one node: for how long it holds, and the ways round it."""
+"""Endpoints' notices at one node: how long they hold, and code paths that might bypass them."""
 
 from behave import given
 from behave import then
@@ -23,12 +23,12 @@
 from rookspring_core.notices import Notice
 
 LEAVES = Notice(leaving=True)
-# Runs fill an endpoint of so many slots.
+# The slots of an endpoint; as many runs fill it.
 SLOTS = 8
 
 
 class NoticeHarness(RelayHarness):
-    """A node with endpoints e1, e2 that hold the model m."""
+    """A node with endpoints that hold the model m: e1 alone unless others are named."""
 
     def __init__(self, *names):
         super().__init__()
@@ -56,7 +56,7 @@
         self.submit(EndpointSaid(self.now, name, born, notice, name, **fields))
 
     def come(self, **fields):
-        """Have a request come; gives where it is sent, if it is."""
+        """Submit a request, and return the endpoint that it is sent to; empty if it is not sent."""
         self.keys += 1
         before = len(self.sent)
         self.ask(model="m", key=f"k{self.keys}", **fields)
@@ -78,13 +78,13 @@
     context.node = NoticeHarness()
 
 
-@given("a node, and an endpoint of start 5 that said with an answer that it leaves")
+@given("a node, and an endpoint of start 5 that announced in a response that it is leaving")
 def one_leaving(context):
     context.node = NoticeHarness()
     context.node.say(LEAVES)
 
 
-@given("a node, and an endpoint of start 5 that asked for {rest_s:g} s of rest")
+@given("a node, and an endpoint of start 5 that requested a back-off of {rest_s:g} s")
 def one_at_rest(context, rest_s):
     context.node = node = NoticeHarness()
     assert node.come() == "e1"
@@ -95,7 +95,7 @@
     context.since = node.now
 
 
-@given("a node, and endpoints of its model that asked for {first} and {second} of rest")
+@given("a node, and endpoints of its model with back-offs of {first} and {second}")
 def two_at_rest(context, first, second):
     context.node = node = NoticeHarness("e1", "e2")
     for name, told in (("e1", first), ("e2", second)):
@@ -103,7 +103,7 @@
             node.say(Notice(turned_away=True, rest_s=float(told.split()[0])), name)
 
 
-@given("a node, and endpoints of its model that asked for {first} s and no rest")
+@given("a node, and endpoints of its model with a back-off of {first} s and none")
 def one_of_two_at_rest(context, first):
     two_at_rest(context, first, "no rest")
 
@@ -116,7 +116,7 @@
     assert node.come() == ""
 
 
-# What is said afterwards.
+# Events after a notice.
 
 AFTER = {}
 
@@ -134,13 +134,13 @@
     pass
 
 
-@after("its entry says that it stays")
+@after("its entry states that it is live")
 def _relisted(context, node):
     node.relist()
 
 
-@after("its entry lapses and comes back, and says that it stays")
-@after("its entry lapses and comes back")
+@after("its entry lapses and is written again, as live")
+@after("its entry lapses and is written again")
 def _lapses(context, node):
     context.node.submit(CallerLeft(node.now, "k1"))
     node.relist(names=())
@@ -149,7 +149,7 @@
     node.relist()
 
 
-@after("its entry comes back after 11 minutes without one")
+@after("its entry is written again after 11 minutes without one")
 def _long_gone(context, node):
     node.relist(names=())
     node.now += 660.0
@@ -157,76 +157,76 @@
     node.relist()
 
 
-@after("its entry comes back with another address")
+@after("its entry is written again with another address")
 def _moved(context, node):
     node.relist("elsewhere")
 
 
-@after("its own report says that it stays")
+@after("its own report states that it is live")
 def _own_report(context, node):
     node.now += 0.1
     node.tell("e1", 5, own=True)
 
 
-@after("another node's report says that it stays")
+@after("another node's report states that it is live")
 def _peer_report(context, node):
     node.now += 0.1
     node.tell("e1", 5)
 
 
-@after("another of its answers says nothing")
+@after("another of its responses has no notice")
 def _silent_answer(context, node):
     node.say(Notice())
 
 
-@after("it starts again, with start 6")
+@after("it restarts, with start 6")
 def _starts(context, node):
     node.now += 0.1
     node.there["e1"] = 6
     node.relist()
 
 
-@after("it starts again, with start 4, and is sure")
+@after("it restarts, with start 4, which is verified")
 def _starts_earlier(context, node):
     node.now += 0.1
     node.there["e1"] = 4
     node.tell("e1", 4, sure=True)
 
 
-@after("its list's row tells of start 4, late")
+@after("a late row of the list has start 4")
 def _late_row(context, node):
     node.tell("e1", 4)
 
 
-@after("it starts again, and a node tells late that start 5 leaves")
+@after("it restarts, and a late message has start 5 as leaving")
 def _late_word(context, node):
     _starts(context, node)
     node.submit(LeavingHeard(node.now, (Leaving("e1", 5, node.now - 1.0),), "n2"))
 
 
-@after("it starts again, and a node tells that start 6 leaves")
+@after("it restarts, and a node's message has start 6 as leaving")
 def _new_word(context, node):
     _starts(context, node)
     node.submit(LeavingHeard(node.now, (Leaving("e1", 6, node.now),), "n2"))
 
 
-@after("it starts again, and its last answer of before says so")
+@after("it restarts, and a late response of start 5 announces it")
 def _last_answer(context, node):
     _starts(context, node)
     node.say(LEAVES, born=5)
 
 
-@after("a longer rest of 5 s is asked for")
+@after("it requests a longer back-off of 5 s")
 def _longer(context, node):
     node.say(Notice(turned_away=True, rest_s=5.0))
 
 
-@after("a shorter rest of 1 s is asked for")
+@after("it requests a shorter back-off of 1 s")
 def _shorter(context, node):
     node.say(Notice(turned_away=True, rest_s=1.0))
 
 
-@after("a stream that it runs goes on")
+@after("a stream that it runs makes progress")
 def _goes_on(context, node):
     stream = context.stream
     node.submit(AttemptProgressed(node.now, stream.request_id, stream.attempt, 1))
@@ -244,20 +244,20 @@
     AFTER[then](context, context.node)
 
 
-# Whose word it is.
+# Which process a notice applies to.
 
 TOLD = {
-    "that it leaves": LEAVES,
-    "that it leaves, by its own name": LEAVES._replace(life="e1"),
-    "that it leaves, by another's name": LEAVES._replace(life="other"),
+    "that it is leaving": LEAVES,
+    "that it is leaving, under its own name": LEAVES._replace(life="e1"),
+    "that it is leaving, under another's name": LEAVES._replace(life="other"),
     "that another process has its address": Notice(life="other", misdirected=True),
     "nothing but Connection: close": Notice(),
-    "a value that can't be read": Notice(malformed="server-leaving: yes"),
-    "that it leaves, once its request was given up": LEAVES,
+    "a value that can't be parsed": Notice(malformed="server-leaving: yes"),
+    "that it is leaving, once its request was given up": LEAVES,
 }
 
 
-@when("an answer to a request that was sent there tells {told}")
+@when("a response to a request that was sent there states {told}")
 def answer_tells(context, told):
     node = context.node
     assert node.come() == "e1"
@@ -270,7 +270,7 @@
 def it_gets(context, what):
     node = context.node
     expected = {"nothing": "", "work": "e1"}[what]
-    # Over a lapse, or an ejection, its work is not what is asked about here.
+    # Requests in flight over a lapse or an ejection are not tested here.
     for _ in range(4):
         assert node.come() == expected, (what, node.sent)
         if expected:
@@ -314,7 +314,7 @@
     context.node.end(context.node.sent[-1])
 
 
-@when("{number:d} requests come that have {deadline_s:g} s")
+@when("{number:d} requests come with deadlines of {deadline_s:g} s")
 def several_come(context, number, deadline_s):
     node = context.node
     context.before = len(node.refused)
@@ -322,7 +322,7 @@
         node.come(deadline_s=deadline_s)
 
 
-@when("a request waits for it, and it asks for {rest_s:g} s of rest")
+@when("a request waits for it, and it requests a back-off of {rest_s:g} s")
 def waits_for_rest(context, rest_s):
     node = context.node
     context.before = len(node.refused)
@@ -330,7 +330,7 @@
 
 
 @then(
-    "each is refused at once as not run, to come back in {least:g} to {most:g} s, "
+    "each is refused at once as not run, to be retried in {least:g} to {most:g} s, "
     "not all at one moment"
 )
 def told_when(context, least, most):
@@ -342,21 +342,21 @@
     assert len(refused) == 1 or len({one.retry_after_s for one in refused}) > 1
 
 
-@then("nothing waits")
+@then("no request waits")
 def nothing_waits(context):
     assert not sum(len(queue) for queue in context.node.state.queues.values())
 
 
-@then("the one that does not rest got {number:d}")
+@then("the one without a back-off got {number:d}")
 def other_got(context, number):
     assert [one.endpoint for one in context.node.sent] == ["e2"] * number
 
 
-# Ways round it.
+# Code paths that might bypass a notice.
 
 
 class SlotHarness(RelayHarness):
-    """A node whose plain service's slots are given out by an owner."""
+    """A node with a plain service, the slots of which are granted by an owner."""
 
     def __init__(self):
         self.asked = []
@@ -376,7 +376,7 @@
         self.submit(SlotAnswered(self.now, "r1", "svc", "f", 0.0))
 
 
-@when("a slot there was given before it said that it leaves")
+@when("a slot there was granted before it announced that it leaves")
 def slot_before_leaving(context):
     context.node = node = SlotHarness()
     node.submit(EndpointSaid(node.now, "f", 0, LEAVES, "f"))
@@ -384,7 +384,7 @@
     context.before = 0
 
 
-@when("a slot there was given before it asked for 3 s of rest")
+@when("a slot there was granted before it requested a back-off of 3 s")
 def slot_before_rest(context):
     context.node = node = SlotHarness()
     node.submit(EndpointSaid(node.now, "f", 0, Notice(turned_away=True, rest_s=3.0), "f"))
@@ -392,7 +392,7 @@
     context.before = 0
 
 
-@when("a second try is due, and it is the only one")
+@when("a second attempt is due, and it is the only endpoint")
 def second_try(context):
     node = context.node
     assert node.come(attempts=3) == "e1"
@@ -405,7 +405,7 @@
     assert refusal.outcome == "not_run" and refusal.retry_after_s > 1.0, refusal
 
 
-@when("a stream broke off there and is to go on, and it {said}")
+@when("a stream broke off there and is to be resumed, and it {said}")
 def stream_to_go_on(context, said):
     node = context.node
     assert node.come(attempts=3) == "e1"
@@ -417,7 +417,7 @@
     node.submit(AttemptFailed(node.now, *key, True, False, "connection closed", broken=True))
 
 
-@when("it is ejected, and it asked for 3 s of rest")
+@when("it is ejected, and it requested a back-off of 3 s")
 def ejected(context):
     node = context.node
     for _ in range(5):
@@ -427,7 +427,7 @@
     node.come()
 
 
-@then("it got no request since it said so")
+@then("it got no request after its notice")
 def got_none(context):
     assert len(context.node.sent) == context.before, context.node.sent
 
@@ -443,7 +443,7 @@
     holder.submit(EndpointSaid(holder.now, "e1", 0, notice, "e1"))
 
 
-@when("a model is asked for that stands nowhere")
+@when("a model is requested that is resident nowhere")
 def asked_nowhere(context):
     holder = context.holder
     holder.runners["e2"]["models"] = []
@@ -453,7 +453,7 @@
         holder.pass_time(0.1)
 
 
-@when("the model that it holds is asked for")
+@when("the model that it holds is requested")
 def asked_for_held(context):
     holder = context.holder
     for _ in range(80):
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves, over whole fleets: who learns of it, and when."""
+"""Endpoints' notices over whole fleets: which nodes learn of them, and when."""
 
 from unittest import mock
 
@@ -19,12 +19,12 @@
 from rookspring_core.notices import NoticeTable
 from rookspring_fakes.fleet_callers import FleetCallers
 
-# What all nodes are to know, they know so long after one has heard it, in seconds.
+# A notice that one node gets has reached all nodes after this long, in seconds.
 TOLD_S = 0.5
 ASKED = "asked"
 
 
-@given("{nodes:d} nodes that cannot reach the store, and an endpoint that leaves")
+@given("{nodes:d} nodes that cannot reach the store, and a leaving endpoint")
 def fleet_cut_off(context, nodes):
     context.stage = FleetCallers(nodes)
     stage = context.stage
@@ -33,8 +33,8 @@
     context.left_out = set()
 
 
-def hear_from(stage, name):
-    """Have the endpoint answer a request of a node; gives when the node heard it."""
+def wait_for_notice(stage, name):
+    """Have the endpoint answer a request of a node, and return when the node got the notice."""
     view = stage.fleet.nodes[name].state.endpoints["e0"]
     for _ in range(200):
         stage.send(name, ASKED)
@@ -44,10 +44,10 @@
     raise AssertionError("the endpoint was never asked")
 
 
-@when("its answer to one node says so")
-def one_hears(context):
+@when("its response to one node announces it")
+def one_gets_notice(context):
     context.name = context.stage.names()[3]
-    context.heard_at = hear_from(context.stage, context.name)
+    context.heard_at = wait_for_notice(context.stage, context.name)
 
 
 @then("that node sends it nothing from then on")
@@ -66,7 +66,7 @@
     assert len(others) >= 60, len(others)
 
 
-@then("no node sends it anything 0.5 s later, whoever is asked")
+@then("no node sends it anything 0.5 s later, whichever node gets the requests")
 def nobody_sends(context):
     stage = context.stage
     for name in stage.names() * 3:
@@ -80,7 +80,7 @@
     assert not late, late
 
 
-@then("what ran there ended well")
+@then("the requests that ran there succeeded")
 def ended_well(context):
     stage = context.stage
     stage.fleet.run(1.0)
@@ -88,80 +88,82 @@
     assert not [one for _, one in stage.fleet.refusals if one.outcome == "unknown"]
 
 
-@when("{who} is started while its answer to another says so")
-def hears_started(context, who):
+@when("{who} is started while its response to another announces it")
+def missed_by_starting(context, who):
     stage = context.stage
     name = context.name = pick(stage.fleet, who)
     other = next(one for one in stage.names() if one != name)
     stage.fleet.kill(name)
     stage.fleet.run(1.0)
-    hear_from(stage, other)
-    # A node that starts reads the list itself, which goes on telling that the endpoint stays.
+    wait_for_notice(stage, other)
+    # A starting node reads the list itself, in which the endpoint is still live.
     stage.fleet.cut_from_store.discard(name)
     stage.fleet.start(int(name[1:]))
     stage.fleet.run(2.0)
     context.heard_at = stage.fleet.now
 
 
-@when("{who} freezes while its answer to another says so")
-def hears_frozen(context, who):
+@when("{who} freezes while its response to another announces it")
+def missed_by_freezing(context, who):
     stage = context.stage
     name = context.name = pick(stage.fleet, who)
     other = next(one for one in stage.names() if one != name)
     stage.fleet.nodes[name].frozen = True
-    hear_from(stage, other)
+    wait_for_notice(stage, other)
     stage.fleet.run(1.0)
     stage.fleet.thaw(name)
     stage.fleet.run(0.02)
     context.heard_at = stage.fleet.now
 
 
-@when("{who} is cut off from the others while its answer to another says so")
-def hears_cut(context, who):
+@when("{who} is cut off from the others while its response to another announces it")
+def missed_by_cut_off(context, who):
     stage = context.stage
     name = context.name = pick(stage.fleet, who)
     other = next(one for one in stage.names() if one != name)
     pairs = cut_off(stage.fleet, name)
-    hear_from(stage, other)
+    wait_for_notice(stage, other)
     stage.fleet.run(1.0)
     stage.fleet.cut -= pairs
     stage.fleet.run(3.0)
     context.heard_at = stage.fleet.now
 
 
-@when("{who} loses the node that it follows while its answer to another says so")
-def hears_lost(context, who):
+@when("{who} loses the node that it follows while its response to another announces it")
+def missed_by_orphaned(context, who):
     stage = context.stage
     name = context.name = pick(stage.fleet, who)
     followed = stage.fleet.nodes[name].state.topology.followed
     other = next(one for one in stage.names() if one not in (name, followed))
     stage.fleet.kill(followed)
-    hear_from(stage, other)
+    wait_for_notice(stage, other)
     stage.fleet.run(3.0)
     context.heard_at = stage.fleet.now
 
 
-@when("a node is cut off from all others, and its answer says so to that one")
-def only_one_hears(context):
+@when("a node is cut off from all others, and gets the response that announces it")
+def only_one_gets_notice(context):
     stage = context.stage
     context.name = pick(stage.fleet, "a leaf")
     cut_off(stage.fleet, context.name)
     stage.fleet.run(1.0)
-    context.heard_at = hear_from(stage, context.name)
+    context.heard_at = wait_for_notice(stage, context.name)
 
 
-# Rest.
+# Back-off.
 
 SHEDS = "e0"
 
 
-@given("{nodes:d} nodes, and two endpoints of their model, one of which turns one node away")
+@given(
+    "{nodes:d} nodes, and two endpoints of their model, one of which refuses one node's requests"
+)
 def one_turned_away(context, nodes):
     context.stage = FleetCallers(nodes, 2)
     context.name = context.stage.names()[3]
 
 
-@when("that node was asked for {rest_s:g} s of rest")
+@when("that node was given a back-off of {rest_s:g} s")
 def asked_for_rest(context, rest_s):
     stage = context.stage
     fleet = stage.fleet
@@ -173,7 +175,7 @@
             break
     context.heard_at = stage.runners.turned_away[0].at
     fleet.run(0.01)
-    # All come at once, so that views differ by what each node sends alone.
+    # All nodes send at once, so that their views differ only by their own requests.
     for _ in range(30):
         for name in stage.names():
             stage.send(name, ASKED)
@@ -197,13 +199,13 @@
     assert sent_to(context, "e1", True)
 
 
-@then("the other nodes go on to send to both, less to the one that shed")
+@then("the other nodes still send to both, less to the one that shed load")
 def others_send(context):
     there, other = len(sent_to(context, SHEDS, False)), len(sent_to(context, "e1", False))
     assert 0 < there < 0.8 * other, (there, other)
 
 
-@given("{nodes:d} nodes, and an endpoint that asks each for {rest_s:g} s of rest")
+@given("{nodes:d} nodes, and an endpoint that gives each a back-off of {rest_s:g} s")
 def asks_each(context, nodes, rest_s):
     context.stage = FleetCallers(nodes, 1)
     context.stage.runners.shed(SHEDS, context.stage.fleet.now + 60.0, rest_s)
@@ -226,10 +228,10 @@
     assert 1 <= context.told <= most, context.told
 
 
-# Stories.
+# Random fault sequences.
 
 
-@then("{number:d} drawn stories of {nodes:d} nodes send nothing that endpoints don't want")
+@then("{number:d} random fault sequences with {nodes:d} nodes send nothing against a notice")
 def stories_hold(context, number, nodes):
     acts = strategies.lists(
         strategies.tuples(
@@ -261,7 +263,10 @@
     return {(one.endpoint, one.born) for one in table.whole(10.0)}
 
 
-@then("{number:d} drawn words give the same lives that leave in any order, told once or twice")
+@then(
+    "{number:d} random sets of rows give the same leaving processes in any order, "
+    "merged once or twice"
+)
 def words_merge(context, number):
     word = strategies.builds(
         Leaving, strategies.sampled_from("abc"), strategies.integers(0, 4), strategies.just(9.0)
@@ -282,7 +287,7 @@
     check()
 
 
-@then("{number:d} lives that leave leave {kept:d} remembered, the latest among them")
+@then("of {number:d} leaving processes {kept:d} are kept, the latest among them")
 def table_bounded(context, number, kept):
     table = NoticeTable()
     for one in range(number):
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -39,13 +39,13 @@
     context.fleet.run(seconds)
 
 
-def within(fleet, seconds, holds):
-    """Let time pass until something holds, for so long at most; give what does not."""
+def within(fleet, seconds, find_violations):
+    """Run the fleet until a condition has no violations or time is up; return those left."""
     for _ in range(math.ceil(seconds / STEP_S)):
         fleet.run(STEP_S)
-        if not holds():
+        if not find_violations():
             return []
-    return holds()
+    return find_violations()
 
 
 @then("each node knows the {others:d} others")
@@ -54,7 +54,7 @@
     assert set(known.values()) == {others}, known
 
 
-@then("no node that is no relay holds more than {links:d} links")
+@then("no leaf holds more than {links:d} links")
 def few_links(context, links):
     for node in context.fleet.live():
         if not node.state.topology.relay:
@@ -73,17 +73,17 @@
 
 
 def slack_of(state):
-    """Give a node's part of the slack for resends."""
+    """Return a node's share of the retry slack."""
     terms = routed.window(state, "svc").terms
     return terms.slack / terms.nodes
 
 
-@then("the nodes' parts of the slack for resends are {slack:d} at most together")
+@then("the nodes' shares of the retry slack are {slack:d} at most in all")
 def slack_holds(context, slack):
     assert sum(slack_of(node.state) for node in context.fleet.live()) <= slack
 
 
-@given("a relay node that {number:d} others are listed to")
+@given("a relay node with {number:d} others in its list")
 def listed_others(context, number):
     context.relay_node = RelayHarness()
     state = context.relay_node.state
@@ -92,33 +92,33 @@
     state.membership.take_list(rows)
 
 
-@when("the list of endpoints comes")
+@when("the list of endpoints arrives")
 def endpoints_come(context):
     node = context.relay_node
     node.submit(BoxListCame(node.now, (BoxListed("e", "e", "z", "runner", "live", "llm"),)))
 
 
-@then("it knows {number:d} nodes yet, and is no part of a mesh")
+@then("it still knows {number:d} nodes, and is not part of a mesh")
 def knows_yet(context, number):
     state = context.relay_node.state
     assert state.membership.count() == number
     assert not state.membership.small()
 
 
-@then("its part of the slack for resends is for {number:d} nodes at least")
+@then("its share of the retry slack is that of {number:d} nodes at least")
 def part_of_slack(context, number):
     assert slack_of(context.relay_node.state) <= 430.0 / number
 
 
 def pick(fleet, kind):
-    """Give a node that is a relay, or one that is none and no seed."""
+    """Return a node that is a relay, or one that is neither a relay nor a seed."""
     relays = kind.endswith("relay")
     rows = [node for node in fleet.live() if node.state.topology.relay == relays]
     return rows[-1]
 
 
 @when("{kind:Kind} {fate:Fate}")
-def fate_comes(context, kind, fate):
+def node_fault(context, kind, fate):
     fleet = context.fleet
     node = context.node = pick(fleet, kind)
     context.incarnation = node.state.identity.incarnation
@@ -136,7 +136,7 @@
 
 
 @when("{kind:Kind} {fate:Spell} for {seconds:g} s")
-def spell_comes(context, kind, fate, seconds):
+def temporary_fault(context, kind, fate, seconds):
     fleet = context.fleet
     node = context.node = pick(fleet, kind)
     context.incarnation = node.state.identity.incarnation
@@ -153,8 +153,8 @@
     fleet.cut.clear()
 
 
-def seen_as(fleet, node, state, incarnation):
-    """Say by whom a node is not seen as it is."""
+def list_wrong_views(fleet, node, state, incarnation):
+    """List the nodes that don't see a node in its state, with the state that they see."""
     wrong = []
     for other in fleet.live():
         if other.name == node.name:
@@ -173,7 +173,9 @@
 @then("all others know within {seconds:g} s that it {state}")
 def all_know(context, seconds, state):
     fleet, node = context.fleet, context.node
-    wrong = within(fleet, seconds, lambda: seen_as(fleet, node, state, context.incarnation))
+    wrong = within(
+        fleet, seconds, lambda: list_wrong_views(fleet, node, state, context.incarnation)
+    )
     assert not wrong, wrong
 
 
@@ -184,11 +186,11 @@
 
 @when("{who:Who} {fate:Trouble}")
 def trouble_comes(context, who, fate):
-    strike(context.fleet, who, fate)
+    apply_fault(context.fleet, who, fate)
 
 
-def strike(fleet, who, fate):
-    """Do something to several nodes; give those that were meant."""
+def apply_fault(fleet, who, fate):
+    """Apply a fault to a group of nodes."""
     place = fleet.live()[-1].place
     chosen = [
         node
@@ -217,7 +219,7 @@
 
 @when("{who:Who} {fate:Trouble} for {seconds:g} s")
 def trouble_for(context, who, fate, seconds):
-    strike(context.fleet, who, fate)
+    apply_fault(context.fleet, who, fate)
     context.fleet.run(seconds)
     context.fleet.cut_from_store.clear()
 
@@ -228,12 +230,12 @@
     few_watch(context, most)
 
 
-@when("an endpoint's entry says that it is leaving")
+@when("an endpoint's entry states that it is leaving")
 def entry_leaves(context):
     context.fleet.write_entry("e0", "leaving", "m")
 
 
-@then("all nodes that run know of it within {seconds:g} s")
+@then("all running nodes know of it within {seconds:g} s")
 def know_leaving(context, seconds):
     fleet = context.fleet
 
@@ -257,11 +259,11 @@
                 node.list.take_told(tuple(older), False)
     elif trouble != "nothing happens":
         who, _, fate = trouble.rpartition(" are ")
-        strike(fleet, who, f"are {fate}")
+        apply_fault(fleet, who, f"are {fate}")
 
 
 @then("no node uses that endpoint {seconds:g} s later, nor after")
-def gone_for_good(context, seconds):
+def endpoint_stays_gone(context, seconds):
     fleet = context.fleet
     fleet.run(seconds)
     for _ in range(40):
@@ -301,7 +303,7 @@
     node = next((one for one in fleet.live() if one.state.topology.relay), fleet.live()[0])
     heard = node.state.control.peer_demand.values()
     total = sum(rates.get("m", 0.0) for rates in heard) + node.state.control.meter.rates["m"]
-    # A relay's own followers are heard one by one, the others by their relays.
+    # A relay gets its own followers' figures one by one, and the others' summed by their relays.
     assert abs(total - tokens) <= tokens * per_cent / 100, total
 
 
@@ -329,8 +331,8 @@
     context.fleet.run(1.5)
 
 
-@when("a leaf tells of a want")
-def leaf_wants(context):
+@when("a leaf sends the demand for a missing adapter")
+def leaf_sends_demand(context):
     fleet = context.fleet
     with fleet.running():
         for node in fleet.live():
--- a/packages/rookspring-core/src/rookspring_core/cluster.py
+++ b/packages/rookspring-core/src/rookspring_core/cluster.py
@@ -1,4 +1,4 @@
-"""Handlers of ticks, reports, box lists and heartbeats, and of the planned stop."""
+"""Handlers of ticks, load reports, box lists and heartbeats, and of the graceful shutdown."""
 
 from . import allotting
 from . import defaults
@@ -43,7 +43,7 @@
 
 @handles(Ticked)
 def tick(state: NodeState, event: Ticked) -> Effects:
-    """Do all that is due."""
+    """Advance the node's state to the time of the tick and run all periodic work."""
     passed = max(0.0, event.at - state.ticked_at)
     state.ticked_at = event.at
     for name in state.membership.expire(event.at):
@@ -59,7 +59,7 @@
     if state.relaying:
         was_relay = state.topology.relay
         work_out_roles(state)
-        _keep_owned(state)
+        _update_owners(state)
         allotting.watch(state, was_relay)
         state.adapter_waits.forget_old(event.at)
         effects += residency.steer(state, passed)
@@ -69,15 +69,15 @@
 
 
 def work_out_roles(state: NodeState) -> None:
-    """Work out this relay node's roles and links."""
-    standing = Standing(
+    """Update this relay node's roles and links from the current membership."""
+    local = Standing(
         state.strength, state.now - state.started_at, state.leaving, governing.holding(state)
     )
-    state.topology.work_out(state.now, standing)
+    state.topology.work_out(state.now, local)
 
 
-def _keep_owned(state: NodeState) -> None:
-    """Go on deciding for all what falls to this node yet, for the nodes that it hears of."""
+def _update_owners(state: NodeState) -> None:
+    """Update which organisations this node still owns, and how many nodes it sees."""
     state.owners.keep(state.topology.owners(state.now), state.now)
     if state.topology.mesh or state.topology.relay:
         state.owners.note_visible(state.membership.visible(state.now), state.now)
@@ -91,7 +91,7 @@
 
 @handles(EndpointReported)
 def take_report(state: NodeState, event: EndpointReported) -> Effects:
-    """Take a load report; waiting requests may have found room."""
+    """Apply a load report, and dispatch waiting requests that it has made room for."""
     view = state.endpoints.get(event.endpoint)
     if view is None:
         return []
@@ -118,10 +118,10 @@
         residency.note_report(state, event)
         if event.leaving:
             noticing.note_listed(state, event.endpoint, event.born)
-        if event.order_token[1] >= 0 and _overtaken(view, event):
+        if event.order_token[1] >= 0 and _is_outdated(view, event):
             return ended
         event = residency.refine(state, view, event)
-    # Whoever has just read its report has reached it.
+    # A report that this node read itself proves that the endpoint can be reached.
     view.down = view.down and not event.own
     if not view.take_report(event):
         return ended
@@ -129,18 +129,19 @@
     noticing.recall(state, view)
     state.index(view, before, view.targets())
     state.adapter_waits.end(event.adapters, state.now)
-    # Where the list follows the endpoints' own entries, it alone brings one back.
+    # On relay nodes the list is made of the endpoints' own entries, so only the list may clear
+    # `gone`.
     view.gone = view.gone and state.relaying
     if governing.holding(state) and view.role == "runner":
         ledger = state.control.ledgers.get(event.endpoint)
         if ledger is not None:
             ledger.take_report(event, ordering.sizes_of(state))
-    told: Effects = [ShareReport(event._replace(own=False))] if event.own else []
-    return ended + told + requests.pump(state)
+    shared: Effects = [ShareReport(event._replace(own=False))] if event.own else []
+    return ended + shared + requests.pump(state)
 
 
-def _overtaken(view: EndpointView, event: EndpointReported) -> bool:
-    """Say whether more orders were taken there already than a report knows of."""
+def _is_outdated(view: EndpointView, event: EndpointReported) -> bool:
+    """Return whether a report was made before the latest order that the endpoint accepted."""
     known = view.report
     if known is None or known.incarnation != event.incarnation:
         return False
@@ -149,7 +150,7 @@
 
 @handles(RouteTableSeen)
 def take_table(state: NodeState, event: RouteTableSeen) -> Effects:
-    """Put a newer route table in force; an older one changes nothing, ever."""
+    """Apply a route table if its version is newer than that of the current one."""
     if state.table is not None and event.table.version <= state.table.version:
         return []
     state.table = event.table
@@ -159,7 +160,7 @@
 
 @handles(CacheEventsCame)
 def take_hints(state: NodeState, event: CacheEventsCame) -> Effects:
-    """Remember prefixes that an endpoint says it holds."""
+    """Remember the prompt prefixes that an endpoint reports as cached."""
     view = state.endpoints.get(event.endpoint)
     if view is not None:
         view.hint(event.prefixes, event.at)
@@ -168,7 +169,7 @@
 
 @handles(ReportMissed)
 def note_missed(state: NodeState, event: ReportMissed) -> Effects:
-    """An endpoint did not answer; after a while it counts as gone."""
+    """Mark an endpoint as gone once its polls have failed for ``ENDPOINT_GONE_S``."""
     view = state.endpoints.get(event.endpoint)
     if view is None:
         return []
@@ -179,9 +180,9 @@
 
 @handles(BoxListCame)
 def take_boxes(state: NodeState, event: BoxListCame) -> Effects:
-    """Take the platform's list: nodes to link to, endpoints to know and to leave alone."""
+    """Apply the platform's list: the nodes to link to, and the endpoints in use or leaving."""
     if not state.relaying:
-        # There the list holds endpoints alone; nodes have a list of their own.
+        # On relay nodes this list holds endpoints only; nodes are listed separately.
         state.membership.take_list(event.boxes)
     seen: set[str] = set()
     for row in event.boxes:
@@ -216,7 +217,7 @@
             row.born,
         )
         state.endpoints[row.name] = view
-        # It may have lapsed and come back with what its entry said before.
+        # Its entry may have lapsed and been written again in its earlier state.
         noticing.recall(state, view)
         state.index(view, frozenset(), view.targets())
     elif state.relaying:
@@ -227,7 +228,7 @@
 
 @handles(PeerHeard)
 def hear_peer(state: NodeState, event: PeerHeard) -> Effects:
-    """Take another node's heartbeat."""
+    """Apply another node's heartbeat."""
     fresh = state.membership.hear(event)
     state.control.lease.note_end(event.lease_ended, event.at)
     if event.name not in state.membership.peers:
@@ -238,12 +239,14 @@
         pass_on = state.topology.relay and not event.relay
         state.allotments.hear(dict(event.spent), event.at, pass_on)
     if event.summed:
-        # Its work comes in the sums of the node that this one follows, or that it follows.
+        # Its in-flight requests are already part of another node's sums: of the node that this
+        # one follows, or of the node that the sender follows.
         state.peers_work.forget(event.name)
     else:
-        # Where a node's rows are left out, the sums say nothing and reports serve alone.
-        told_at = event.at if event.inflight is not None else -1e9
-        state.peers_work.replace(event.name, event.inflight or (), told_at)
+        # Without rows of each node the sums are incomplete; a time in the distant past makes
+        # load estimates use the endpoints' reports instead.
+        counted_at = event.at if event.inflight is not None else -1e9
+        state.peers_work.replace(event.name, event.inflight or (), counted_at)
         if event.prompts is not None:
             state.peers_work.replace_prompts(event.name, event.prompts)
     return [Announce("hello")] if fresh else []
@@ -251,7 +254,7 @@
 
 @handles(MembersHeard)
 def hear_members(state: NodeState, event: MembersHeard) -> Effects:
-    """Take what a linked node says of nodes that are not linked to this one."""
+    """Apply a linked node's rows about nodes that need not be linked to this one."""
     for name in state.membership.hear_rows(event):
         _forget_peer(state, name)
     for row in event.rows:
@@ -261,20 +264,20 @@
 
 @handles(PeerUnreached)
 def note_unreached(state: NodeState, event: PeerUnreached) -> Effects:
-    """Give no job to a node that could not be dialled."""
+    """Exclude a node from all roles for a while, since it could not be dialled."""
     state.topology.note_unreached(event.name, event.at)
     return []
 
 
 @handles(StoreRead)
 def note_store_read(state: NodeState, event: StoreRead) -> Effects:
-    """Know that what this node has of the store is fresh."""
+    """Record when this node last read the store."""
     state.topology.read_at = event.at
     return []
 
 
 def inflight_rows(state: NodeState) -> tuple[tuple[str, int], ...]:
-    """Give this node's requests in flight by endpoint, for its heartbeat."""
+    """Return this node's requests in flight by endpoint, for its heartbeat."""
     return tuple(
         (view.name, len(view.inflight)) for view in state.endpoints.values() if view.inflight
     )
@@ -282,7 +285,7 @@
 
 @handles(PromptsHeard)
 def hear_prompts(state: NodeState, event: PromptsHeard) -> Effects:
-    """Take what another node's requests have an endpoint read; less may make room."""
+    """Apply another node's counts of unread prompt tokens; lower counts may make room."""
     if event.name not in state.membership.peers:
         return []
     for endpoint, tokens in event.rows:
@@ -292,7 +295,7 @@
 
 @handles(ComingHeard)
 def hear_coming(state: NodeState, event: ComingHeard) -> Effects:
-    """Know of a load under way, so that callers are told when their model can be there."""
+    """Record a model load in progress and when it should end, for the callers' retry times."""
     view = state.endpoints.get(event.endpoint)
     if view is not None:
         view.coming = (event.model, event.at + event.in_s)
@@ -301,7 +304,7 @@
 
 @handles(DownHeard)
 def hear_down(state: NodeState, event: DownHeard) -> Effects:
-    """Take another node's word that nothing listens at an endpoint."""
+    """Mark an endpoint as down after another node's connection to it was refused."""
     view = state.endpoints.get(event.endpoint)
     if view is not None and view.found_down(event.at):
         state.record(view.name, "down", "another node's connection was refused")
@@ -310,7 +313,7 @@
 
 @handles(PeerLost)
 def lose_peer(state: NodeState, event: PeerLost) -> Effects:
-    """A node's stream ended; it is gone unless another node vouches for it."""
+    """Unlink a node whose stream ended; it is removed unless another node reports it as live."""
     state.membership.unlink(event.name, event.at)
     _forget_peer(state, event.name)
     return []
@@ -318,7 +321,7 @@
 
 @handles(PlatformAnswered)
 def note_platform(state: NodeState, event: PlatformAnswered) -> Effects:
-    """Know whether the platform can be reached."""
+    """Record whether the platform can be reached."""
     state.platform_reachable = event.reachable
     if event.reachable:
         state.platform_at = event.at
@@ -327,15 +330,19 @@
 
 @handles(DrainAsked)
 def begin_drain(state: NodeState, event: DrainAsked) -> Effects:
-    """Begin the planned stop: out of the addresses at once, serving on for their life."""
+    """Begin the graceful shutdown.
+
+    The node's address is no longer given out, and it serves on for as long as callers may still
+    use the address.
+    """
     state.hurry = state.hurry or event.hurry
     if state.leaving:
         return _stop_due(state)
     state.draining_since = event.at
     effects: Effects = [Announce("leaving")]
-    wish = state.control.lease.give_up(event.at)
-    if wish is not None:
-        effects.append(WriteLease(*wish))
+    release = state.control.lease.give_up(event.at)
+    if release is not None:
+        effects.append(WriteLease(*release))
     return effects
 
 
@@ -352,7 +359,7 @@
 
 
 def list_addresses(state: NodeState) -> list[AddressRow]:
-    """List the entry addresses that callers may use, those of live nodes that stay."""
+    """List the entry addresses that callers may use: those of live nodes that are not leaving."""
     rows: list[AddressRow] = []
     identity = state.identity
     if not state.leaving and state.revision > 0:
@@ -366,9 +373,9 @@
 
 
 def near_addresses(state: NodeState, data_centre: str) -> list[str]:
-    """List entry addresses for a caller: those of its data centre if two or more are there."""
+    """List entry addresses for a caller, from its own data centre if that has enough of them."""
     rows = list_addresses(state)
-    near = [row.address for row in rows if row.data_centre == data_centre]
-    if len(near) >= defaults.NEAR_ADDRESSES_MIN:
-        return near
+    local_addresses = [row.address for row in rows if row.data_centre == data_centre]
+    if len(local_addresses) >= defaults.NEAR_ADDRESSES_MIN:
+        return local_addresses
     return [row.address for row in rows][: defaults.ADDRESSES_MAX]
--- a/packages/rookspring-core/src/rookspring_core/endpoints.py
+++ b/packages/rookspring-core/src/rookspring_core/endpoints.py
@@ -1,7 +1,7 @@
-"""What a node knows of each endpoint: lagging reports plus its own in-flight work.
+"""A node's view of each endpoint: its lagging load reports, plus this node's in-flight requests.
 
-A report is old when it comes. Work that this node started after the report was
-made is not in it, so the load estimate adds that back; see ``docs/design/routing.md``.
+A report is old when it arrives and lacks the requests that this node has sent since it was made,
+so the load estimate adds them; see ``docs/design/routing.md``.
 """
 
 import typing as t
@@ -12,9 +12,9 @@
 
 
 class PeersWork:
-    """What the other nodes say that they have in flight, by endpoint.
+    """The other nodes' requests in flight by endpoint, as their heartbeats give them.
 
-    ``at`` is the time of the oldest heartbeat in the sums, worked out at ticks.
+    ``at`` is the time of the oldest heartbeat in the sums, updated at ticks.
     """
 
     __slots__ = ("_heard", "_prompts", "_rows", "at", "counts")
@@ -27,7 +27,7 @@
         self.at = -1e9
 
     def replace(self, peer: str, rows: tuple[tuple[str, int], ...], at: float) -> None:
-        """Take a node's rows in place of its last ones, at the cost of these alone."""
+        """Replace a node's rows; the cost depends only on the number of its rows, old and new."""
         for endpoint, count in self._rows.pop(peer, ()):
             self.counts[endpoint] = self.counts.get(endpoint, 0) - count
         for endpoint, count in rows:
@@ -37,25 +37,25 @@
         self._heard[peer] = at
 
     def settle(self) -> None:
-        """Work out the time of the oldest heartbeat in the sums."""
+        """Update the time of the oldest heartbeat in the sums."""
         self.at = min(self._heard.values(), default=-1e9)
 
     def forget(self, peer: str) -> None:
-        """Forget a node that has gone, or whose work comes in another's sums."""
+        """Remove a node that has gone, or whose requests are part of another node's sums."""
         self.replace(peer, (), 0.0)
         del self._heard[peer]
         for rows in self._prompts.values():
             rows.pop(peer, None)
 
     def without(self, peer: str) -> dict[str, int]:
-        """Give the sums of requests in flight by endpoint, less those of one node."""
+        """Return the sums of requests in flight by endpoint, without those of one node."""
         sums = dict(self.counts)
         for endpoint, count in self._rows.get(peer, ()):
             sums[endpoint] -= count
         return sums
 
     def of(self, peers: t.Iterable[str]) -> dict[str, int]:
-        """Give the sums of requests in flight by endpoint over some nodes."""
+        """Return the sums of some nodes' requests in flight by endpoint."""
         sums: dict[str, int] = {}
         for peer in peers:
             for endpoint, count in self._rows.get(peer, ()):
@@ -63,28 +63,28 @@
         return sums
 
     def prompts_of(self, endpoint: str, peers: t.Container[str]) -> int:
-        """Give the prompt tokens that an endpoint is to read of some nodes' requests."""
+        """Return the prompt tokens of some nodes' requests that an endpoint has yet to read."""
         rows = self._prompts.get(endpoint, {})
         return sum(tokens for peer, tokens in rows.items() if peer in peers)
 
     def set_prompts(self, peer: str, endpoint: str, tokens: int) -> None:
-        """Take how many prompt tokens of a node's requests an endpoint is still to read."""
+        """Set how many prompt tokens of a node's requests an endpoint has yet to read."""
         self._prompts.setdefault(endpoint, {})[peer] = tokens
 
     def replace_prompts(self, peer: str, rows: tuple[tuple[str, int], ...]) -> None:
-        """Take all that a node says of unread prompts; what it does not name is read."""
-        for told in self._prompts.values():
-            told.pop(peer, None)
+        """Replace a node's counts of unread prompt tokens; endpoints left out have none."""
+        for counts in self._prompts.values():
+            counts.pop(peer, None)
         for endpoint, tokens in rows:
             self.set_prompts(peer, endpoint, tokens)
 
     def prompts(self, endpoint: str) -> int:
-        """Give the prompt tokens of other nodes' requests that an endpoint is to read."""
+        """Return the prompt tokens of other nodes' requests that an endpoint has yet to read."""
         return sum(self._prompts.get(endpoint, {}).values())
 
 
 class EndpointView:
-    """One endpoint as this node sees it. Times are of the node's monotonic clock."""
+    """This node's view of one endpoint. Times are of the node's monotonic clock."""
 
     __slots__ = (
         "address",
@@ -135,48 +135,48 @@
         self.data_centre = data_centre
         self.role = role
         self.service = service
-        # Its start as the list tells it, until a report does.
+        # Its start time by the list, used until a report gives one.
         self.born = born
         self.report: EndpointReported | None = None
         self.reported_at = -1e9
-        # Adapters that were attached there of late, and when this node learnt so.
+        # When this node learnt of each adapter that is newly attached there.
         self.came: dict[str, float] = {}
         self.leaving = False
         self.gone = False
-        # Until when it wants nothing from this node; see :mod:`notices`.
+        # When the back-off that it requested of this node ends; see :mod:`notices`.
         self.rest_until = -1e9
-        # Until when it counts as fuller than it looks, since it turned another node's request away.
+        # Until when its load estimate is raised, since it refused another node's request.
         self.shed_until = -1e9
-        # The requests a second that it takes from all nodes; None where it names none. And from
-        # when on this node asks for a turn there, where others hold the same.
+        # The requests per second that it accepts from all nodes; None if it states no rate.
         self.rate: float | None = None
+        # Until when this node requests no turn there, if other endpoints have the same target.
         self.turn_at = -1e9
-        # Whether nothing listened there when it was last tried.
+        # Whether its connection was refused when last tried.
         self.down = False
-        # The model that is being loaded there, and when it is expected to be there.
+        # The model that is being loaded there, and when its load is expected to end.
         self.coming = ("", -1e9)
-        # When this node learnt that it had started again under its name.
+        # When this node learnt that it had restarted under its name.
         self.began_at = -1e9
-        # An earlier start than the one known, which the endpoint told when it was asked last.
+        # A start time earlier than the known one, which the endpoint reported when last read.
         self.doubted_born = 0
         self.failures = 0
         self.ejected_until = -1e9
         self.probing = False
-        # When it last said anything to a request of this node.
+        # When a request of this node last got anything from it.
         self.heard_at = -1e9
         self.inflight: dict[str, float] = {}
         self.ended: list[tuple[float, float]] = []
         self.others = 0
-        # Whether the report at hand tells how many requests run and wait there.
+        # Whether the latest report gives the numbers of running and queued requests.
         self.load_told = True
         self.peers = peers or PeersWork()
         self.resident: frozenset[str] = frozenset()
         self.prefixes: dict[int, float] = {}
-        # Prompt tokens of this node's requests that have not begun to answer.
+        # Prompt tokens of this node's requests that have not begun to produce a response.
         self.prompts: dict[str, int] = {}
 
     def begin_life(self, now: float) -> None:
-        """Forget what was known of the process that ended; its requests end by themselves."""
+        """Drop the state of the process that ended; its requests in flight fail by themselves."""
         self.began_at = now
         self.report = None
         self.reported_at = -1e9
@@ -196,20 +196,20 @@
         self.prefixes.clear()
 
     def take_report(self, report: EndpointReported) -> bool:
-        """Keep a report if it is fresher than the one at hand.
+        """Apply a report if it was made later than the latest one.
 
-        :return: whether it was kept.
+        :return: whether it was applied.
         """
         made_at = report.at - report.age_s
         if made_at <= self.reported_at:
             return False
         if self.report is not None:
-            self._note_came(self.report.adapters, report)
+            self._update_attached_at(self.report.adapters, report)
         self.report = report
         self.reported_at = made_at
         self.load_told = report.running != defaults.LOAD_UNTOLD
         self.resident = frozenset(model for model, _ in report.resident)
-        # Leaving is sticky for one incarnation; only a restart takes it back.
+        # Leaving is sticky for one incarnation; only a restart clears it.
         self.leaving = self.leaving or report.leaving
         own = sum(1 for start in self.inflight.values() if start <= made_at)
         own += sum(1 for start, end in self.ended if start <= made_at < end)
@@ -217,8 +217,8 @@
         self.others = max(0, report.running + report.queued - own)
         return True
 
-    def _note_came(self, before: t.Collection[str], report: EndpointReported) -> None:
-        """Note which adapters a report names that were not there before."""
+    def _update_attached_at(self, before: t.Collection[str], report: EndpointReported) -> None:
+        """Record when adapters appear in a report, and drop those that no longer do."""
         for adapter in report.adapters:
             if adapter not in before:
                 self.came[adapter] = report.at
@@ -226,22 +226,22 @@
             del self.came[adapter]
 
     def first_calls(self, now: float) -> list[str]:
-        """Name the adapters that were attached for callers who may not have used them yet."""
+        """Return the adapters attached so recently that their callers may not have come yet."""
         return [one for one, at in self.came.items() if now - at < defaults.FIRST_CALL_S]
 
     def load(self, now: float) -> float:
-        """Estimate requests running or queued there, per slot (1.0 is full).
+        """Estimate the requests running or queued there, per slot (1.0 is full).
 
-        This node's own part is exact at any report age. The other nodes' part is
-        taken from the fresher of two sources: the endpoint's report, or what the
-        nodes say in their heartbeats that they have in flight there.
+        This node's own requests are counted exactly, whatever the age of the report. Those of the
+        other nodes come from the fresher of two sources: the endpoint's report, or the nodes'
+        heartbeats.
         """
         shed = notices.SHED_LOAD if now < self.shed_until else 0.0
         return (len(self.inflight) + self._others(now)) / self.slots() + shed
 
     def _others(self, now: float) -> int:
-        # A report without load says nothing of the others' work. Taken as "none", each one
-        # hid it until all nodes had told it again, a part of every second.
+        # A report without load doesn't count the others' requests. Taken as zero, each such
+        # report hid them until all nodes had sent heartbeats again, for a part of every second.
         if self.peers.at > self.reported_at or not self.load_told:
             return self.peers.counts.get(self.name, 0)
         if now - self.reported_at > defaults.REPORT_STALE_S:
@@ -249,7 +249,7 @@
         return self.others
 
     def slots(self) -> int:
-        """Give how many requests run there at once."""
+        """Return how many requests the endpoint runs at once."""
         return max(1, self.report.slots) if self.report else defaults.SLOTS_UNKNOWN
 
     def begin(self, request_id: str, now: float) -> None:
@@ -269,32 +269,32 @@
         self.probing = False
 
     def own_prompts(self) -> int:
-        """Give the prompt tokens of this node's requests that are still to be read."""
+        """Return the prompt tokens of this node's requests that are yet to be read."""
         return sum(self.prompts.values())
 
     def unread(self) -> int:
-        """Give all prompt tokens that are still to be read there, of any node's requests."""
+        """Return the prompt tokens of all nodes' requests that are yet to be read there."""
         return self.own_prompts() + self.peers.prompts(self.name)
 
     def brings(self, model: str, now: float) -> float | None:
-        """Give how soon a model under way is expected there, in seconds; None where it is not."""
+        """Return in how many seconds a model's load should end there; None if none is expected."""
         coming, at = self.coming
         if coming != model or now - at > defaults.COMING_LATE_S:
             return None
         return max(0.0, at - now)
 
     def serves(self, target: str, service: bool) -> bool:
-        """Say whether the endpoint has the model resident, or is of the service."""
+        """Return whether the endpoint has the model resident, or belongs to the service."""
         if service:
             return self.role == "service" and self.service == target
         return target in self.resident
 
     def targets(self) -> frozenset[str]:
-        """Name what requests may be sent here: resident models, or the service."""
+        """Return the targets whose requests may be sent here: resident models, or the service."""
         return self.resident if self.role == "runner" else frozenset((self.service,))
 
     def lacks(self, target: str, adapter: str) -> None:
-        """Take back what a report said is here, since the endpoint itself denied it."""
+        """Remove an adapter or model that the report names, but that the endpoint denies."""
         if self.report is None:
             return
         if adapter and adapter in self.report.adapters:
@@ -306,80 +306,86 @@
         self.resident = frozenset(model for model, _ in kept)
 
     def has_adapter(self, adapter: str) -> bool:
-        """Say whether an adapter is attached there."""
+        """Return whether an adapter is attached there."""
         return self.report is not None and adapter in self.report.adapters
 
     def open_for_work(self, now: float) -> bool:
-        """Say whether new work may go there: neither leaving, gone, at rest nor ejected."""
+        """Return whether new requests may be sent there.
+
+        Not while it is leaving, gone, ejected, silent or in back-off, nor while a probe after an
+        ejection or a back-off is unanswered.
+        """
         if self.leaving or self.gone or self.rests(now) or self.returns(now):
             return False
         if now < self.ejected_until or self.silent(now):
             return False
-        # After an ejection a single probe decides; others wait for it.
+        # After an ejection a single request is sent as a probe; the others wait for its outcome.
         return not (self.failures >= defaults.EJECT_AFTER_FAILURES and self.probing)
 
     def rests(self, now: float) -> bool:
-        """Say whether it has asked this node for rest, which lasts."""
+        """Return whether a back-off that it requested of this node is in force."""
         return now < self.rest_until
 
     def returns(self, now: float) -> bool:
-        """Say whether its rest is over and the first request since has no answer yet.
+        """Return whether its back-off has ended and the first request since is unanswered.
 
-        One request tells whether it takes work again; were all sent that waited, it would
-        have what it asked to be spared.
+        A single request probes whether it accepts work again. Sent all at once, the requests
+        that wait would cause the overload that the back-off was to prevent.
         """
         if self.rest_until < 0.0 or self.rests(now):
             return False
         return any(start >= self.rest_until for start in self.inflight.values())
 
     def answered(self, sent_at: float) -> None:
-        """Take that it works on a request that was sent at a moment: a rest before is over."""
+        """End the back-off once a request that was sent after its end is responded to."""
         if sent_at >= self.rest_until:
             self.rest_until = -1e9
 
     def silent(self, now: float) -> bool:
-        """Say whether a model runner owes an answer and has said nothing for too long.
+        """Return whether a model runner has sent nothing on its requests for too long.
 
-        A box without power, or behind a cut, says nothing at all, and what is sent
-        there is lost for seconds. A service may work for long on one request, so its
-        silence says nothing.
+        A box without power, or behind a network cut, sends nothing at all, and requests sent
+        there are lost for seconds. A service may work on one request for long, so its silence
+        is no sign of a failure.
         """
         if self.role != "runner" or now - self.heard_at < defaults.SILENT_S:
             return False
         return any(now - start >= defaults.SILENT_S for start in self.inflight.values())
 
     def unreached(self, now: float) -> None:
-        """No connection could be made: leave it alone for a moment, at once."""
+        """Eject the endpoint for ``UNREACHED_EJECT_S``, since no connection could be made."""
         self.ejected_until = max(self.ejected_until, now + defaults.UNREACHED_EJECT_S)
 
     def found_down(self, now: float) -> bool:
-        """Nothing listened there, so its process has ended: send nothing for a moment.
+        """Mark the endpoint as down and eject it briefly, after a refused connection.
+
+        The refusal shows that its process has ended.
 
-        :return: whether that is news.
+        :return: whether it was not yet known to be down.
         """
-        news = self.listens(now)
+        was_up = self.listens(now)
         self.down = True
         self.unreached(now)
-        return news
+        return was_up
 
     def listens(self, now: float) -> bool:
-        """Say whether something may listen there, as far as was found a moment ago."""
+        """Return whether a connection may succeed: not found down, or the ejection is over."""
         return not self.down or now >= self.ejected_until
 
     def fail(self, now: float) -> None:
-        """Count a failure, and eject the endpoint after several in a row."""
+        """Count a failure, and eject the endpoint after ``EJECT_AFTER_FAILURES`` in a row."""
         self.failures += 1
         if self.failures >= defaults.EJECT_AFTER_FAILURES:
             self.ejected_until = now + defaults.EJECT_S
 
     def succeed(self, now: float) -> None:
-        """Forget failures."""
+        """Record a response, and reset the failures."""
         self.heard_at = now
         self.failures = 0
         self.down = False
 
     def hint(self, prefixes: t.Iterable[int], now: float) -> None:
-        """Remember prefixes that the endpoint may hold, the oldest given up first."""
+        """Remember prefixes that the endpoint may have cached; the oldest are dropped first."""
         for prefix in prefixes:
             self.prefixes.pop(prefix, None)
             self.prefixes[prefix] = now
@@ -387,6 +393,6 @@
             del self.prefixes[next(iter(self.prefixes))]
 
     def may_hold(self, prefix: int, now: float) -> bool:
-        """Say whether a hint for the prefix is at hand and young."""
-        seen = self.prefixes.get(prefix)
-        return seen is not None and now - seen < defaults.CACHE_HINT_LIFE_S
+        """Return whether there is a recent hint that the endpoint has cached the prefix."""
+        hinted_at = self.prefixes.get(prefix)
+        return hinted_at is not None and now - hinted_at < defaults.CACHE_HINT_LIFE_S
--- a/packages/rookspring-core/src/rookspring_core/lives.py
+++ b/packages/rookspring-core/src/rookspring_core/lives.py
@@ -1,15 +1,17 @@
-"""Endpoints that start again under the name that they had, holding nothing.
-
-Each tells when it was started. Of two such times of one name the greater is the newer life,
-and what was known of the other ends at once: what it held, its count of orders, the order
-under way, that it was leaving or ejected. Words of the older life come late (a row of the
-list, a report on its way, another node's word) and revive nothing.
-
-A box whose clock stepped back starts with an earlier time than before. That is told apart
-from a late word by the endpoint itself: asked twice in a row, it gives the earlier time both
-times, while the one life that has ended answers nothing. What has been found so is ``sure``,
-and counts with all nodes whatever its time. Where nobody asks it, the list's row decides once
-it has stood for longer than any late word can (``relay_lists`` of the daemon).
+"""Detection of endpoints that restart under the same name, with empty memory.
+
+Each endpoint reports its start time. Of two start times under one name the later one is the
+current process, and everything known of the earlier process is dropped at once: its resident
+models, its order count, the order in progress, and its leaving or ejected state. Messages about
+the earlier process may still arrive late (a row of the list, a report in transit, another node's
+message) and are ignored.
+
+If the box's clock was stepped back, the new process has an earlier start time than the old one.
+The endpoint itself distinguishes this case from a late message: read twice in a row, it reports the
+earlier time both times, whereas a process that has ended doesn't answer. Such a report is marked
+``sure``, and every node accepts it whatever its start time. If no node reads the endpoint, the
+list's row is accepted once it has stayed unchanged for longer than any message can be late
+(``relay_lists`` of the daemon).
 """
 
 import typing as t
@@ -26,9 +28,9 @@
 
 
 def judge(known: EndpointReported | None, event: EndpointReported) -> Life:
-    """Say which life of its endpoint a report tells of, beside the one that is known.
+    """Return whether a report is of the known process of its endpoint, a newer or an older one.
 
-    One that tells no start is taken for the same life.
+    A report without a start time counts as one of the known process.
     """
     if known is None or not known.born or not event.born or known.born == event.born:
         return "same"
@@ -40,43 +42,46 @@
 def doubt(
     state: NodeState, view: EndpointView, event: EndpointReported
 ) -> tuple[EndpointReported, list[Effect]]:
-    """Take a word that an endpoint is of an earlier start than is known.
+    """Verify a report whose start time is earlier than the known one.
 
-    The lease holder asks the endpoint itself, and once more where it says so too: then it is
-    sure.
+    The lease holder reads the endpoint itself, and reads it once more if the first read gives
+    that start time too; the second such read in a row is marked ``sure``.
+
+    :return: the report, with ``sure`` set if it is verified, and the reads to make.
     """
     room = state.residency.rooms.get(view.name)
     if event.own and view.doubted_born == event.born:
         return event._replace(sure=True), []
     if event.own:
         view.doubted_born = event.born
-    asked_s = state.now - room.asked_at if room is not None else 0.0
-    if room is None or not (event.own or asked_s >= defaults.LIFE_LOOK_S):
+    since_asked_s = state.now - room.asked_at if room is not None else 0.0
+    if room is None or not (event.own or since_asked_s >= defaults.LIFE_LOOK_S):
         return event, []
     room.asked_at = state.now
     return event, [ReadReport(view.name, defaults.LIFE_LOOK_S if event.own else 0.0)]
 
 
 def begin(state: NodeState, view: EndpointView, event: EndpointReported) -> None:
-    """Forget what was known of the life before."""
+    """Drop everything known of an endpoint's earlier process."""
     view.begin_life(state.now)
     state.notices.begin(view.name, event.born, event.sure)
     state.rates.begin(view.name, event.born, event.sure)
     room = state.residency.rooms.get(view.name)
     if room is not None:
         state.residency.rooms[view.name] = _begin_room(room)
-    state.record(view.name, f"began anew at {event.born}", "it was started again under its name")
+    state.record(view.name, f"restarted at {event.born}", "it was restarted under its name")
 
 
-def _begin_room(before: Room) -> Room:
-    """Give a new life's account.
+def _begin_room(previous: Room) -> Room:
+    """Return an empty account of memory and orders for a new process.
 
-    An order to the life before names the endpoint alone, which has the same name now, and a
-    count that the new life may come to; so a load that got no answer may be carried out yet.
+    An order to the earlier process names only the endpoint, whose name is unchanged, and an
+    order count that the new process may reach. So a load that was not answered may still be
+    carried out, and its memory is kept among the doubts.
     """
     room = Room()
-    room.doubts = before.doubts
-    order = before.order
+    room.doubts = previous.doubts
+    order = previous.order
     if order is not None and order.action == "load" and not order.taken:
         room.doubts.append(order)
     return room
--- a/packages/rookspring-core/src/rookspring_core/membership.py
+++ b/packages/rookspring-core/src/rookspring_core/membership.py
@@ -1,7 +1,7 @@
-"""Who the other nodes are, and which of them does which shared job.
+"""Membership of the cluster, and the assignment of shared jobs to nodes.
 
-Jobs are shared by rendezvous hashing over the nodes believed live. A wrong
-belief only costs a duplicate: two pollers of one endpoint, or two relays.
+Jobs are assigned by rendezvous hashing over the nodes believed live. Where nodes disagree on
+who is live, a job is done twice: two nodes poll one endpoint, or there is a relay too many.
 """
 
 import typing as t
@@ -14,10 +14,11 @@
 
 
 class Peer:
-    """Another node as last heard; times are of this node's monotonic clock.
+    """Another node, by its latest heartbeat; times are of this node's monotonic clock.
 
-    ``heard_at`` is when it last spoke itself, over a link; ``sources`` names the linked
-    nodes that vouch for it, and ``orphaned_at`` is when the last of them was lost.
+    ``heard_at`` is when its own heartbeat last came over a link; ``sources`` names the linked
+    nodes that report it as live, and ``source_lost_at`` is when a link to one of them was last
+    lost.
     """
 
     __slots__ = ("heard", "heard_at", "orphaned_at", "sources")
@@ -29,73 +30,73 @@
         self.orphaned_at = heard.at
 
     def direct(self, now: float) -> bool:
-        """Say whether it speaks to this node itself."""
+        """Return whether its own heartbeats reach this node."""
         return now - self.heard_at <= defaults.PEER_DEAD_S
 
     def alive(self, now: float) -> bool:
-        """Say whether it spoke, or was vouched for, lately enough."""
+        """Return whether it counts as live, by its own heartbeats or by another node's report."""
         if self.sources or self.direct(now):
             return True
         return now - self.orphaned_at <= defaults.PEER_DEAD_S
 
     def age_s(self, now: float) -> float:
-        """Give how long the node has run, in seconds."""
+        """Return how long the node has run, in seconds."""
         return self.heard.up_s + now - self.heard.at
 
 
 class Membership:
-    """The live nodes by heartbeat, with the platform's box list as a late hint."""
+    """The nodes that heartbeats show as live, and those of the platform's box list, which lags."""
 
     def __init__(self, name: str, data_centre: str) -> None:
         self.name = name
         self.data_centre = data_centre
         self.peers: dict[str, Peer] = {}
-        # Nodes that speak to this one over a link.
+        # Nodes whose heartbeats come over a link of their own.
         self.linked: set[str] = set()
         self._expired_at = -1e9
         self.listed: dict[str, BoxListed] = {}
         self.gone: dict[str, str] = {}
-        # The most nodes that were live or listed at once, this one included.
+        # The highest number of nodes, live or listed, at any one time, this one included.
         self.most_nodes = 1
-        # Names of nodes whose row changed, the latest last; see :mod:`members`.
+        # Names of nodes whose row changed, the latest last; read by the daemon's ``relay_members``.
         self.changes = ChangeLog()
 
     def voucher_of(self, name: str) -> str:
-        """Name the linked node that vouches for a node and spoke last; empty where none does.
+        """Return the linked node with the latest heartbeat that reports a node as live.
 
-        One that is frozen vouches for its followers for as long as its link stands, and what is
-        sent by it is lost.
+        Empty where none does. The latest is chosen since a frozen node stays a source for as long
+        as its link is open, and what is sent through it is lost.
         """
         peer = self.peers.get(name)
         sources = peer.sources & self.linked if peer else ()
         return max(sources, key=lambda one: (self.peers[one].heard_at, one), default="")
 
     def visible(self, now: float) -> int:
-        """Count this node and those that it hears of now: itself, or by one that it hears."""
+        """Count this node, those with a recent heartbeat, and those that the latter report."""
         heard = {
             name
             for name in self.linked
             if now - self.peers[name].heard_at < defaults.VISIBLE_QUIET_S
         }
-        vouched = sum(
+        reported = sum(
             1
             for name, peer in self.peers.items()
             if name not in heard and not heard.isdisjoint(peer.sources)
         )
-        return 1 + len(heard) + vouched
+        return 1 + len(heard) + reported
 
     def count(self) -> int:
-        """Count the nodes that are known, live or listed, this one included."""
+        """Return how many nodes are known, live or listed, this one included."""
         return len({self.name, *self.peers, *self.listed})
 
     def size(self) -> int:
-        """Give how many other nodes are live."""
+        """Return how many other nodes are live."""
         return len(self.peers)
 
     def hear(self, event: PeerHeard) -> bool:
-        """Take a heartbeat.
+        """Apply a heartbeat.
 
-        :return: whether the node is new or came back as another incarnation.
+        :return: whether the node is new or restarted as another incarnation.
         """
         if event.name == self.name:
             return False
@@ -106,9 +107,11 @@
         fresh = known is None or known.heard.incarnation != event.incarnation
         if known is None:
             self.peers[event.name] = Peer(event, event.at)
-            self._count()
+            self._update_most_nodes()
         else:
-            changed = _row(known.heard) != _row(event) or not known.direct(event.at)
+            changed = _shared_fields(known.heard) != _shared_fields(event) or not known.direct(
+                event.at
+            )
             known.heard = event
             known.heard_at = event.at
             if not changed:
@@ -117,21 +120,21 @@
         return fresh
 
     def hear_rows(self, event: MembersHeard) -> list[str]:
-        """Take what a linked node says of others; it vouches for them from now on.
+        """Apply a linked node's rows, and add it to the sources of the nodes in them.
 
-        :return: the nodes that nobody vouches for any more.
+        :return: the nodes that were removed, since they have no source and no link left.
         """
         lost: list[str] = []
         for row in event.rows:
             if row.name != self.name:
                 self._take_row(row, event)
-        named = {row.name for row in event.rows}
+        row_names = {row.name for row in event.rows}
         dropped = set(event.gone)
         if event.whole:
             dropped |= {
                 name
                 for name, peer in self.peers.items()
-                if event.source in peer.sources and name not in named
+                if event.source in peer.sources and name not in row_names
             }
         for name in dropped:
             peer = self.peers.get(name)
@@ -147,11 +150,11 @@
         known = self.peers.get(row.name)
         if known is None:
             known = self.peers[row.name] = Peer(row, -1e9)
-            self._count()
-        elif known.direct(event.at) or _older(row, known.heard):
+            self._update_most_nodes()
+        elif known.direct(event.at) or _is_older_incarnation(row, known.heard):
             known.sources.add(event.source)
             return
-        elif _row(known.heard) == _row(row):
+        elif _shared_fields(known.heard) == _shared_fields(row):
             known.sources.add(event.source)
             known.heard = row
             return
@@ -161,11 +164,14 @@
         known.sources.add(event.source)
         self.changes.add(row.name)
 
-    def _count(self) -> None:
+    def _update_most_nodes(self) -> None:
         self.most_nodes = max(self.most_nodes, self.count())
 
     def lose(self, name: str) -> bool:
-        """Forget a node whose heartbeats stopped, and whom nobody vouches for."""
+        """Remove a node that sends no heartbeats and that no linked node reports as live.
+
+        :return: whether it was known.
+        """
         self.linked.discard(name)
         peer = self.peers.pop(name, None)
         if peer is None:
@@ -175,9 +181,9 @@
         return True
 
     def unlink(self, name: str, now: float) -> bool:
-        """Take that a node's stream ended: it vouches for nobody any more.
+        """Remove a node, whose stream ended, from the links and from the sources of all others.
 
-        :return: whether it is forgotten, since nobody else vouches for it.
+        :return: whether the node itself was removed, since no other node reports it as live.
         """
         self.linked.discard(name)
         for other in self.peers.values():
@@ -194,25 +200,26 @@
         return self.lose(name)
 
     def expire(self, now: float) -> list[str]:
-        """Forget the nodes that were silent for too long, and name them.
+        """Remove the nodes that have been silent for ``PEER_DEAD_S``, and return their names.
 
-        At hundreds of nodes a look at each tick would be much of an idle node's work.
+        Runs every ``EXPIRE_EVERY_S``: with hundreds of nodes, a check at each tick would be a
+        large part of an idle node's work.
         """
         if now - self._expired_at < defaults.EXPIRE_EVERY_S:
             return []
         self._expired_at = now
         silent = {name for name in self.linked if not self.peers[name].direct(now)}
         for name in silent:
-            # Others may vouch for it yet; this node does no more.
+            # Other nodes may still report it as live; this node no longer does.
             self.linked.discard(name)
             self.changes.add(name)
-        late = [name for name, peer in self.peers.items() if not peer.alive(now)]
-        for name in late:
+        expired = [name for name, peer in self.peers.items() if not peer.alive(now)]
+        for name in expired:
             self.unlink(name, now)
-        return late
+        return expired
 
     def staying(self) -> list[str]:
-        """Name the live nodes that are not leaving, this one included."""
+        """Return the live nodes that are not leaving, this one included."""
         names = [name for name, peer in self.peers.items() if not peer.heard.leaving]
         return sorted([*names, self.name])
 
@@ -227,25 +234,26 @@
         return sorted(names)
 
     def poller_of(self, endpoint: str, data_centre: str) -> str:
-        """Name the node that polls an endpoint, one of its data centre if there is any."""
+        """Return the node that polls an endpoint, one of its data centre if there is any."""
         names = self._staying_in(data_centre, False) or self.staying()
         return max(names, key=lambda name: mix(name, endpoint))
 
     def relays(self, data_centre: str, self_leaving: bool = False) -> list[str]:
-        """Name the nodes of a data centre that watch the platform for the others."""
+        """Return the nodes of a data centre that watch the platform for the others."""
         names = self._staying_in(data_centre, self_leaving)
         ranked = sorted(names, key=lambda name: mix("relay", name))
         return ranked[: defaults.RELAYS_PER_DATA_CENTRE]
 
     def data_centres(self) -> set[str]:
-        """Name the data centres with live nodes."""
+        """Return the data centres with live nodes."""
         return {peer.heard.data_centre for peer in self.peers.values()} | {self.data_centre}
 
     def successors(self, up_s: float, now: float, among: t.Collection[str] | None) -> list[str]:
-        """Name the nodes that may take the relay nodes' lease next, the youngest first.
+        """Return the nodes that may take the relay nodes' lease next, the youngest first.
 
-        Boxes are restarted in turn, so one that has been is the least likely to go next.
-        Ages are told apart by ``AGE_STEP_S``; a node that has just come is left out.
+        Boxes are restarted in turn, so the one restarted last is the least likely to be next.
+        Ages within one step of ``AGE_STEP_S`` count as equal; a node that has run for less than
+        ``SETTLED_S`` is left out.
 
         :param up_s: how long this node has run, in seconds.
         :param among: the nodes that may be chosen; None for all.
@@ -260,19 +268,18 @@
         return names[: defaults.SUCCESSORS]
 
     def is_relay(self) -> bool:
-        """Say whether this node watches the platform for its data centre."""
+        """Return whether this node watches the platform for its data centre."""
         return self.name in self.relays(self.data_centre)
 
     def small(self) -> bool:
-        """Say whether every node holds a stream to every other."""
+        """Return whether there are few enough nodes that each holds a stream to every other."""
         return len(self.listed) <= defaults.MESH_LIMIT
 
     def links(self) -> list[BoxListed]:
         """Choose the nodes to hold a stream to.
 
-        Up to ``MESH_LIMIT`` nodes in a data centre hold a stream to each other.
-        Past that a node holds streams to its group (nodes next to it in hashed
-        order) and relays to the relays of every data centre.
+        With up to ``MESH_LIMIT`` listed nodes these are all others. With more, they are the
+        node's neighbours in the hash ring of its data centre and the relays of every data centre.
         """
         rows = [
             row
@@ -283,37 +290,37 @@
             return rows
         own = [row for row in rows if row.data_centre == self.data_centre]
         ring = sorted([*(row.name for row in own), self.name], key=lambda name: mix("ring", name))
-        place = ring.index(self.name)
+        index = ring.index(self.name)
         reach = defaults.MESH_LIMIT // 4
-        group = {ring[(place + step) % len(ring)] for step in range(-reach, reach + 1)}
-        wanted = group | self._far_relays(rows)
+        group = {ring[(index + step) % len(ring)] for step in range(-reach, reach + 1)}
+        wanted = group | self._relays_of_all(rows)
         return [row for row in rows if row.name in wanted]
 
-    def _far_relays(self, rows: list[BoxListed]) -> set[str]:
-        by_place: dict[str, list[str]] = {}
+    def _relays_of_all(self, rows: list[BoxListed]) -> set[str]:
+        by_data_centre: dict[str, list[str]] = {}
         for row in [*rows]:
-            by_place.setdefault(row.data_centre, []).append(row.name)
+            by_data_centre.setdefault(row.data_centre, []).append(row.name)
         wanted: set[str] = set()
-        for names in by_place.values():
+        for names in by_data_centre.values():
             ranked = sorted(names, key=lambda name: mix("relay", name))
             wanted.update(ranked[: defaults.RELAYS_PER_DATA_CENTRE])
         return wanted
 
     def take_list(self, boxes: t.Iterable[BoxListed]) -> None:
-        """Keep the platform's list of nodes, late as it is."""
+        """Store the nodes of the platform's list."""
         self.listed = {row.name: row for row in boxes if row.role == "node"}
-        self._count()
+        self._update_most_nodes()
 
 
 class ChangeLog:
-    """Names in the order in which they changed, read by position; the oldest are dropped."""
+    """A bounded log of changed names, read from a position; the oldest are dropped."""
 
     def __init__(self) -> None:
         self._names: list[str] = []
         self._dropped = 0
 
     def add(self, name: str) -> None:
-        """Note that a name has changed."""
+        """Append a name that has changed."""
         self._names.append(name)
         if len(self._names) > defaults.CHANGES_KEPT:
             half = len(self._names) // 2
@@ -321,18 +328,18 @@
             self._dropped += half
 
     def end(self) -> int:
-        """Give the position after the latest change."""
+        """Return the position after the latest change."""
         return self._dropped + len(self._names)
 
     def since(self, position: int) -> list[str] | None:
-        """Name what changed from a position on, each once; None where that is not kept."""
+        """Return the names changed since a position, each once; None if some were dropped."""
         if position < self._dropped:
             return None
         return list(dict.fromkeys(self._names[position - self._dropped :]))
 
 
-def _row(heard: PeerHeard) -> tuple[t.Any, ...]:
-    """Give what others are told of a node when it changes."""
+def _shared_fields(heard: PeerHeard) -> tuple[t.Any, ...]:
+    """Return the fields of a node whose change is sent to other nodes at once."""
     return (
         heard.incarnation,
         heard.address,
@@ -347,8 +354,8 @@
     )
 
 
-def _older(row: PeerHeard, known: PeerHeard) -> bool:
-    """Say whether a row is of an earlier process of its node than the one that is known."""
+def _is_older_incarnation(row: PeerHeard, known: PeerHeard) -> bool:
+    """Return whether a row is of an earlier incarnation of its node than the known one."""
     if row.incarnation == known.incarnation:
         return False
     started, known_started = row.at - row.up_s, known.at - known.up_s
@@ -356,7 +363,7 @@
 
 
 class AddressRow(t.NamedTuple):
-    """One entry address as callers get it."""
+    """One entry address, in the form that callers get."""
 
     address: str
     weight: float
--- a/packages/rookspring-core/src/rookspring_core/notices.py
+++ b/packages/rookspring-core/src/rookspring_core/notices.py
@@ -1,11 +1,12 @@
-"""What endpoints say of themselves on the way of a request, and what is kept of it.
+"""Notices that endpoints send in response headers, and the table that keeps them.
 
-The head of an answer tells of the request, and of the endpoint as well: that it leaves, that
-it wants rest, that another process has its address. An attempt's outcome is made of the first
-part alone, so the second goes its own way, ahead of it and whatever becomes of the attempt.
+A response's status and headers describe the request, and also the endpoint: that it is leaving,
+that it requests a back-off, that another process has its address. An attempt's outcome covers
+only the request, so the notice is handled separately, before the outcome and even if the attempt
+is already over.
 
-It is kept by the life of the process that said it, apart from the view of its endpoint: a view
-ends with an entry that lapses, and one that is made anew would begin as one that stays.
+Notices are kept per process, apart from the view of the endpoint. A view is deleted when its
+entry lapses, and the view made for a later entry would start as that of an endpoint that stays.
 """
 
 import typing as t
@@ -13,38 +14,38 @@
 from . import defaults
 from .mixing import mix
 
-# How long it is remembered that a life leaves which is on no list any more. One that leaves
-# ends within seconds, at most a minute or so; its entry may come back late, as the store does.
+# How long a leaving process is remembered after it was last listed. A leaving process ends within
+# seconds, at most about a minute; its entry may reappear late, once the store is available again.
 LEAVING_KEPT_S = 600.0
-# Lives that leave, and lives at rest, that are remembered: more than there are endpoints in
-# the largest deployment (7,100).
+# The number of leaving processes, and of processes in back-off, that are kept: more than the
+# largest deployment has endpoints (7,100).
 NOTICES_MAX = 10_000
-# The longest rest that is granted. No page names one; whoever asks for more errs in the unit,
-# and would be lost to this node for good.
+# The longest back-off that is honoured. The specification sets no limit; a longer value is most
+# likely in the wrong unit, and would keep this node from using the endpoint for good.
 REST_MAX_S = 3600.0
-# What a refusal without a time is taken to ask for: what sheds looks empty, and would be chosen
-# again at once.
+# The back-off after a refusal that gives no time. An endpoint that sheds load looks empty, and
+# would be chosen again at once.
 REST_UNTOLD_S = 0.25
-# What a node adds to the load of an endpoint that turned another node's request away, in parts of
-# its slots, and for how long at most. Rest is asked of one node; the others only prefer what has
-# not shed.
+# What a node adds to the load estimate of an endpoint that refused another node's request, as a
+# share of its slots, and for how long at most. A back-off binds only the node that it was sent
+# to; the others merely prefer endpoints that have not shed load.
 SHED_LOAD = 0.5
 SHED_TOLD_S = 3.0
 
 
 class Notice(t.NamedTuple):
-    """What the head of an endpoint's answer says of the endpoint.
-
-    :param life: the process that answers, where it is told.
-    :param leaving: it leaves, and is to get nothing new.
-    :param turned_away: it had no room for what was asked.
-    :param rest_s: it wants nothing from this node for so long, in seconds; None where it tells
-        no time that can be read.
-    :param misdirected: what was asked is not there, or another process answers.
-    :param rate: the requests a second that it takes from all nodes together while it says
-        so; None where it names none, or none that can be read.
-    :param names_rate: it names one, whether it can be read or not.
-    :param malformed: a header that can't be read, with its value.
+    """What a response's headers state about the endpoint.
+
+    :param process_name: the name of the process that responds; empty if not given.
+    :param leaving: the endpoint is shutting down and must get no new requests.
+    :param turned_away: it refused the request for lack of capacity.
+    :param backoff_s: how long this node is to send nothing, in seconds; None if no valid time is
+        given.
+    :param misdirected: the request's target is not there, or another process responds.
+    :param rate: the requests per second that it accepts from all nodes together, for as long as
+        it states so; None if no valid rate is given.
+    :param names_rate: whether a rate is given, valid or not.
+    :param malformed: a header that can't be parsed, with its value.
     """
 
     life: str = ""
@@ -57,11 +58,11 @@
     malformed: str = ""
 
     def says_nothing(self) -> bool:
-        """Say whether the head told nothing of the endpoint but, maybe, its name."""
+        """Return whether the headers state nothing about the endpoint except for its name."""
         return self._replace(life="") == NOTHING
 
     def asked_rest_s(self) -> float:
-        """Give how long it is to get nothing from this node, in seconds; 0 for no rest."""
+        """Return how long this node is to send it nothing, in seconds; 0 for no back-off."""
         if not self.turned_away:
             return 0.0
         return REST_UNTOLD_S if self.rest_s is None else min(self.rest_s, REST_MAX_S)
@@ -71,10 +72,10 @@
 
 
 class Leaving(t.NamedTuple):
-    """A life that leaves.
+    """A process that is leaving.
 
-    :param born: its start, as endpoints tell it; 0 where that is not known.
-    :param at: when it said so, by this node's clock.
+    :param born: its start time, as its endpoint reports it; 0 if unknown.
+    :param at: when it announced so, by this node's clock.
     """
 
     endpoint: str
@@ -83,54 +84,55 @@
 
 
 class Rest(t.NamedTuple):
-    """A life that wants nothing from this node until a moment of this node's clock."""
+    """A back-off that a process requested of this node, and its end by this node's clock."""
 
     born: int
     until: float
 
 
 def same_life(born: int, other: int) -> bool:
-    """Say whether two starts may be of one life; one that is not known may be any."""
+    """Return whether two start times may be of one process; an unknown one (0) fits any."""
     return born == other or 0 in (born, other)
 
 
 class NoticeTable:
-    """What endpoints have said of themselves, by their lives.
+    """The notices of endpoints, by process.
 
-    That one leaves is a fact, which nodes tell each other; it is merged by its life, so it may
-    come in any order and as often as it likes. Rest is asked of one node, and stays with it.
+    Nodes share which processes are leaving. These rows are merged by start time, so they may
+    arrive in any order and more than once. A back-off is for one node, and is not shared.
     """
 
     def __init__(self) -> None:
         self._leaving: dict[str, Leaving] = {}
         self._rests: dict[str, Rest] = {}
-        # Last lives that tell an earlier start than the ones before; see :mod:`lives`.
-        self._sure: dict[str, int] = {}
+        # Current processes whose start time is earlier than their predecessor's; see
+        # :mod:`restarts`.
+        self._verified_starts: dict[str, int] = {}
         self._expired_at = -1e9
         self._digest: int | None = None
 
     def take_leaving(self, rows: t.Iterable[Leaving], now: float) -> tuple[Leaving, ...]:
-        """Merge lives that leave; gives those that are news."""
-        news = tuple(one for one in rows if self._take(one, now))
-        if news:
+        """Merge leaving processes, and return those that were not known yet."""
+        added = tuple(one for one in rows if self._merge_one(one, now))
+        if added:
             self._digest = None
-        return news
+        return added
 
-    def _take(self, one: Leaving, now: float) -> bool:
+    def _merge_one(self, one: Leaving, now: float) -> bool:
         known = self._leaving.get(one.endpoint)
         if now - one.at > LEAVING_KEPT_S:
             return False
         if known is not None and known.born >= one.born:
             return False
-        if self._sure.get(one.endpoint, one.born) != one.born:
-            # Of a life before: word of it comes round late.
+        if self._verified_starts.get(one.endpoint, one.born) != one.born:
+            # A late message about an earlier process.
             return False
         self._leaving[one.endpoint] = one
         _bound(self._leaving)
         return True
 
     def take_rest(self, endpoint: str, born: int, until: float) -> None:
-        """Take that a life wants rest; of two times the later holds."""
+        """Record a process's back-off; of several, the one that ends last holds."""
         known = self._rests.get(endpoint)
         if known is not None and same_life(known.born, born):
             until = max(until, known.until)
@@ -138,13 +140,13 @@
         _bound(self._rests)
 
     def begin(self, endpoint: str, born: int, sure: bool) -> None:
-        """Take that another life has begun: what earlier ones said ends with them.
+        """Drop the notices of earlier processes of an endpoint that has restarted.
 
-        :param sure: it is the last one, though it tells an earlier start.
+        :param sure: the process is the current one, even if its start time is earlier.
         """
         if sure:
-            self._sure[endpoint] = born
-            _bound(self._sure)
+            self._verified_starts[endpoint] = born
+            _bound(self._verified_starts)
         known = self._leaving.get(endpoint)
         if known is not None and known.born != born:
             del self._leaving[endpoint]
@@ -152,51 +154,53 @@
         self._rests.pop(endpoint, None)
 
     def leaves(self, endpoint: str, born: int) -> bool:
-        """Say whether a life, or a later one of its endpoint, has said that it leaves."""
+        """Return whether a process, or a later one of its endpoint, is known to be leaving."""
         known = self._leaving.get(endpoint)
         return known is not None and (same_life(known.born, born) or known.born > born)
 
     def rests_until(self, endpoint: str, born: int) -> float:
-        """Give until when a life wants nothing from this node."""
+        """Return when a process's back-off ends; a time in the distant past if it has none."""
         known = self._rests.get(endpoint)
         return known.until if known is not None and same_life(known.born, born) else -1e9
 
     def tick(self, now: float, there: t.Container[str]) -> None:
-        """Forget what is over, now and then; what is listed yet is kept.
+        """Remove what has expired, every ``EXPIRE_EVERY_S``.
 
-        :param there: names of the endpoints that are known.
+        A leaving process is kept for as long as its endpoint is known.
+
+        :param there: names of the known endpoints.
         """
         if now - self._expired_at < defaults.EXPIRE_EVERY_S:
             return
         self._expired_at = now
         self._rests = {name: one for name, one in self._rests.items() if one.until > now}
-        late = [
+        outdated = [
             name
             for name, one in self._leaving.items()
             if now - one.at > LEAVING_KEPT_S and name not in there
         ]
-        for name in late:
+        for name in outdated:
             del self._leaving[name]
         self._digest = None
 
     def whole(self, now: float) -> tuple[Leaving, ...]:
-        """Give all lives that another node is to know as leaving."""
+        """List the leaving processes that other nodes are to know of."""
         return tuple(one for one in self._leaving.values() if now - one.at <= LEAVING_KEPT_S)
 
     def digest(self, now: float) -> int:
-        """Give a number that is the same on nodes that know the same lives as leaving."""
+        """Return a hash that is equal on nodes that know the same leaving processes."""
         if self._digest is None:
-            found = 0
+            combined = 0
             for one in self.whole(now):
-                found ^= mix("leaving", f"{one.endpoint}/{one.born}")
-            self._digest = found
+                combined ^= mix("leaving", f"{one.endpoint}/{one.born}")
+            self._digest = combined
         return self._digest
 
 
-K = t.TypeVar("K")
+Row = t.TypeVar("Row")
 
 
-def _bound(table: dict[str, K]) -> None:
-    """Let the oldest go where there are too many."""
+def _bound(table: dict[str, Row]) -> None:
+    """Remove the oldest entries of a table that exceeds ``NOTICES_MAX``."""
     while len(table) > NOTICES_MAX:
         del table[next(iter(table))]
--- a/packages/rookspring-core/src/rookspring_core/noticing.py
+++ b/packages/rookspring-core/src/rookspring_core/noticing.py
@@ -1,7 +1,7 @@
-"""Handlers of what endpoints say of themselves, and of what nodes tell each other of it.
+"""Handlers of endpoints' notices, and of the messages by which nodes share them.
 
-All of it comes in by one door, ahead of the outcome of the attempt with whose answer it came:
-an attempt may be over by then, as its caller has left, or fail by a fault of this node.
+A notice is handled before the outcome of the attempt whose response it came with, and apart from
+it: the attempt may already be over, since its caller has left, or fail by a fault of this node.
 """
 
 from . import notices
@@ -26,7 +26,7 @@
 
 @handles(EndpointSaid)
 def take_notice(state: NodeState, event: EndpointSaid) -> Effects:
-    """Take what the head of an answer says of its endpoint."""
+    """Apply the notice in a response's headers."""
     notice = event.notice
     if notice.life and notice.life != event.endpoint:
         return _take_other(state, event)
@@ -37,14 +37,15 @@
         effects += _note_rest(state, event, notice)
     effects += _note_rate(state, event)
     if notice.misdirected:
-        _note_lacking(state, event)
+        _note_missing_target(state, event)
     return effects + requests.end_hopeless(state) + requests.pump(state)
 
 
 def _take_other(state: NodeState, event: EndpointSaid) -> Effects:
-    """Another process answers where an endpoint was asked: its word is of itself.
+    """Handle a notice from another process than the endpoint that the request was sent to.
 
-    The one that was asked is there no more, unless it has another address by now.
+    The notice is about that process. The endpoint has lost its address to it, unless the list has
+    given the endpoint a new address meanwhile.
     """
     asked = state.endpoints.get(event.endpoint)
     if event.notice.misdirected and asked is not None and asked.address == event.address:
@@ -56,23 +57,24 @@
 
 
 def born_of(view: EndpointView) -> int:
-    """Give the start of the life that is known of an endpoint; 0 where it is not told."""
+    """Return the start time of the process known at an endpoint; 0 if unknown."""
     return view.report.born if view.report is not None else view.born
 
 
 def _note_leaving(state: NodeState, endpoint: str, born: int) -> Effects:
-    news = state.notices.take_leaving((Leaving(endpoint, born, state.now),), state.now)
-    _mark(state, endpoint)
-    if not news:
+    added = state.notices.take_leaving((Leaving(endpoint, born, state.now),), state.now)
+    _restore_view(state, endpoint)
+    if not added:
         return []
-    state.record(endpoint, "leaves", "it said so with an answer")
-    return [ShareLeaving(news)]
+    state.record(endpoint, "is leaving", "stated in a response")
+    return [ShareLeaving(added)]
 
 
 def note_listed(state: NodeState, endpoint: str, born: int) -> None:
-    """Take that an endpoint's entry or report says that it leaves.
+    """Record that an endpoint is leaving by its entry or report.
 
-    All nodes learn of that by the list. It outlasts the entry, which may lapse and come back.
+    It is not shared, since every node reads the list. The record is kept beyond the entry, which
+    may lapse and be written again.
     """
     state.notices.take_leaving((Leaving(endpoint, born, state.now),), state.now)
     view = state.endpoints.get(endpoint)
@@ -81,18 +83,18 @@
 
 
 def _note_rest(state: NodeState, event: EndpointSaid, notice: Notice) -> Effects:
-    rest_s = notice.asked_rest_s()
-    state.notices.take_rest(event.endpoint, event.born, state.now + rest_s)
-    _mark(state, event.endpoint)
-    told = "no time told" if notice.rest_s is None else f"{notice.rest_s:g} s asked for"
-    state.record(event.endpoint, f"rests for {rest_s:.2f} s", f"it turned a request away; {told}")
-    return _tell_shed(state, event.endpoint, min(rest_s, notices.SHED_TOLD_S))
+    backoff_s = notice.asked_rest_s()
+    state.notices.take_rest(event.endpoint, event.born, state.now + backoff_s)
+    _restore_view(state, event.endpoint)
+    given = "no time given" if notice.rest_s is None else f"{notice.rest_s:g} s requested"
+    state.record(event.endpoint, f"back-off of {backoff_s:.2f} s", f"it refused a request; {given}")
+    return _share_shed(state, event.endpoint, min(backoff_s, notices.SHED_TOLD_S))
 
 
 def says_anything(state: NodeState, endpoint: str, notice: Notice) -> bool:
-    """Say whether an answer's head tells anything of its endpoint.
+    """Return whether a response's headers state anything about its endpoint.
 
-    That it names no rate does, of one that named one.
+    The absence of a rate counts, if the endpoint stated one before.
     """
     view = state.endpoints.get(endpoint)
     return not notice.says_nothing() or (view is not None and view.rate is not None)
@@ -101,13 +103,13 @@
 def _note_rate(state: NodeState, event: EndpointSaid) -> Effects:
     notice = event.notice
     rates = state.rates
-    news: tuple[RateWord, ...] = ()
+    added: tuple[RateWord, ...] = ()
     if notice.rate is not None:
-        news = rates.name(event.endpoint, event.born, notice.rate, event.asked_at, state.now)
+        added = rates.name(event.endpoint, event.born, notice.rate, event.asked_at, state.now)
     elif not notice.names_rate:
-        news = rates.cease(event.endpoint, event.born, event.asked_at)
-    _mark_rates(state, news, "it said so with an answer")
-    return _share_rates(news, "")
+        added = rates.cease(event.endpoint, event.born, event.asked_at)
+    _mark_rates(state, added, "stated in a response")
+    return _share_rates(added, "")
 
 
 def _share_rates(rows: tuple[RateWord, ...], source: str) -> Effects:
@@ -115,27 +117,28 @@
 
 
 def _mark_rates(state: NodeState, rows: tuple[RateWord, ...], why: str) -> None:
-    """Have the views of endpoints hold their rates."""
+    """Copy changed rates to the views of their endpoints, and record the change."""
     for one in rows:
-        _mark(state, one.endpoint)
-        told = "names no rate now" if one.rate is None else f"takes {one.rate:g} requests a second"
-        state.record(one.endpoint, told, why)
+        _restore_view(state, one.endpoint)
+        change = "no request rate" if one.rate is None else f"accepts {one.rate:g} requests/s"
+        state.record(one.endpoint, change, why)
 
 
 @handles(RatesHeard)
 def hear_rates(state: NodeState, event: RatesHeard) -> Effects:
-    """Take what another node says of endpoints' rates; what is news goes on from here."""
+    """Merge endpoints' rates from another node, and forward those that are new here."""
     merged = state.rates.merge(event.rows, state.now)
-    _mark_rates(state, merged.news, f"{event.source} says so")
-    _mark_rates(state, merged.denied, f"it said so lately, whatever {event.source} says")
-    told = _share_rates(merged.news, event.source) + _share_rates(merged.denied, "")
-    return told + (requests.pump(state) if merged.news else [])
+    _mark_rates(state, merged.news, f"{event.source} reported it")
+    _mark_rates(state, merged.denied, f"stated recently, contrary to what {event.source} reports")
+    shared = _share_rates(merged.news, event.source) + _share_rates(merged.denied, "")
+    return shared + (requests.pump(state) if merged.news else [])
 
 
-def _tell_shed(state: NodeState, endpoint: str, for_s: float) -> Effects:
-    """Tell the other nodes that an endpoint sheds, unless one of them has told all just now.
+def _share_shed(state: NodeState, endpoint: str, for_s: float) -> Effects:
+    """Tell the other nodes that an endpoint sheds load, unless one of them has just done so.
 
-    Each node finds it out by itself; of 69 words in a second one says all.
+    Each node that sends there finds out by itself, so with 69 nodes there could be 69 such
+    messages within a second, of which one is enough.
     """
     view = state.endpoints.get(endpoint)
     if view is None or state.now < view.shed_until:
@@ -144,8 +147,8 @@
     return [ShareShed(endpoint, for_s)]
 
 
-def _note_lacking(state: NodeState, event: EndpointSaid) -> None:
-    """It does not hold what was asked for, whatever was believed."""
+def _note_missing_target(state: NodeState, event: EndpointSaid) -> None:
+    """Remove a target from the view of an endpoint that has just stated that it lacks it."""
     view = state.endpoints.get(event.endpoint)
     if view is None or not event.target or not notices.same_life(event.born, born_of(view)):
         return
@@ -154,14 +157,14 @@
     state.index(view, before, view.targets())
 
 
-def _mark(state: NodeState, endpoint: str) -> None:
+def _restore_view(state: NodeState, endpoint: str) -> None:
     view = state.endpoints.get(endpoint)
     if view is not None:
         recall(state, view)
 
 
 def recall(state: NodeState, view: EndpointView) -> None:
-    """Have a view hold what its endpoint's life has said: when it is made, or its life begins."""
+    """Restore the notices of an endpoint's process to its view, when either of them is new."""
     born = born_of(view)
     view.leaving = view.leaving or state.notices.leaves(view.name, born)
     view.rate = state.rates.rate_of(view.name, born)
@@ -172,9 +175,9 @@
 
 @handles(ShedHeard)
 def hear_shed(state: NodeState, event: ShedHeard) -> Effects:
-    """Prefer others for a while to what turned another node's request away.
+    """Add to the load estimate of an endpoint that refused another node's request.
 
-    Rest is asked of one node, so this one may go on to send there.
+    The back-off binds only that node, so this one may still send requests there.
     """
     view = state.endpoints.get(event.endpoint)
     if view is not None:
@@ -184,21 +187,21 @@
 
 @handles(LeavingHeard)
 def hear_leaving(state: NodeState, event: LeavingHeard) -> Effects:
-    """Take what another node says of endpoints that leave; what is news goes on from here."""
-    news = state.notices.take_leaving(event.rows, state.now)
-    if not news:
+    """Merge leaving processes from another node, and forward those that are new here."""
+    added = state.notices.take_leaving(event.rows, state.now)
+    if not added:
         return []
-    for one in news:
-        _mark(state, one.endpoint)
-        state.record(one.endpoint, "leaves", f"{event.source} says so")
-    told: Effects = [ShareLeaving(news, event.source)]
-    return told + requests.end_hopeless(state) + requests.pump(state)
+    for one in added:
+        _restore_view(state, one.endpoint)
+        state.record(one.endpoint, "is leaving", f"{event.source} reported it")
+    shared: Effects = [ShareLeaving(added, event.source)]
+    return shared + requests.end_hopeless(state) + requests.pump(state)
 
 
 def find_withheld(state: NodeState, endpoint: str) -> str:
-    """Say why a request that is about to be sent to an endpoint must not be; empty where it may.
+    """Return why a request must not be sent to its chosen endpoint any more; empty if it may be.
 
-    Between the decision and the first byte lies the making of a connection, up to a second.
+    Connecting may take up to a second between the routing decision and the first byte.
     """
     view = state.endpoints.get(endpoint)
     if view is None:
--- a/packages/rookspring-core/src/rookspring_core/suspecting.py
+++ b/packages/rookspring-core/src/rookspring_core/suspecting.py
@@ -1,7 +1,7 @@
-"""What a lost endpoint is charged to: the requests that ran there, by :mod:`suspects`.
+"""Attribution of crashed endpoints to the requests that ran there, by :mod:`suspects`.
 
-Were a loss charged to the endpoint, the service's window and the caller alone, and not to what the
-endpoint was doing, one request could end all endpoints by turns.
+A crash also counts as a failure of the endpoint, in the service's retry window, and towards the
+caller. Without this attribution a single request could crash all endpoints, one after another.
 """
 
 import typing as t
@@ -27,14 +27,14 @@
 
 Effects = list[Effect]
 
-# Starts are told in milliseconds of a clock; what stands for one is far below any.
+# Start times are in milliseconds of a clock; a hash used instead of one is below any of them.
 BORN_MAX = 1 << 31
 
 
 class Barred(t.NamedTuple):
-    """Why a request may not be sent to an endpoint now.
+    """Why a suspect may not be sent to an endpoint now.
 
-    :param after_s: when to come back, in seconds; 0 where it is not to come back.
+    :param after_s: when the caller may retry, in seconds; 0 if it should not.
     """
 
     status: int
@@ -44,11 +44,12 @@
 
 
 def find_bar(state: NodeState, arrived: RequestArrived) -> Barred | None:
-    """Say why a request may not be sent now; None where it may.
+    """Return why a request may not be sent now; None if it may.
 
-    One under which ``ENDS_MAX`` processes ended is refused for as long as that is remembered:
-    it would end the next. A suspect of more than one end waits a while after the last, and
-    is run once at a time, so that each end tells as much, and costs as few, as can be.
+    A request whose evidence has reached ``ENDS_MAX`` crashes is refused until its verdict expires,
+    since it would crash the next endpoint too. From ``SUSPECT_ENDS`` crashes on, a request is run
+    at most once at a time, and no sooner than ``SUSPECT_BACK_S`` after the last crash, so that a
+    further crash is clear evidence against it and costs few other requests.
     """
     if not arrived.fingerprint:
         return None
@@ -72,28 +73,38 @@
 
 
 def check(state: NodeState, arrived: RequestArrived) -> Refuse | None:
-    """Refuse a request that may not be sent; None where it may go on."""
-    bar = find_bar(state, arrived)
-    if bar is None:
+    """Return the refusal of a request that may not be sent now; None if it may."""
+    quarantine = find_bar(state, arrived)
+    if quarantine is None:
         return None
     identity = arrived.request_id
-    state.record(identity, f"refused {bar.reason}", bar.text)
-    return Refuse(identity, bar.status, bar.reason, "not_run", bar.text, come_back(arrived, bar))
-
-
-def come_back(arrived: RequestArrived, bar: Barred) -> float:
-    """Give when a barred request may come back, spread by request; 0 where it is not to."""
+    state.record(identity, f"refused {quarantine.reason}", quarantine.text)
+    return Refuse(
+        identity,
+        quarantine.status,
+        quarantine.reason,
+        "not_run",
+        quarantine.text,
+        come_back(arrived, quarantine),
+    )
+
+
+def come_back(arrived: RequestArrived, quarantine: Barred) -> float:
+    """Return when a refused suspect may be retried, spread by request; 0 if it should not be."""
     spread = mix("suspected", arrived.request_id) % 1000 / 1000.0
-    return bar.after_s * (1.0 + spread)
+    return quarantine.after_s * (1.0 + spread)
 
 
 def suspected(state: NodeState, request: RequestState) -> bool:
-    """Say whether a request is run apart, where the least would be lost with it."""
+    """Return whether a request is a suspect of ``SUSPECT_ENDS`` crashes or more.
+
+    Such a request is run where a crash would lose the fewest others.
+    """
     return state.suspects.ends(request.arrived.fingerprint) >= defaults.SUSPECT_ENDS
 
 
 def begin_trial(state: NodeState, request: RequestState) -> Effects:
-    """Tell all nodes that a suspect is being run."""
+    """Tell all nodes that a suspect is being run, so that no other node runs it meanwhile."""
     if not suspected(state, request):
         return []
     trial = Trial(request.arrived.fingerprint, state.now + defaults.TRIAL_S)
@@ -101,65 +112,65 @@
 
 
 def note_broken(state: NodeState, request: RequestState, event: AttemptFailed) -> Effects:
-    """Take that an endpoint broke off a request, which may be found to have ended.
+    """Record a failed attempt, in case its endpoint is found to have crashed.
 
-    An endpoint that is leaving, or whose entry has gone, ends as planned. A cut of the way to
-    it, a time-out or a refusal is no end; one that ended silently is none either, since a
-    box without power takes many with it.
+    The end of an endpoint that is leaving, or whose entry has gone, is planned. A network cut, a
+    time-out or a refusal is no crash. Nor is an endpoint that fell silent, since a box that loses
+    power takes many endpoints down with it.
     """
     endpoint = state.endpoints.get(request.endpoint)
     fingerprint = request.arrived.fingerprint
     if not event.sent or event.said_not_run:
-        # This node may try another endpoint; without it a suspect that met one that had ended
-        # waited for another 2 s each time.
+        # The request hasn't run, so this node may try another endpoint at once. Otherwise a
+        # suspect that was sent to an ended endpoint waited another 2 s each time.
         state.suspects.end_trial(fingerprint)
     if endpoint is None or endpoint.leaving or endpoint.gone:
         return []
-    life = Life(request.endpoint, request.born)
+    process = Life(request.endpoint, request.born)
     effects: Effects = []
     if event.broken and fingerprint:
-        sighting = _sight(state, request, life)
-        effects += _tell(state, Evidence(tuple(state.suspects.note_broken(sighting))))
+        record = _sight(state, request, process)
+        effects += _tell(state, Evidence(tuple(state.suspects.note_broken(record))))
     if event.down:
-        effects += _end(state, life)
+        effects += _end(state, process)
     return effects
 
 
 def note_left(state: NodeState, request: RequestState) -> None:
-    """Remember a request that its caller left: the endpoint may be ending under it just now."""
+    """Record a running request whose caller left, since its endpoint may be about to crash."""
     if request.arrived.fingerprint and request.running and request.sent:
-        life = Life(request.endpoint, request.born)
-        state.suspects.note_left(_sight(state, request, life))
+        process = Life(request.endpoint, request.born)
+        state.suspects.note_left(_sight(state, request, process))
 
 
-def _sight(state: NodeState, request: RequestState, life: Life) -> Sighting:
+def _sight(state: NodeState, request: RequestState, process: Life) -> Sighting:
     arrived = request.arrived
     answered_s = state.now - request.first_at if request.first_at is not None else 0.0
-    young = answered_s < defaults.LONG_RUN_S
-    return Sighting(arrived.fingerprint, arrived.team, life, state.now, young)
+    early = answered_s < defaults.LONG_RUN_S
+    return Sighting(arrived.fingerprint, arrived.team, process, state.now, early)
 
 
 def note_ended(state: NodeState, view: EndpointView) -> Effects:
-    """Take that the process known at an endpoint has ended, as another word tells."""
+    """Record that the process known at an endpoint has ended, unless it was leaving."""
     if view.leaving:
         return []
     return _end(state, life_of(view))
 
 
 def life_of(view: EndpointView) -> Life:
-    """Name the process that is known at an endpoint: by its start, or else its incarnation."""
+    """Return the process known at an endpoint, by its start time or else its incarnation."""
     report = view.report
     if report is None:
         return Life(view.name, 0)
     return Life(view.name, report.born or mix("life", report.incarnation) % BORN_MAX)
 
 
-def _end(state: NodeState, life: Life) -> Effects:
-    return _tell(state, Evidence(tuple(state.suspects.note_ended(life, state.now))))
+def _end(state: NodeState, process: Life) -> Effects:
+    return _tell(state, Evidence(tuple(state.suspects.note_ended(process, state.now))))
 
 
 def note_well(state: NodeState, request: RequestState) -> Effects:
-    """Clear a request that ended well, where it was a suspect."""
+    """Clear a request that succeeded, if it was a suspect."""
     fingerprint = request.arrived.fingerprint
     if not state.suspects.known(fingerprint):
         return []
@@ -167,31 +178,31 @@
 
 
 def _tell(state: NodeState, evidence: Evidence, source: str = "") -> Effects:
-    """Merge evidence, and tell the other nodes what of it is news."""
+    """Merge evidence, and share what was not known yet with the other nodes."""
     if evidence.empty():
         return []
-    condemned = {one.fingerprint for one in state.suspects.verdicts(state.now)}
-    news = state.suspects.take(evidence, state.now)
-    found: Effects = [
+    earlier_verdicts = {one.fingerprint for one in state.suspects.verdicts(state.now)}
+    added = state.suspects.take(evidence, state.now)
+    new_verdicts: Effects = [
         VerdictFound(
             one.fingerprint,
             one.organisation,
-            tuple(life.endpoint for life in state.suspects.lives(one.fingerprint)),
+            tuple(process.endpoint for process in state.suspects.lives(one.fingerprint)),
             one.until - state.now,
         )
         for one in state.suspects.verdicts(state.now)
-        if one.fingerprint not in condemned
+        if one.fingerprint not in earlier_verdicts
     ]
-    return found if news.empty() else [*found, ShareEvidence(news, source)]
+    return new_verdicts if added.empty() else [*new_verdicts, ShareEvidence(added, source)]
 
 
 @handles(EvidenceHeard)
 def hear_evidence(state: NodeState, event: EvidenceHeard) -> Effects:
-    """Take what another node saw; what is news goes on from here.
+    """Merge another node's evidence, and forward what was not known yet.
 
-    What broke off here at a process of which another node says that it ended is told in turn.
+    Requests of this node that broke at the processes in it are added as evidence.
     """
     effects = _tell(state, event.evidence, event.source)
-    for life in {one.life for one in event.evidence.sightings}:
-        effects += _end(state, life)
+    for process in {one.life for one in event.evidence.sightings}:
+        effects += _end(state, process)
     return effects
--- a/packages/rookspring-core/src/rookspring_core/suspects.py
+++ b/packages/rookspring-core/src/rookspring_core/suspects.py
@@ -1,12 +1,13 @@
-"""Requests under which endpoints ended, and which of them are found to be the cause.
+"""Detection of requests that crash the endpoints that run them.
 
-A request may crash each process that runs it, and it comes again, to any node. All that ran
-on a process when it ended are its suspects. Over several ends the cause stands out: it was
-under each, while others end well in between, which clears them.
+A request may crash every process that runs it, and callers retry it, through any node. All
+requests in flight on a process when it crashed are suspects. Over several crashes the cause
+becomes clear: it was in flight at each, while other requests succeed in between, which clears
+them.
 
-What is kept only grows and is merged by its keys, so nodes may tell each other in any order
-and as often as they like: sightings (a request, by its fingerprint, under the end of one
-process), times at which a request was cleared, and verdicts. Times are of this node's clock.
+The evidence is merged by its keys, so nodes may exchange it in any order and more than once:
+crash records (a request, by its fingerprint, in flight at the crash of one process), the times
+at which a request was cleared, and verdicts. Times are of this node's clock.
 """
 
 import typing as t
@@ -16,9 +17,10 @@
 
 
 class Life(t.NamedTuple):
-    """One process of an endpoint, told apart by its start.
+    """One process of an endpoint, identified by its start time.
 
-    :param born: in milliseconds, or a smaller number for its incarnation; 0 where neither is known.
+    :param born: in milliseconds, or a smaller number hashed from its incarnation; 0 if neither is
+        known.
     """
 
     endpoint: str
@@ -26,10 +28,10 @@
 
 
 class Sighting(t.NamedTuple):
-    """A request that ran, or may have, on a process when it ended.
+    """A request that was in flight, or may have been, on a process when it crashed.
 
-    :param organisation: whose it is; empty where that is not known.
-    :param young: it had not been answering for long.
+    :param organisation: the organisation that sent it; empty if unknown.
+    :param early: whether its response had begun only a short time before, or not at all.
     """
 
     fingerprint: str
@@ -40,14 +42,14 @@
 
 
 class Cleared(t.NamedTuple):
-    """A request that ended well at a moment: what was seen of it before says nothing."""
+    """A request that succeeded at a moment, which voids the crash records up to then."""
 
     fingerprint: str
     at: float
 
 
 class Verdict(t.NamedTuple):
-    """A request that is found to end the processes that run it, and until when that holds."""
+    """A request that is found to crash the processes that run it, quarantined until a time."""
 
     fingerprint: str
     organisation: str
@@ -55,14 +57,14 @@
 
 
 class Trial(t.NamedTuple):
-    """A suspect of more than one end that is being run, until when nobody else is to run it."""
+    """A suspect of several crashes that is being run; until a time no other run may begin."""
 
     fingerprint: str
     until: float
 
 
 class Evidence(t.NamedTuple):
-    """What one node tells others, or was told."""
+    """A batch of evidence, as nodes exchange it."""
 
     sightings: tuple[Sighting, ...] = ()
     cleared: tuple[Cleared, ...] = ()
@@ -70,20 +72,20 @@
     trials: tuple[Trial, ...] = ()
 
     def empty(self) -> bool:
-        """Say whether it tells nothing."""
+        """Return whether the batch is empty."""
         return not any(self)
 
 
-# How much evidence sightings are; a verdict falls at ``ENDS_MAX``.
+# Weighs the crash records of one request; at a weight of ``ENDS_MAX`` there is a verdict.
 Weigh = t.Callable[[t.Iterable[Sighting]], float]
 WEIGHTS: dict[str, Weigh] = {}
-W = t.TypeVar("W", bound=Weigh)
+WeighFunction = t.TypeVar("WeighFunction", bound=Weigh)
 
 
-def weight(name: str) -> t.Callable[[W], W]:
-    """Register a way to weigh sightings."""
+def weight(name: str) -> t.Callable[[WeighFunction], WeighFunction]:
+    """Register a function that weighs crash records, under a name."""
 
-    def register(function: W) -> W:
+    def register(function: WeighFunction) -> WeighFunction:
         WEIGHTS[name] = function
         return function
 
@@ -91,104 +93,107 @@
 
 
 @weight("count")
-def count_ends(sightings: t.Iterable[Sighting]) -> float:
-    """Count each process once that ended under the request."""
-    return float(sum(1 for _ in sightings))
+def count_ends(records: t.Iterable[Sighting]) -> float:
+    """Count each process that crashed while it ran the request as 1."""
+    return float(sum(1 for _ in records))
 
 
 @weight("young")
-def weigh_young(sightings: t.Iterable[Sighting]) -> float:
-    """Count less where the request had been answering for long, and so had survived its begin."""
-    return sum(1.0 if one.young else defaults.LONG_RUN_WEIGHT for one in sightings)
+def weigh_young(records: t.Iterable[Sighting]) -> float:
+    """Count a crash less if the request had been producing its response for long by then."""
+    return sum(1.0 if one.young else defaults.LONG_RUN_WEIGHT for one in records)
 
 
 class SuspectTable:
-    """All that a node knows of suspects.
+    """A node's evidence on suspects.
 
-    :param weigh: the way to weigh sightings, a name in :data:`WEIGHTS`.
+    :param weigh: the function that weighs crash records, by its name in :data:`WEIGHTS`.
     """
 
     def __init__(self, weigh: str = defaults.SUSPECT_WEIGHT) -> None:
         self._weigh = WEIGHTS[weigh]
-        self._sightings: dict[str, dict[Life, Sighting]] = {}
+        self._records: dict[str, dict[Life, Sighting]] = {}
         self._cleared: dict[str, float] = {}
         self._verdicts: dict[str, Verdict] = {}
         self._trials: dict[str, float] = {}
-        # Processes known to have ended, and requests whose connections broke off at others,
-        # which may be found to have ended yet.
+        # When processes were found to have ended; and, for processes that may yet be found to
+        # have ended, the requests whose connections to them broke.
         self._ended: dict[Life, float] = {}
         self._pending: dict[Life, dict[str, Sighting]] = {}
         self._expired_at = -1e9
         self._digest: int | None = 0
 
     def use(self, weigh: str) -> None:
-        """Weigh sightings in another way from now on."""
+        """Weigh crash records with another function from now on."""
         self._weigh = WEIGHTS[weigh]
 
     def __len__(self) -> int:
-        return len(self._sightings) + len(self._verdicts)
+        return len(self._records) + len(self._verdicts)
 
-    # What this node sees.
+    # Events that this node observes itself.
 
-    def note_broken(self, sighting: Sighting) -> list[Sighting]:
-        """Take that a request broke off at a process; gives it if that is known to have ended."""
-        if sighting.life in self._ended:
-            return [sighting]
-        self._pending.setdefault(sighting.life, {})[sighting.fingerprint] = sighting
+    def note_broken(self, record: Sighting) -> list[Sighting]:
+        """Record a request whose connection broke, pending the end of its process.
+
+        :return: the record, if the process is already known to have ended.
+        """
+        if record.life in self._ended:
+            return [record]
+        self._pending.setdefault(record.life, {})[record.fingerprint] = record
         return []
 
-    def note_left(self, sighting: Sighting) -> None:
-        """Take that a caller left a request, which its endpoint may be running for a moment yet."""
-        early = sighting._replace(at=sighting.at - defaults.END_KNOWN_S + defaults.LEFT_RUNS_S)
-        self._pending.setdefault(sighting.life, {}).setdefault(sighting.fingerprint, early)
+    def note_left(self, record: Sighting) -> None:
+        """Record a request whose caller left; its endpoint may run it for ``LEFT_RUNS_S`` more."""
+        backdated = record._replace(at=record.at - defaults.END_KNOWN_S + defaults.LEFT_RUNS_S)
+        self._pending.setdefault(record.life, {}).setdefault(record.fingerprint, backdated)
 
-    def note_ended(self, life: Life, now: float) -> list[Sighting]:
-        """Take that a process has ended; gives what broke off there just before."""
-        self._ended.setdefault(life, now)
-        pending = self._pending.pop(life, {}).values()
+    def note_ended(self, process: Life, now: float) -> list[Sighting]:
+        """Record that a process has ended, and return what broke there within ``END_KNOWN_S``."""
+        self._ended.setdefault(process, now)
+        pending = self._pending.pop(process, {}).values()
         return [one for one in pending if now - one.at <= defaults.END_KNOWN_S]
 
-    # What is merged.
+    # Merging.
 
     def take(self, evidence: Evidence, now: float) -> Evidence:
-        """Merge what was told, or seen here; gives the part that is news."""
-        cleared = tuple(one for one in evidence.cleared if self._take_cleared(one))
-        verdicts = tuple(one for one in evidence.verdicts if self._take_verdict(one, now))
-        sightings = tuple(one for one in evidence.sightings if self._take_sighting(one, now))
-        trials = tuple(one for one in evidence.trials if self._take_trial(one, now))
+        """Merge evidence of this or another node, and return the part that was not known yet."""
+        cleared = tuple(one for one in evidence.cleared if self._merge_cleared(one))
+        verdicts = tuple(one for one in evidence.verdicts if self._merge_verdict(one, now))
+        records = tuple(one for one in evidence.sightings if self._merge_record(one, now))
+        trials = tuple(one for one in evidence.trials if self._merge_trial(one, now))
         self._digest = None
-        return Evidence(sightings, cleared, verdicts, trials)
+        return Evidence(records, cleared, verdicts, trials)
 
-    def _take_cleared(self, cleared: Cleared) -> bool:
+    def _merge_cleared(self, cleared: Cleared) -> bool:
         if self._cleared.get(cleared.fingerprint, -1e9) >= cleared.at - defaults.SAME_MOMENT_S:
             return False
         self._cleared[cleared.fingerprint] = cleared.at
-        rows = self._sightings.get(cleared.fingerprint, {})
-        for life in [life for life, one in rows.items() if one.at <= cleared.at]:
-            del rows[life]
+        rows = self._records.get(cleared.fingerprint, {})
+        for process in [process for process, one in rows.items() if one.at <= cleared.at]:
+            del rows[process]
         if not rows:
-            self._sightings.pop(cleared.fingerprint, None)
+            self._records.pop(cleared.fingerprint, None)
         self._trials.pop(cleared.fingerprint, None)
         return True
 
-    def _take_sighting(self, sighting: Sighting, now: float) -> bool:
-        fingerprint = sighting.fingerprint
-        self._ended.setdefault(sighting.life, sighting.at)
-        old = now - sighting.at > defaults.EVIDENCE_S
-        if old or sighting.at <= self._cleared.get(fingerprint, -1e9):
+    def _merge_record(self, record: Sighting, now: float) -> bool:
+        fingerprint = record.fingerprint
+        self._ended.setdefault(record.life, record.at)
+        expired = now - record.at > defaults.EVIDENCE_S
+        if expired or record.at <= self._cleared.get(fingerprint, -1e9):
             return False
-        rows = self._sightings.setdefault(fingerprint, {})
-        if sighting.life in rows:
+        rows = self._records.setdefault(fingerprint, {})
+        if record.life in rows:
             return False
-        rows[sighting.life] = sighting
+        rows[record.life] = record
         self._trials.pop(fingerprint, None)
         if self._weigh(rows.values()) >= defaults.ENDS_MAX:
-            until = sighting.at + defaults.EVIDENCE_S
-            self._take_verdict(Verdict(fingerprint, sighting.organisation, until), now)
-        self._bound(sighting.organisation)
+            until = record.at + defaults.EVIDENCE_S
+            self._merge_verdict(Verdict(fingerprint, record.organisation, until), now)
+        self._bound(record.organisation)
         return True
 
-    def _take_verdict(self, verdict: Verdict, now: float) -> bool:
+    def _merge_verdict(self, verdict: Verdict, now: float) -> bool:
         known = self._verdicts.get(verdict.fingerprint)
         if verdict.until <= now:
             return False
@@ -199,28 +204,30 @@
             del self._verdicts[next(iter(self._verdicts))]
         return True
 
-    def _take_trial(self, trial: Trial, now: float) -> bool:
+    def _merge_trial(self, trial: Trial, now: float) -> bool:
         if trial.until <= now or trial.fingerprint in self._trials:
             return False
         self._trials[trial.fingerprint] = trial.until
         return True
 
     def end_trial(self, fingerprint: str) -> None:
-        """Take that a suspect was not run after all."""
+        """Forget the trial of a suspect that was not run after all."""
         self._trials.pop(fingerprint, None)
 
     def _bound(self, organisation: str) -> None:
-        """Keep no more suspects than the bounds, so that no caller can fill the table."""
-        if len(self._sightings) <= defaults.SUSPECTS_EACH_MAX:
+        """Remove the oldest suspects beyond the limits, so that no caller can fill the table."""
+        if len(self._records) <= defaults.SUSPECTS_EACH_MAX:
             return
-        own = [name for name, rows in self._sightings.items() if _of(rows) == organisation]
-        if organisation and len(own) > defaults.SUSPECTS_EACH_MAX:
-            del self._sightings[own[0]]
-        if len(self._sightings) > defaults.SUSPECTS_MAX:
-            del self._sightings[next(iter(self._sightings))]
+        suspects = [
+            name for name, rows in self._records.items() if _organisation_of(rows) == organisation
+        ]
+        if organisation and len(suspects) > defaults.SUSPECTS_EACH_MAX:
+            del self._records[suspects[0]]
+        if len(self._records) > defaults.SUSPECTS_MAX:
+            del self._records[next(iter(self._records))]
 
     def tick(self, now: float) -> None:
-        """Forget what is over, now and then."""
+        """Remove expired evidence, every ``EXPIRE_EVERY_S``."""
         if now - self._expired_at >= defaults.EXPIRE_EVERY_S:
             self._expired_at = now
             self._expire(now)
@@ -228,78 +235,78 @@
     def _expire(self, now: float) -> None:
         oldest = now - defaults.EVIDENCE_S
         self._digest = None
-        for fingerprint, rows in list(self._sightings.items()):
-            kept = {life: one for life, one in rows.items() if one.at > oldest}
+        for fingerprint, rows in list(self._records.items()):
+            kept = {process: one for process, one in rows.items() if one.at > oldest}
             if kept:
-                self._sightings[fingerprint] = kept
+                self._records[fingerprint] = kept
             else:
-                del self._sightings[fingerprint]
+                del self._records[fingerprint]
         self._verdicts = {name: one for name, one in self._verdicts.items() if one.until > now}
         self._cleared = {name: at for name, at in self._cleared.items() if at > oldest}
         self._trials = {name: until for name, until in self._trials.items() if until > now}
-        self._ended = {life: at for life, at in self._ended.items() if at > oldest}
-        soonest = now - defaults.END_KNOWN_S
-        for life, pending in list(self._pending.items()):
-            if all(one.at < soonest for one in pending.values()):
-                del self._pending[life]
+        self._ended = {process: at for process, at in self._ended.items() if at > oldest}
+        oldest_pending = now - defaults.END_KNOWN_S
+        for process, pending in list(self._pending.items()):
+            if all(one.at < oldest_pending for one in pending.values()):
+                del self._pending[process]
 
-    # What is asked of it.
+    # Queries.
 
     def known(self, fingerprint: str) -> bool:
-        """Say whether a request is a suspect."""
-        return fingerprint in self._sightings
+        """Return whether a request is a suspect."""
+        return fingerprint in self._records
 
     def ends(self, fingerprint: str) -> float:
-        """Give how much evidence there is against a request, in ends of processes."""
-        return self._weigh(self._sightings.get(fingerprint, {}).values())
+        """Return the weight of the evidence against a request, in crashes."""
+        return self._weigh(self._records.get(fingerprint, {}).values())
 
     def last_at(self, fingerprint: str) -> float:
-        """Give when a process ended under a request last."""
-        rows = self._sightings.get(fingerprint, {})
+        """Return when a process last crashed while it ran a request."""
+        rows = self._records.get(fingerprint, {})
         return max((one.at for one in rows.values()), default=-1e9)
 
     def lives(self, fingerprint: str) -> list[Life]:
-        """Name the processes that ended under a request."""
-        return list(self._sightings.get(fingerprint, {}))
+        """Return the processes that crashed while they ran a request."""
+        return list(self._records.get(fingerprint, {}))
 
     def verdict(self, fingerprint: str, now: float) -> Verdict | None:
-        """Give the verdict on a request, where there is one."""
+        """Return the verdict in force on a request, if there is one."""
         found = self._verdicts.get(fingerprint)
         return found if found is not None and found.until > now else None
 
     def tried_until(self, fingerprint: str) -> float:
-        """Give until when nobody else is to run a suspect."""
+        """Return when the latest trial of a suspect is over, before which no other may begin."""
         return self._trials.get(fingerprint, -1e9)
 
     def verdicts(self, now: float) -> list[Verdict]:
-        """List the verdicts that hold."""
+        """List the verdicts in force."""
         return [one for one in self._verdicts.values() if one.until > now]
 
     def whole(self, now: float) -> Evidence:
-        """Give all that another node is to know."""
-        sightings = [
+        """Return the evidence that other nodes are to have."""
+        records = [
             one
-            for fingerprint, rows in self._sightings.items()
+            for fingerprint, rows in self._records.items()
             if fingerprint not in self._verdicts
             for one in rows.values()
         ]
         cleared = [Cleared(name, at) for name, at in self._cleared.items()]
         trials = [Trial(name, until) for name, until in self._trials.items() if until > now]
-        return Evidence(tuple(sightings), tuple(cleared), tuple(self.verdicts(now)), tuple(trials))
+        return Evidence(tuple(records), tuple(cleared), tuple(self.verdicts(now)), tuple(trials))
 
     def digest(self) -> int:
-        """Give a number that is the same on nodes that know the same suspects and verdicts."""
+        """Return a hash that is equal on nodes that have the same suspects and verdicts."""
         if self._digest is None:
-            found = 0
-            for fingerprint, rows in self._sightings.items():
+            combined = 0
+            for fingerprint, rows in self._records.items():
                 if fingerprint not in self._verdicts:
-                    for life in rows:
-                        found ^= mix(fingerprint, f"{life.endpoint}/{life.born}")
+                    for process in rows:
+                        combined ^= mix(fingerprint, f"{process.endpoint}/{process.born}")
             for fingerprint in self._verdicts:
-                found ^= mix(fingerprint, "verdict")
-            self._digest = found
+                combined ^= mix(fingerprint, "verdict")
+            self._digest = combined
         return self._digest
 
 
-def _of(rows: t.Mapping[Life, Sighting]) -> str:
+def _organisation_of(rows: t.Mapping[Life, Sighting]) -> str:
     return next((one.organisation for one in rows.values()), "")
--- a/packages/rookspring-core/src/rookspring_core/topology.py
+++ b/packages/rookspring-core/src/rookspring_core/topology.py
@@ -1,10 +1,10 @@
-"""Which relay nodes are linked, which pass on what others tell, and which watch the store.
+"""The overlay of relay nodes: which nodes link, which act as relays, and which watch the store.
 
-Up to ``RELAY_MESH_MAX`` nodes each holds a link to every other. Past that each data centre
-has relays: a node links to those of its own, and relays link to each other. A node
-*follows* one other, from which it takes the platform's lists and the sums of all others'
-work. Each node works this out for itself from what it knows of the others; where two
-differ for a moment a link too many is held, or the store is asked once more.
+Up to ``RELAY_MESH_MAX`` nodes form a full mesh. With more, each data centre has relays: a node
+links to those of its own data centre, and relays link to each other. A node *follows* one other,
+from which it takes the platform's lists and the sums of all other nodes' work. Each node computes
+its roles from its own view of the membership; where two views differ for a moment, there is one
+link too many or one read of the store too many.
 """
 
 import typing as t
@@ -17,10 +17,10 @@
 
 
 class Standing(t.NamedTuple):
-    """This node as the others rank it.
+    """The properties by which this node is ranked for roles.
 
     :param up_s: how long it has run, in seconds.
-    :param holding: it holds the lease.
+    :param holding: whether it holds the lease.
     """
 
     strength: float = 0.0
@@ -30,44 +30,44 @@
 
 
 class Topology:
-    """The roles of this node and the links that they need, worked out at ticks."""
+    """The roles of this node and the links that they need, updated at ticks."""
 
     def __init__(self, membership: Membership) -> None:
         self._members = membership
-        self._standing = Standing()
+        self._local = Standing()
         self._unreached: dict[str, float] = {}
         self._hashes: dict[tuple[str, str], int] = {}
-        self._position = -1
-        self._worked_at = -1e9
-        self._unfed_since: float | None = None
+        self._change_position = -1
+        self._updated_at = -1e9
+        self._stale_since: float | None = None
         self._unfollowed_since: float | None = None
         self._relays: dict[str, list[str]] = {}
         self._watchers: set[str] = set()
-        self._wanted: set[str] = set()
+        self._wanted_links: set[str] = set()
         self._watch_order: dict[str, int] = {}
         self._nodes = 1
         # Whether every node links to every other.
         self.mesh = True
-        # This node passes on what the nodes of its data centre tell.
+        # Whether this node forwards the messages of the nodes of its data centre.
         self.relay = False
-        # Since when.
+        # When it last became a relay.
         self.relay_since = -1e9
-        # This node watches the platform's store itself.
+        # Whether this node watches the platform's store itself.
         self.watching = True
-        # The node that this one follows; empty where there is none.
+        # The node that this one follows; empty if none.
         self.followed = ""
         # When the store last answered this node itself.
         self.read_at = -1e9
 
     def work_out(self, now: float, standing: Standing) -> None:
-        """Take what has changed since the last time."""
+        """Update roles and links after a change, or once ``RELAY_WORK_OUT_S`` has passed."""
         position = self._members.changes.end()
-        stale = now - self._worked_at >= defaults.RELAY_WORK_OUT_S
-        changed = position != self._position or standing.holding != self._standing.holding
+        stale = now - self._updated_at >= defaults.RELAY_WORK_OUT_S
+        changed = position != self._change_position or standing.holding != self._local.holding
         if changed or stale:
-            self._position = position
-            self._worked_at = now
-            self._standing = standing
+            self._change_position = position
+            self._updated_at = now
+            self._local = standing
             self._choose_roles(now)
         self.followed = self._choose_followed(now)
         if self.followed or self._chosen_watcher():
@@ -77,35 +77,35 @@
         self.watching = self._choose_watching(now)
 
     def note_unreached(self, name: str, now: float) -> None:
-        """Leave a node out for a while, since it could not be dialled."""
+        """Exclude a node from all roles for ``UNREACHED_S``, since it could not be dialled."""
         self._unreached[name] = now
 
     def _choose_roles(self, now: float) -> None:
         self._nodes = self._members.count()
         self.mesh = self._nodes <= defaults.RELAY_MESH_MAX
-        ranked = self._rank(now)
+        rankings = self._rank(now)
         self._relays = {
-            place: [row.name for row in rows[: defaults.RELAYS_PER_DATA_CENTRE]]
-            for place, rows in ranked.items()
+            data_centre: [row.name for row in rows[: defaults.RELAYS_PER_DATA_CENTRE]]
+            for data_centre, rows in rankings.items()
         }
         own = self._relays.get(self._members.data_centre, [])
-        chosen = self._members.name in own or self._standing.holding
-        relay = not self.mesh and chosen and not self._standing.leaving
+        chosen = self._members.name in own or self._local.holding
+        relay = not self.mesh and chosen and not self._local.leaving
         if relay and not self.relay:
             self.relay_since = now
         self.relay = relay
-        self._watchers = self._choose_watchers(ranked)
-        # Leaves reach their relays, and relays each other.
-        self._wanted = self.relays() if self.relay else set(own)
+        self._watchers = self._choose_watchers(rankings)
+        # Leaves link to the relays of their data centre, relays to all relays.
+        self._wanted_links = self.relays() if self.relay else set(own)
 
     def _rank(self, now: float) -> dict[str, list["_Candidate"]]:
-        """Order the nodes of each data centre by how well they serve as a relay."""
-        places: dict[str, list[_Candidate]] = {}
+        """Order the nodes of each data centre by their fitness as a relay, the best first."""
+        rankings: dict[str, list[_Candidate]] = {}
         for one in self._candidates(now):
-            places.setdefault(one.data_centre, []).append(one)
-        for rows in places.values():
+            rankings.setdefault(one.data_centre, []).append(one)
+        for rows in rankings.values():
             rows.sort(key=self._relay_rank)
-        return places
+        return rankings
 
     def _relay_rank(self, one: "_Candidate") -> tuple[t.Any, ...]:
         strength = int(4 * min(one.strength, defaults.RELAY_STRENGTH))
@@ -119,33 +119,33 @@
 
     def _candidates(self, now: float) -> t.Iterator["_Candidate"]:
         members = self._members
-        mine = self._standing
-        if not mine.leaving:
-            settled = mine.up_s >= defaults.RELAY_SETTLED_S
-            place = members.data_centre
-            yield _Candidate(members.name, place, mine.strength, settled, self.relay)
+        local = self._local
+        if not local.leaving:
+            settled = local.up_s >= defaults.RELAY_SETTLED_S
+            data_centre = members.data_centre
+            yield _Candidate(members.name, data_centre, local.strength, settled, self.relay)
         for name, peer in members.peers.items():
             heard = peer.heard
-            if heard.leaving or self._out(name, now):
+            if heard.leaving or self._is_excluded(name, now):
                 continue
             settled = peer.age_s(now) >= defaults.RELAY_SETTLED_S
             yield _Candidate(name, heard.data_centre, heard.strength, settled, heard.relay)
         for name, row in members.listed.items():
-            if name in members.peers or name == members.name or self._out(name, now):
+            if name in members.peers or name == members.name or self._is_excluded(name, now):
                 continue
             if name not in members.gone:
                 yield _Candidate(name, row.data_centre, row.strength, False, False)
 
-    def _out(self, name: str, now: float) -> bool:
+    def _is_excluded(self, name: str, now: float) -> bool:
         at = self._unreached.get(name)
         return at is not None and now - at < defaults.UNREACHED_S
 
-    def _choose_watchers(self, ranked: dict[str, list["_Candidate"]]) -> set[str]:
-        """Choose the nodes that watch the store for all, the same on every node."""
+    def _choose_watchers(self, rankings: dict[str, list["_Candidate"]]) -> set[str]:
+        """Choose the relays that watch the store; nodes with the same view choose the same."""
         relays = self.relays()
-        rows = [one for place in ranked.values() for one in place if one.name in relays]
+        rows = [one for ranked in rankings.values() for one in ranked if one.name in relays]
         rows.sort(key=self._watch_rank)
-        self._watch_order = {one.name: place for place, one in enumerate(rows)}
+        self._watch_order = {one.name: rank for rank, one in enumerate(rows)}
         return {one.name for one in rows[: defaults.WATCHERS]}
 
     def _watch_rank(self, one: "_Candidate") -> tuple[t.Any, ...]:
@@ -153,13 +153,13 @@
         return (not one.settled, -strength, self._hash("watch", one.name))
 
     def dialled(self) -> dict[str, str]:
-        """Give the nodes that this one is to dial, with their addresses."""
+        """Return the nodes that this one is to dial, with their addresses."""
         members = self._members
         if self.mesh and members.count() > defaults.RELAY_MESH_MAX:
-            # They have just become known. As a mesh, nodes that start together would link each
-            # to all before they know their relays a tick later.
+            # Many nodes have just become known, and relays are chosen at the next tick. Until
+            # then nodes that start together would link each to all others, as in a mesh.
             return {}
-        names = {*members.listed, *members.peers} if self.mesh else self._wanted
+        names = {*members.listed, *members.peers} if self.mesh else self._wanted_links
         rows = {name: row.address for name in names if (row := members.listed.get(name))}
         known = {name: peer for name in names if (peer := members.peers.get(name))}
         rows.update((name, peer.heard.address) for name, peer in known.items())
@@ -167,32 +167,32 @@
         return rows
 
     def both_dial(self, name: str) -> bool:
-        """Say whether the other end of a link is to dial as well, if it is not there."""
+        """Return whether both ends of a missing link dial it, rather than this node alone."""
         if self.mesh:
             return True
         peer = self._members.peers.get(name)
         return self.relay and peer is not None and peer.heard.relay
 
     def keeps(self, name: str) -> bool:
-        """Say whether a link that is there is of use to one of its ends."""
+        """Return whether an open link is needed by either of its ends."""
         peer = self._members.peers.get(name)
         if self.mesh or peer is None or name == self.followed:
             return True
         heard = peer.heard
         if heard.follows or (self.relay and heard.relay):
             return True
-        near = heard.data_centre == self._members.data_centre
-        return (near and (self.relay or heard.relay)) or name in self._wanted
+        same_data_centre = heard.data_centre == self._members.data_centre
+        return (same_data_centre and (self.relay or heard.relay)) or name in self._wanted_links
 
     def needs_seeds(self) -> bool:
-        """Say whether this node knows too little to do without the seeds."""
+        """Return whether to dial the seeds: in a mesh, alone, or long without a node to follow."""
         if self.mesh or self._members.count() == 1:
             return True
         since = self._unfollowed_since
-        return since is not None and self._worked_at - since > defaults.SEEDS_AFTER_S
+        return since is not None and self._updated_at - since > defaults.SEEDS_AFTER_S
 
     def _choose_followed(self, now: float) -> str:
-        """Choose the node to follow: a relay with fresh lists, and the same one as before."""
+        """Choose the node to follow: one with fresh lists, the current one if otherwise equal."""
         if self._chosen_watcher() and now - self.read_at < defaults.STORE_STALE_S:
             return ""
         rows = [
@@ -212,43 +212,52 @@
         return heard.relay
 
     def _follow_rank(self, name: str, heard: PeerHeard, now: float) -> tuple[t.Any, ...]:
-        stale = self._told_age_s(name, now) > defaults.STORE_STALE_S
-        # A leaf's relay need not follow the store itself.
+        stale = self._peer_store_age_s(name, now) > defaults.STORE_STALE_S
+        # A relay prefers a node that watches the store; for a leaf any relay will do.
         indirect = self.relay and not heard.watches
-        far = heard.data_centre != self._members.data_centre
-        return (stale, indirect, far, name != self.followed, self._hash(self._members.name, name))
-
-    def _told_age_s(self, name: str, now: float) -> float:
+        remote = heard.data_centre != self._members.data_centre
+        return (
+            stale,
+            indirect,
+            remote,
+            name != self.followed,
+            self._hash(self._members.name, name),
+        )
+
+    def _peer_store_age_s(self, name: str, now: float) -> float:
         peer = self._members.peers.get(name)
         if peer is None:
             return float("inf")
         return peer.heard.store_age_s + now - peer.heard_at
 
     def fed(self, now: float) -> bool:
-        """Say whether another node keeps this one fresh about the store."""
-        return self._told_age_s(self.followed, now) < defaults.STORE_STALE_S
+        """Return whether the followed node's data of the store is fresh."""
+        return self._peer_store_age_s(self.followed, now) < defaults.STORE_STALE_S
 
     def age_s(self, now: float) -> float:
-        """Give how old what this node knows of the store is, in seconds."""
-        return min(now - self.read_at, self._told_age_s(self.followed, now))
+        """Return the age of this node's data of the store, in seconds."""
+        return min(now - self.read_at, self._peer_store_age_s(self.followed, now))
 
     def _choose_watching(self, now: float) -> bool:
-        """Watch the store where that falls to this node, or nobody fresh is heard."""
+        """Return whether to watch the store: as a chosen watcher, or for lack of fresh data."""
         if self.fed(now):
-            self._unfed_since = None
-        elif self._unfed_since is None:
-            self._unfed_since = now
+            self._stale_since = None
+        elif self._stale_since is None:
+            self._stale_since = now
         if self._chosen_watcher():
             return True
-        return self._unfed_since is not None and now - self._unfed_since > self._patience_s()
+        return self._stale_since is not None and now - self._stale_since > self._takeover_delay_s()
 
     def _chosen_watcher(self) -> bool:
-        if self.mesh or self._standing.holding:
+        if self.mesh or self._local.holding:
             return True
         return self._members.name in self._watchers
 
-    def _patience_s(self) -> float:
-        """Give how long this node waits for others to step in for a silent watcher."""
+    def _takeover_delay_s(self) -> float:
+        """Return how long this node goes without fresh data before it watches the store itself.
+
+        Relays take over in the order of their rank; other nodes wait for a time spread by hash.
+        """
         name = self._members.name
         if self.relay:
             return defaults.STEP_IN_RELAY_S * self._watch_order.get(name, 0)
@@ -256,11 +265,14 @@
         return defaults.STEP_IN_LEAST_S + defaults.STEP_IN_PER_NODE_S * self._nodes * spread
 
     def proves(self) -> bool:
-        """Say whether this node reads the configuration for all; two do, in a mesh too."""
+        """Return whether this node is one of the two that read the configuration for all.
+
+        In a mesh, where every node watches the store, only these two read the configuration.
+        """
         return self._members.name in self._watchers
 
     def proof_sources(self) -> list[str]:
-        """Name linked nodes that can tell how new the configuration is, the best first."""
+        """Return linked nodes that can prove how new the configuration is, the best first."""
         linked = self._members.linked
         watchers = sorted(name for name in self._watchers if name in linked)
         if watchers and (self.mesh or self.relay):
@@ -271,13 +283,13 @@
         return sorted(rows or linked)[: defaults.PROOF_SOURCES_MAX]
 
     def gathers_s(self, now: float) -> float:
-        """Give how long this node has gathered what others tell of themselves, in seconds."""
+        """Return for how long this node has collected the other nodes' figures, in seconds."""
         if self.mesh:
-            return self._standing.up_s
-        return min(self._standing.up_s, now - self.relay_since) if self.relay else 0.0
+            return self._local.up_s
+        return min(self._local.up_s, now - self.relay_since) if self.relay else 0.0
 
     def owners(self, now: float) -> set[str]:
-        """Name the nodes among which organisations have their owners."""
+        """Return the nodes among which owners of organisations are chosen."""
         members = self._members
         ages = {
             name: peer.age_s(now) if self.mesh else peer.heard.relay_s
@@ -287,19 +299,19 @@
             and not peer.heard.leaving
             and now - peer.heard_at < defaults.HOLDER_QUIET_S
         }
-        if (self.mesh or self.relay) and not self._standing.leaving:
+        if (self.mesh or self.relay) and not self._local.leaving:
             ages[members.name] = self.gathers_s(now)
-        # One that has gathered the others' sums for less does not know what ran before.
-        elders = {name for name, age_s in ages.items() if age_s >= defaults.OWNER_AGE_S}
-        return elders or set(ages)
+        # A node that has collected the others' sums for less misses what ran before.
+        experienced = {name for name, age_s in ages.items() if age_s >= defaults.OWNER_AGE_S}
+        return experienced or set(ages)
 
     def relays(self) -> set[str]:
-        """Name the relays of all data centres, this node's own view."""
+        """Return the relays of all data centres, by this node's own view."""
         return {name for names in self._relays.values() for name in names}
 
 
 class _Candidate(t.NamedTuple):
-    """A node as it is ranked for a job; ``settled`` where it has run for long enough."""
+    """A node to be ranked for a role; ``settled`` once it has run for ``RELAY_SETTLED_S``."""
 
     name: str
     data_centre: str
@@ -309,5 +321,5 @@
 
 
 def listed_node(name: str, address: str, data_centre: str, strength: float) -> BoxListed:
-    """Make the row of a node that is listed."""
+    """Make the box list's row of a live node."""
     return BoxListed(name, address, data_centre, "node", "live", "", strength)
--- a/packages/rookspring-core/src/rookspring_core/witness.py
+++ b/packages/rookspring-core/src/rookspring_core/witness.py
@@ -1,4 +1,4 @@
-"""What the checks of invariants remember of endpoints' words, apart from the handlers."""
+"""Independent records for the invariant checks, kept apart from the handlers' own state."""
 
 import collections
 import typing as t
@@ -10,30 +10,30 @@
 if t.TYPE_CHECKING:
     from .events import EndpointSaid
 
-# Shorter than the handlers remember: what they may forget can't be held against them.
+# Shorter than the handlers keep notices, so that a notice they have dropped is no violation.
 REMEMBERED_S = notices.LEAVING_KEPT_S / 2.0
-# A life, by its endpoint and its start.
+# A process, by its endpoint and its start time.
 Life = tuple[str, int]
 
 
 class ToldWitness:
-    """Which lives said to this node that they leave or want rest, and when."""
+    """Records which processes told this node that they are leaving or request a back-off."""
 
     def __init__(self) -> None:
         self._leaving: dict[Life, float] = {}
         self._rests: dict[Life, float] = {}
 
     def note(self, event: "EndpointSaid") -> None:
-        """Remember what an endpoint said of itself."""
+        """Record an endpoint's notice about itself."""
         if event.notice.life not in ("", event.endpoint):
             return
-        life = (event.endpoint, event.born)
+        process = (event.endpoint, event.born)
         if event.notice.leaving:
-            self._leaving.setdefault(life, event.at)
+            self._leaving.setdefault(process, event.at)
         rest_s = event.notice.rest_s
         if event.notice.turned_away and rest_s:
             until = event.at + min(rest_s, notices.REST_MAX_S)
-            self._rests[life] = max(until, self._rests.get(life, until))
+            self._rests[process] = max(until, self._rests.get(process, until))
         self._bound(event.at)
 
     def _bound(self, now: float) -> None:
@@ -41,49 +41,53 @@
         while self._leaving and next(iter(self._leaving.values())) < oldest:
             del self._leaving[next(iter(self._leaving))]
         if len(self._rests) > notices.NOTICES_MAX:
-            self._rests = {life: until for life, until in self._rests.items() if until > now}
+            self._rests = {process: until for process, until in self._rests.items() if until > now}
 
     def find_fault(self, endpoint: str, born: int, now: float, late_s: float) -> str:
-        """Say why a life is to get nothing; empty where it may.
+        """Return why a process must get no requests; empty if it may get some.
 
-        :param late_s: how long what is on its way may take, in seconds.
+        :param late_s: for how long requests in transit may still arrive, in seconds.
         """
-        said_at = self._leaving.get((endpoint, born), now)
-        if late_s < now - said_at < REMEMBERED_S:
-            return f"{endpoint} said {now - said_at:.2f} s ago that it leaves"
+        announced_at = self._leaving.get((endpoint, born), now)
+        if late_s < now - announced_at < REMEMBERED_S:
+            return f"{endpoint} announced {now - announced_at:.2f} s ago that it is leaving"
         until = self._rests.get((endpoint, born), now)
         if until > now and late_s == 0.0:
-            return f"{endpoint} wants rest for {until - now:.2f} s yet"
+            return f"{endpoint} is in back-off for another {until - now:.2f} s"
         return ""
 
 
-# Over how long the requests that an endpoint was granted are counted, in seconds.
+# The window over which the turns granted at an endpoint are counted, in seconds.
 RATE_WINDOW_S = 4.0
 
 
 class RateWitness:
-    """Counts what an owner gives of an endpoint's rate, apart from what decides it."""
+    """Counts the turns that an owner grants at an endpoint, independently of the rate limiter."""
 
     def __init__(self) -> None:
-        self._given: collections.deque[tuple[float, float]] = collections.deque()
+        self._granted: collections.deque[tuple[float, float]] = collections.deque()
 
     def note(self, now: float, rate: float) -> None:
-        """Count a turn.
+        """Count a turn granted at a rate.
 
-        :raises InvariantBroken: where the window holds more than the rates in it allow.
+        :raises InvariantBroken: if the window holds more turns than its highest rate allows.
         """
-        self._given.append((now, rate))
-        while now - self._given[0][0] > RATE_WINDOW_S:
-            self._given.popleft()
-        highest = max(one for _, one in self._given)
-        most = highest * (RATE_WINDOW_S + defaults.TURNS_IN_HAND_S) + defaults.TURNS_IN_HAND
-        if len(self._given) > most + 1e-6:
-            text = f"{len(self._given)} in {RATE_WINDOW_S} s, where {most:.1f} are allowed"
+        self._granted.append((now, rate))
+        while now - self._granted[0][0] > RATE_WINDOW_S:
+            self._granted.popleft()
+        highest = max(one for _, one in self._granted)
+        allowed_turns = (
+            highest * (RATE_WINDOW_S + defaults.TURNS_IN_HAND_S) + defaults.TURNS_IN_HAND
+        )
+        if len(self._granted) > allowed_turns + 1e-6:
+            text = (
+                f"{len(self._granted)} turns in {RATE_WINDOW_S} s; {allowed_turns:.1f} are allowed"
+            )
             raise InvariantBroken("request-rate", text)
 
     def forget(self, at: float) -> None:
-        """Count a turn no more that was given at a moment and not used."""
-        for place, (given_at, _) in enumerate(self._given):
-            if given_at == at:
-                del self._given[place]
+        """Remove a turn, granted at a moment, that was not used."""
+        for place, (granted_at, _) in enumerate(self._granted):
+            if granted_at == at:
+                del self._granted[place]
                 return
