--- a/features/resources.feature
+++ b/features/resources.feature
@@ -23,7 +23,7 @@
       | spec.replicas_max | 0          | spec.replicas_max    |
       | spec.deadline_s   | 601        | spec.deadline_s      |
 
-  Scenario Outline: a policy that no module knows is refused
+  Scenario Outline: a policy that no module has registered is refused
     Given a Policy named default with spec {}
     When its <field> is set to <value>
     Then the check names <field>
@@ -34,7 +34,7 @@
       | spec.placement   | "random"  |
       | spec.move_weight | -1        |
 
-  Scenario Outline: acceptance keeps the last accepted form and says why
+  Scenario Outline: a rejected resource keeps its last accepted version and gets the reason
     Given runners with 80 and 80 GB
     And accepted models <accepted>
     When <change> is declared
--- a/features/steps/clock_steps.py
+++ b/features/steps/clock_steps.py
@@ -15,7 +15,7 @@
 
 DAEMON = pathlib.Path("packages/rookspring/src/rookspring")
 READS = re.compile(r"time\.(monotonic|clock_gettime|perf_counter|time)\b|loop\.time\(")
-# What tells the time of day, which is no age: a field of an answer, and when outcomes were written.
+# Reads of the time of day, which is no age: a field of an answer, and when outcomes were written.
 TIMES_OF_DAY = {"exchanges.py": 1, "forwarding.py": 1}
 
 
@@ -26,52 +26,52 @@
     context.loop.run(stage.until(lambda: state.control.holding(stage.node.context.now()), 8.0))
 
 
-@when("it is suspended for {seconds:g} s, which the steady clock does not count")
+@when("it is suspended for {seconds:g} s, which the monotonic clock does not count")
 def suspended(context, seconds):
     context.seconds = seconds
 
 
 @contextlib.contextmanager
-def later(seconds):
-    """Have the kernel's clock of all time run ahead of its steady one."""
-    read = time.clock_gettime
+def suspended_for(seconds):
+    """Have CLOCK_BOOTTIME run ahead of the monotonic clock, as after a suspension."""
+    gettime = time.clock_gettime
 
-    def read_later(clock):
-        return read(clock) + (seconds if clock == time.CLOCK_BOOTTIME else 0.0)
+    def gettime_later(clock):
+        return gettime(clock) + (seconds if clock == time.CLOCK_BOOTTIME else 0.0)
 
-    with mock.patch.object(time, "clock_gettime", read_later):
+    with mock.patch.object(time, "clock_gettime", gettime_later):
         yield
 
 
-def ask_in_loop(context, ask):
-    """Ask something of the node before its loop takes anything else."""
+def evaluate_first(context, function):
+    """Evaluate a function of the node's context before its loop handles anything else."""
 
     async def work():
-        with later(context.seconds):
-            return ask(context.relay.node.context)
+        with suspended_for(context.seconds):
+            return function(context.relay.node.context)
 
     return context.loop.run(work())
 
 
 @then("before anything else it {lease} the lease")
-def lease_held(context, lease):
-    held = ask_in_loop(context, lambda node: node.state.control.holding(node.now()))
+def check_lease(context, lease):
+    held = evaluate_first(context, lambda node: node.state.control.holding(node.now()))
     assert held == (lease == "holds"), held
 
 
-@then("before anything else a request with key-a is {fate}")
-def key_judged(context, fate):
-    def ask(node):
+@then("before anything else a request with key-a is {outcome}")
+def check_key(context, outcome):
+    def judge(node):
         table = node.state.table
         route = table.match("h.example", "/safe/x")
         now = node.now()
         return keys.judge(node.state, route, digest_of(b"key-a"), now, now)
 
-    verdict = ask_in_loop(context, ask)
-    assert verdict.status == (0 if fate == "let in" else 503), verdict
+    verdict = evaluate_first(context, judge)
+    assert verdict.status == (0 if outcome == "admitted" else 503), verdict
 
 
-@then("no module of the daemon but clock reads a clock of the system's for ages")
+@then("no module of the daemon but clock reads a system clock for ages")
 def one_clock(context):
     found = {
         path.name: len(READS.findall(path.read_text()))
@@ -82,24 +82,25 @@
     assert not wrong, wrong
 
 
-@when("a caller who waits {ms:d} ms is unanswered yet, and the box is suspended for {seconds:g} s")
+@when(
+    "a request with a deadline of {ms:d} ms is in flight,"
+    " and the box is suspended for {seconds:g} s"
+)
 def suspended_meanwhile(context, ms, seconds):
     stage = context.relay
 
     async def work():
         asked = asyncio.create_task(stage.ask(request("safe", deadline_ms=ms)))
         await asyncio.sleep(0.3)
-        begun = time.monotonic()
-        with later(seconds):
+        started = time.monotonic()
+        with suspended_for(seconds):
             answer = await asked
-        return answer, time.monotonic() - begun
+        return answer, time.monotonic() - started
 
     context.answer, context.took_s = context.loop.run(work())
 
 
-@then(
-    "the caller has a {status:d} within {seconds:g} s, and the log says that the node stood still"
-)
+@then("the caller gets a {status:d} within {seconds:g} s, and the suspension is logged")
 def ended_at_once(context, status, seconds):
     assert context.answer.status == status, context.answer.status
     assert context.took_s < seconds, context.took_s
--- a/features/steps/stand_still_steps.py
+++ b/features/steps/stand_still_steps.py
@@ -1,4 +1,4 @@
-"""A lease holder that stood still, and whatever comes first once it goes on."""
+"""A lease holder that was suspended, and the first event that it handles when it resumes."""
 
 from behave import given
 from behave import then
@@ -16,44 +16,46 @@
 from rookspring_core.leases import LeaseTerms
 
 
-def want(holder, adapter):
+def request_load(holder, adapter):
     holder.submit(ModelWanted(holder.now, "llm", "m", f"m/{adapter}", 2.0))
 
 
 @given("a lease holder over two runners, with {step}")
 def holder_with(context, step):
     context.holder = holder = HolderHarness(["m", "m"])
-    # As relay nodes hold it: for 4 s from a write's sending, a second less to act.
+    # Relay nodes' terms: the lease is valid for 4 s from when its write was sent, and the holder
+    # acts on it for 3 s.
     terms = LeaseTerms(RELAY_LEASE_TTL_S, RELAY_LEASE_RENEW_S, RELAY_LEASE_MARGIN_S, TURN_GAP_S)
     holder.state.control.lease.terms = terms
     holder.pass_time(8.0)
     holder.orders.clear()
     context.writes = []
-    # A write that was answered just now, so that what is left of the lease is known.
+    # Wait for a write of the lease that was answered just now, so that the time left is known.
     while not holder.state.control.holding(holder.now + 2.95):
         holder.pass_time(0.1)
     holder.renewed = context.writes.append
     if step == "an order without an answer":
         holder.answer = "none"
-        want(holder, "a9")
+        request_load(holder, "a9")
         assert len(holder.orders) == 1, holder.orders
         holder.answer = "taken"
-    elif step == "a lease's write without answer":
+    elif step == "an unanswered write of the lease":
         holder.submit(Ticked(holder.now + 0.04))
-    elif step == "a request that waits":
+    elif step == "a waiting request":
         holder.ask(model="m", adapter="m/a7")
     context.before = len(holder.orders)
 
 
 @when(
-    "it stands still for {seconds:g} s, its lease's writes get no answer, and {first} comes first"
+    "it is suspended for {seconds:g} s, its writes of the lease get no answer,"
+    " and {first} comes first"
 )
-def stands_still(context, seconds, first):
+def suspend(context, seconds, first):
     holder = context.holder
     sent_at = holder.now
     holder.now += seconds
-    if first == "a want":
-        want(holder, "a1")
+    if first == "a load request":
+        request_load(holder, "a1")
     elif first == "a runner's report":
         holder.submit(holder.report("e1", ["m"], token=(0, 0), own=True))
     elif first == "the order's answer":
@@ -68,11 +70,11 @@
         holder.submit(LeaseWritten(holder.now, sent_at, nonce, True, 9))
     else:
         holder.submit(Ticked(holder.now))
-    # What is asked for once it goes on is not ordered either, until a write is answered.
-    want(holder, "a2")
+    # Load requests after it resumes are not ordered either, until a write of the lease is answered.
+    request_load(holder, "a2")
     if seconds > 3.0:
         holder.pass_time(1.0)
-        want(holder, "a3")
+        request_load(holder, "a3")
 
 
 @then("it gives an order")
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -1,11 +1,11 @@
-"""A store that comes back from an older copy, beside nodes of a fleet on a virtual clock."""
+"""A store that is restored from an older copy, and nodes of a fleet on a virtual clock."""
 
 from behave import given
 from behave import register_type
 from behave import then
 from behave import when
-from copy_stories import Story
-from entry_copy_stories import EntryStory
+from copy_simulations import CopySimulation
+from entry_copy_simulations import EntrySimulation
 from holder_checks import check_holders
 from parse_type import TypeBuilder
 from relay_harness import RelayHarness
@@ -20,21 +20,21 @@
 from rookspring_fakes.fleet import FleetPlan
 from rookspring_fakes.fleet_store import NODES
 
-register_type(Taken=TypeBuilder.make_choice(["taken", "not taken"]))
+register_type(Accepted=TypeBuilder.make_choice(["accepted", "not accepted"]))
 
-# Until all know each other and one holds the lease, in seconds.
+# Time until all nodes know each other and one holds the lease, in seconds.
 SETTLED_S = 9.0
-# From one look at the nodes to the next.
+# Interval of the checks of the nodes, in seconds.
 STEP_S = 0.05
-# For how long it is watched after the return.
-AFTER_S = 14.0
-LEAVER = "e0"
-HAPPENS = {}
+# How long the nodes are checked after the restore, in seconds.
+CHECKED_S = 14.0
+LEAVING = "e0"
+DISTURBANCES = {}
 
 
-def happens(name):
+def disturbance(name):
     def register(function):
-        HAPPENS[name] = function
+        DISTURBANCES[name] = function
         return function
 
     return register
@@ -44,23 +44,23 @@
     return fleet.nodes[fleet.acts[-1].node]
 
 
-@happens("nothing happens")
+@disturbance("nothing happens")
 def _nothing(context):
     pass
 
 
-@happens("the holder is killed")
+@disturbance("the holder is killed")
 def _kill(context):
     context.fleet.kill(holder_of(context.fleet).name)
 
 
-@happens("the holder stops as planned")
+@disturbance("the holder stops as planned")
 def _stop(context):
     fleet = context.fleet
     holder_of(fleet).submit(DrainAsked(fleet.now))
 
 
-@happens("the holder is cut off from it")
+@disturbance("the holder is cut off from it")
 def _cut(context):
     context.fleet.cut_from_store.add(holder_of(context.fleet).name)
 
@@ -71,18 +71,18 @@
     fleet.at(fleet.now + seconds, lambda: fleet.thaw(name))
 
 
-@happens("the holder freezes for 2 s")
+@disturbance("the holder freezes for 2 s")
 def _freeze_short(context):
     freeze(context.fleet, 2.0)
 
 
-@happens("the holder freezes for 6 s")
+@disturbance("the holder freezes for 6 s")
 def _freeze_long(context):
     freeze(context.fleet, 6.0)
 
 
-@happens("all but the holder are turned away")
-def _turn_away(context):
+@disturbance("all but the holder are cut off")
+def _cut_others(context):
     fleet = context.fleet
     others = set(fleet.nodes) - {holder_of(fleet).name}
     fleet.cut_from_store |= others
@@ -93,13 +93,13 @@
     fleet.at(fleet.now + 3.0, heal)
 
 
-@happens("it comes back from the copy once more")
-def _again(context):
+@disturbance("it is restored from the copy again")
+def _restore_again(context):
     fleet = context.fleet
     fleet.at(fleet.now + 0.7, lambda: fleet.come_back(context.copy))
 
 
-@happens("all nodes are killed and start again")
+@disturbance("all nodes are killed and restart")
 def _restart(context):
     fleet = context.fleet
     for name in list(fleet.nodes):
@@ -112,7 +112,7 @@
     fleet.at(fleet.now + 1.0, start)
 
 
-@given("{nodes:d} nodes that contend for the lease, beside a store that was copied")
+@given("{nodes:d} nodes that contend for the lease, and a copy of the store")
 def contend(context, nodes):
     fleet = context.fleet = Fleet(FleetPlan(nodes, elects=True))
     fleet.run(SETTLED_S)
@@ -120,41 +120,43 @@
 
 
 @when(
-    "for {lost:g} s {meanwhile}, the store is away for {away:g} s"
-    " and comes back from the copy as {then}"
+    "for {lost:g} s {meanwhile}, the store is down for {down:g} s"
+    " and is restored from the copy as {then}"
 )
-def come_back(context, lost, meanwhile, away, then):
+def restore_store(context, lost, meanwhile, down, then):
     fleet = context.fleet
     with fleet.running():
-        HAPPENS[meanwhile](context)
+        DISTURBANCES[meanwhile](context)
     fleet.run(lost)
     fleet.store.away = True
-    fleet.run(away)
+    fleet.run(down)
     with fleet.running():
         fleet.come_back(context.copy)
-        HAPPENS[then](context)
-    context.back_at = fleet.now
-    fleet.run(AFTER_S)
+        DISTURBANCES[then](context)
+    context.restored_at = fleet.now
+    fleet.run(CHECKED_S)
 
 
-@then("no fence is used by two nodes, none falls, and orders of two nodes lie 3 s apart")
+@then(
+    "no two nodes use the same fencing token, none decreases, and orders of two nodes are 3 s apart"
+)
 def one_holder(context):
     check_holders(context.fleet.acts)
 
 
-@then("some node may give orders within {seconds:g} s of the return")
+@then("some node may give orders within {seconds:g} s of the restore")
 def held_again(context, seconds):
-    acts = [act.at for act in context.fleet.acts if act.at > context.back_at]
-    assert acts, "nobody gives orders any more"
-    assert acts[0] - context.back_at <= seconds, acts[0] - context.back_at
+    acts = [act.at for act in context.fleet.acts if act.at > context.restored_at]
+    assert acts, "no node gives orders after the restore"
+    assert acts[0] - context.restored_at <= seconds, acts[0] - context.restored_at
 
 
 def uses(node, endpoint):
     return not noticing.find_withheld(node.state, endpoint)
 
 
-def look(context, seconds, endpoints):
-    """Let time pass, and note which nodes use which endpoints meanwhile."""
+def record_uses(context, seconds, endpoints):
+    """Let time pass, and record when which nodes may use which endpoints."""
     fleet = context.fleet
     for _ in range(round(seconds / STEP_S)):
         fleet.run(STEP_S)
@@ -164,68 +166,72 @@
                     context.used.append((fleet.now, node.name, endpoint))
 
 
-@when("{lost:g} s later the store comes back, and an endpoint says {when} that it leaves")
-def says_leaving(context, lost, when):
+@when(
+    "the store is restored {lost:g} s later, and {when} that an endpoint announces that it leaves"
+)
+def announces_leaving(context, lost, when):
     fleet = context.fleet
     seconds, _, order = when.partition(" s ")
-    said_s = float(seconds) if order == "after" else -float(seconds)
-    # Its entry changes in the lost seconds, so that it is known by a revision that is lost.
-    fleet.at(fleet.now + lost / 2, lambda: fleet.write_entry(LEAVER, "live", "n", 1))
+    announced_s = float(seconds) if order == "after" else -float(seconds)
+    # Its entry changes after the copy, so nodes know it by a revision that the restore loses.
+    fleet.at(fleet.now + lost / 2, lambda: fleet.write_entry(LEAVING, "live", "n", 1))
     fleet.at(fleet.now + lost, lambda: fleet.come_back(context.copy))
-    context.said_at = fleet.now + lost + said_s
-    fleet.at(context.said_at, lambda: fleet.write_entry(LEAVER, "leaving", "n", 1))
+    context.announced_at = fleet.now + lost + announced_s
+    fleet.at(context.announced_at, lambda: fleet.write_entry(LEAVING, "leaving", "n", 1))
     context.used = []
-    fleet.run(max(0.0, lost + said_s))
-    look(context, AFTER_S, [LEAVER])
+    fleet.run(max(0.0, lost + announced_s))
+    record_uses(context, CHECKED_S, [LEAVING])
 
 
-@then("each node has withheld from it since {seconds:g} s after its word")
-def withheld_since(context, seconds):
-    late = [row for row in context.used if row[0] > context.said_at + seconds]
+@then("no node uses it later than {seconds:g} s after the announcement")
+def not_used_later(context, seconds):
+    late = [row for row in context.used if row[0] > context.announced_at + seconds]
     assert not late, (len(late), late[0], late[-1])
 
 
 @then("no node uses it again")
 def not_again(context):
-    assert not any(uses(node, LEAVER) for node in context.fleet.live())
+    assert not any(uses(node, LEAVING) for node in context.fleet.live())
 
 
 @when(
-    "an endpoint goes, another one comes, and {lost:g} s after the copy the store comes back,"
-    " away for {away:g} s"
+    "an endpoint is removed, another is added, and {lost:g} s after the copy the store is restored,"
+    " down for {down:g} s"
 )
-def went_and_came(context, lost, away):
+def removed_and_added(context, lost, down):
     fleet = context.fleet
     with fleet.running():
-        fleet.remove_entry(LEAVER)
+        fleet.remove_entry(LEAVING)
         fleet.write_entry("new", "live", "m", 1)
     fleet.run(lost)
-    assert all(uses(node, "new") and not uses(node, LEAVER) for node in fleet.live())
+    assert all(uses(node, "new") and not uses(node, LEAVING) for node in fleet.live())
     fleet.store.away = True
     context.used = []
-    fleet.at(fleet.now + away, lambda: fleet.come_back(context.copy))
-    context.back_at = fleet.now + away
-    look(context, away + AFTER_S, [LEAVER, "new"])
+    fleet.at(fleet.now + down, lambda: fleet.come_back(context.copy))
+    context.restored_at = fleet.now + down
+    record_uses(context, down + CHECKED_S, [LEAVING, "new"])
 
 
-@then("no node uses the one that went")
-def not_the_one_that_went(context):
-    again = [row for row in context.used if row[2] == LEAVER]
+@then("no node uses the removed endpoint")
+def removed_unused(context):
+    again = [row for row in context.used if row[2] == LEAVING]
     assert not again, (len(again), again[0], again[-1])
 
 
-@then("each node has used the one that came, but for {seconds:g} s after the return at most")
-def used_the_one_that_came(context, seconds):
-    looks = round(AFTER_S / STEP_S)
-    borne = round(seconds / STEP_S)
+@then("each node uses the added endpoint, except for {seconds:g} s after the restore at most")
+def added_used(context, seconds):
+    checks = round(CHECKED_S / STEP_S)
+    tolerated = round(seconds / STEP_S)
     for node in context.fleet.live():
         times = [at for at, name, one in context.used if (name, one) == (node.name, "new")]
-        assert len([at for at in times if at > context.back_at]) >= looks - borne, node.name
-        late = [at for at in times if at > context.back_at + seconds]
-        assert len(late) >= looks - borne - 1, node.name
+        assert len([at for at in times if at > context.restored_at]) >= checks - tolerated, (
+            node.name
+        )
+        late = [at for at in times if at > context.restored_at + seconds]
+        assert len(late) >= checks - tolerated - 1, node.name
 
 
-@when("a node starts, and {lost:g} s after the copy the store comes back")
+@when("a node starts, and {lost:g} s after the copy the store is restored")
 def node_starts(context, lost):
     fleet = context.fleet
     with fleet.running():
@@ -236,7 +242,7 @@
         fleet.come_back(context.copy)
 
 
-@then("the store lists it within {seconds:g} s of the return")
+@then("the store lists it within {seconds:g} s of the restore")
 def listed_again(context, seconds):
     context.fleet.run(seconds)
     assert context.node.name in {row.name for row in context.fleet.store.rows(NODES)}
@@ -244,45 +250,46 @@
 
 @given(
     "a node with version {version:d} of the configuration in force,"
-    " where the store came back from a copy"
+    " after the store was restored from a copy"
 )
 def node_in_era(context, version):
     context.node = RelayHarness()
     context.node.submit(RouteTableSeen(context.node.now, make_table(version)))
     context.node.submit(TableProved(context.node.now, context.node.now - 9.0, version))
-    context.back_at = context.node.now
+    context.restored_at = context.node.now
     context.node.submit(StoreEraBegan(context.node.now, 1))
 
 
-@when("version {version:d} is shown to have been the newest {seconds:g} s after the return")
+@when("version {version:d} is shown to have been the newest {seconds:g} s after the restore")
 def shown_newest(context, version, seconds):
     node = context.node
     node.now += 4.0
-    context.shown_at = context.back_at + seconds
+    context.shown_at = context.restored_at + seconds
     node.submit(TableProved(node.now, context.shown_at, version))
 
 
-@then("that is {taken:Taken} as a proof")
-def proof_taken(context, taken):
-    assert (context.node.state.freshness.at == context.shown_at) == (taken == "taken")
+@then("that is {accepted:Accepted} as a proof")
+def proof_accepted(context, accepted):
+    assert (context.node.state.freshness.at == context.shown_at) == (accepted == "accepted")
 
 
 @then(
-    "{count:d} drawn stories of {nodes:d} nodes whose store comes back from copies keep one holder"
+    "{count:d} random runs of {nodes:d} nodes whose store is restored from copies"
+    " have one holder at a time"
 )
-def drawn_stories(context, count, nodes):
+def random_runs(context, count, nodes):
     for seed in range(count):
-        story = Story(seed, nodes)
-        story.play()
+        simulation = CopySimulation(seed, nodes)
+        simulation.run()
         try:
-            check_holders(story.fleet.acts)
+            check_holders(simulation.fleet.acts)
         except AssertionError as error:
-            raise AssertionError(f"seed {seed}: {error}; {story.told}") from None
+            raise AssertionError(f"seed {seed}: {error}; {simulation.history}") from None
 
 
-@then("the stories from seed {first:d} to {last:d} use no endpoint that leaves, and all that live")
-def drawn_entry_stories(context, first, last):
+@then("the runs with seeds {first:d} to {last:d} use no leaving endpoint, and every live one")
+def random_entry_runs(context, first, last):
     for seed in range(first, last + 1):
-        story = EntryStory(seed)
-        story.play()
-        assert not story.faults, (seed, story.faults[0], story.told)
+        simulation = EntrySimulation(seed)
+        simulation.run()
+        assert not simulation.violations, (seed, simulation.violations[0], simulation.history)
--- a/features/steps/weight_store_steps.py
+++ b/features/steps/weight_store_steps.py
@@ -10,7 +10,7 @@
 
 WINDOW_S = 5.0
 LENGTH_S = 60.0
-# For so long nothing is loaded, before and between, so that as much is kept as may be.
+# Length of the pauses without loads, long enough to fill the token bucket.
 PAUSE_S = 8.0
 
 
@@ -20,42 +20,45 @@
 
 
 def take_all(rate, seed):
-    """Take what there is at each plan; say when each load began, and for how long some waited."""
-    drawn = random.Random(seed)
+    """Take every token at each plan; return when loads began, and how long some waited."""
+    generator = random.Random(seed)
     store = StoreBudget(defaults.STORE_BURST, defaults.RELAY_PLAN_INTERVAL_S)
     store.begin(0.0)
     now, waited_s, began = 0.0, 0.0, []
     pause_until = PAUSE_S
     while now < LENGTH_S:
-        passed = drawn.uniform(0.05, defaults.RELAY_PLAN_INTERVAL_S)
-        now += passed
+        step_s = generator.uniform(0.05, defaults.RELAY_PLAN_INTERVAL_S)
+        now += step_s
         store.refill(now, rate)
         if now < pause_until:
             continue
-        waited_s += passed
+        waited_s += step_s
         while store.take():
             began.append(now)
-        if drawn.random() < 0.01:
+        if generator.random() < 0.01:
             pause_until = now + PAUSE_S
     return began, waited_s
 
 
-@when("the lease holder takes all that it may, at moments drawn by {seeds:d} seeds, after pauses")
-def taken(context, seeds):
-    context.plays = [take_all(context.rate, seed) for seed in range(seeds)]
+@when(
+    "the lease holder starts as many loads as it may,"
+    " at times drawn with {seeds:d} seeds, with pauses"
+)
+def start_loads(context, seeds):
+    context.runs = [take_all(context.rate, seed) for seed in range(seeds)]
 
 
-@then("no {seconds:g} s see more than {times:g} times the rate and {more:d} loads beside")
-def within_ceiling(context, seconds, times, more):
+@then("no {seconds:g} s have more loads than {times:g} times the rate plus {more:d}")
+def within_limit(context, seconds, times, more):
     most = context.rate * seconds * times + more
-    for seed, (began, _) in enumerate(context.plays):
-        for first, moment in enumerate(began):
-            count = bisect.bisect_left(began, moment + seconds) - first
-            assert count <= most, (seed, moment, count, most)
+    for seed, (began, _) in enumerate(context.runs):
+        for first, start in enumerate(began):
+            count = bisect.bisect_left(began, start + seconds) - first
+            assert count <= most, (seed, start, count, most)
 
 
-@then("over all it takes at least {share:g} of the rate while loads wait")
-def used(context, share):
-    taken_in_all = sum(len(began) for began, _ in context.plays)
-    waited_s = sum(waited for _, waited in context.plays)
-    assert taken_in_all >= share * context.rate * waited_s, (taken_in_all, waited_s)
+@then("in total it uses at least {share:g} of the rate while loads wait")
+def rate_used(context, share):
+    loads = sum(len(began) for began, _ in context.runs)
+    waited_s = sum(waited for _, waited in context.runs)
+    assert loads >= share * context.rate * waited_s, (loads, waited_s)
--- a/features/weight_store.feature
+++ b/features/weight_store.feature
@@ -1,14 +1,14 @@
-Feature: Loads from the weight store stay within its ceiling at every rate
+Feature: Loads from the weight store stay within the platform's limit at every rate
 
-  # Guards against more loads from the weight store within five seconds than the platform allows where its
-  # rate is above six a second: what had not been used of a whole second's rate was kept for later, and spent
-  # on top of what five seconds bring.
+  # Guards against more loads from the weight store within five seconds than the platform allows, which
+  # happened at rates above six a second: the unused tokens of a whole second were kept, and spent in addition
+  # to those of the five seconds.
 
-  Scenario Outline: no five seconds see more loads than the ceiling
+  Scenario Outline: no window of five seconds has more loads than the limit
     Given a weight store of <rate> loads a second
-    When the lease holder takes all that it may, at moments drawn by 20 seeds, after pauses
-    Then no 5 s see more than 1.1 times the rate and 3 loads beside
-    And over all it takes at least <share> of the rate while loads wait
+    When the lease holder starts as many loads as it may, at times drawn with 20 seeds, with pauses
+    Then no 5 s have more loads than 1.1 times the rate plus 3
+    And in total it uses at least <share> of the rate while loads wait
 
     Examples:
       | rate | share |
--- a/packages/rookspring-core/src/rookspring_core/__init__.py
+++ b/packages/rookspring-core/src/rookspring_core/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of rookspring, without I/O, clock or randomness of their own."""
+"""Decision logic of rookspring: no I/O, no clock and no randomness of its own."""
 
 from . import admitting as admitting
 from . import cluster as cluster
--- a/packages/rookspring-core/src/rookspring_core/_control_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_control_events.py
@@ -1,4 +1,4 @@
-"""Events of the control jobs: the store, the lease, configuration, orders."""
+"""Events of the control plane: the store, the lease, the configuration and orders."""
 
 import typing as t
 
@@ -8,16 +8,16 @@
 
 
 class RouteTableSeen(t.NamedTuple):
-    """A route table from the platform or another node."""
+    """A route table was received from the platform or another node."""
 
     at: float
     table: RouteTable
 
 
 class StoreEraBegan(t.NamedTuple):
-    """The platform's store has come back from an older copy, or named its era first.
+    """The platform's store was restored from an older copy, or its era is known for the first time.
 
-    :param era: how often it has come back.
+    :param era: how often the store has been restored.
     """
 
     at: float
@@ -25,15 +25,15 @@
 
 
 class StoreRead(t.NamedTuple):
-    """The platform's store answered this node on the endpoints' list."""
+    """This node read the endpoint list from the platform's store."""
 
     at: float
 
 
 class TableProved(t.NamedTuple):
-    """A version of the configuration was the newest at a moment; see ``freshness.py``.
+    """A version of the configuration was proved the newest at some moment; see ``freshness.py``.
 
-    :param as_of: that moment, of this node's own clock.
+    :param as_of: that moment, by this node's own clock.
     """
 
     at: float
@@ -42,7 +42,10 @@
 
 
 class TightHeard(t.NamedTuple):
-    """Which organisations are near their limits, as another node knew at ``as_of``."""
+    """Another node sent the organisations that were near their limits.
+
+    :param as_of: when they were, by this node's own clock.
+    """
 
     at: float
     as_of: float
@@ -50,25 +53,28 @@
 
 
 class UseRecalled(t.NamedTuple):
-    """Which parts of their limits organisations had used when the lease was last written."""
+    """The use of the organisations' limits was read, as of the last write of the lease.
+
+    :param shares: organisations, each with the part of its limit that was used.
+    """
 
     at: float
     shares: tuple[tuple[str, float], ...]
 
 
 class PlatformAnswered(t.NamedTuple):
-    """The platform answered some call, or none did for a while."""
+    """A call to the platform was answered, or none has been for a while."""
 
     at: float
     reachable: bool
 
 
 class LeaseSeen(t.NamedTuple):
-    """The lease object of an era of the store as read; version 0 when it does not exist.
+    """The lease object of an era of the store was read; version 0 when it does not exist.
 
-    :param settled: its holder was giving orders already when it wrote this.
-    :param turn_in_s: where it was given up, how soon after that another may give orders;
-        None where nothing is told of it.
+    :param settled: the holder was already allowed to give orders when it wrote this.
+    :param turn_in_s: in a lease that was given up, how long after that another holder may give
+        orders, in seconds; None where the object has no such field.
     """
 
     at: float
@@ -82,7 +88,11 @@
 
 
 class LeaseWritten(t.NamedTuple):
-    """The answer to a lease write; ``asked_at`` is when it was sent."""
+    """A write of the lease was answered, or got no answer.
+
+    :param asked_at: when the write was sent.
+    :param won: None where no answer came.
+    """
 
     at: float
     asked_at: float
@@ -92,14 +102,14 @@
 
 
 class DesiredSeen(t.NamedTuple):
-    """All resources as operators wrote them, read by the lease holder."""
+    """The lease holder read all resources as operators wrote them."""
 
     at: float
     resources: tuple[Resource, ...]
 
 
 class RevisionSeen(t.NamedTuple):
-    """A published revision with all its entries, from the platform or a peer."""
+    """A published revision was received, with all its entries, from the platform or a peer."""
 
     at: float
     revision: int
@@ -108,7 +118,7 @@
 
 
 class HeadSeen(t.NamedTuple):
-    """The head object as the lease holder read it before it publishes."""
+    """The lease holder read the head object, before it publishes."""
 
     at: float
     version: int
@@ -116,7 +126,10 @@
 
 
 class Published(t.NamedTuple):
-    """The answer to a publication; ``won`` is None when it never came."""
+    """A publication was answered, or got no answer.
+
+    :param won: None where no answer came.
+    """
 
     at: float
     revision: int
@@ -125,7 +138,10 @@
 
 
 class OrderAnswered(t.NamedTuple):
-    """The answer to an order; ``accepted`` is None when it never came."""
+    """An order was answered, or got no answer.
+
+    :param accepted: None where no answer came.
+    """
 
     at: float
     endpoint: str
@@ -135,7 +151,10 @@
 
 
 class OrderDue(t.NamedTuple):
-    """The time that an adapter's order takes is over."""
+    """The time that an adapter's order is expected to take is over.
+
+    :param taken_before: how many orders the endpoint had taken before it.
+    """
 
     at: float
     endpoint: str
@@ -143,10 +162,10 @@
 
 
 class ModelWanted(t.NamedTuple):
-    """A node has a request for a model or adapter that is resident nowhere.
+    """A node has a request for a model or adapter that is resident on no endpoint.
 
-    :param back_s: how soon its caller will have come back at the latest, should it be refused
-        first.
+    :param latest_retry_s: when the caller will have retried at the latest if its request is
+        refused, in seconds from now.
     """
 
     at: float
@@ -157,7 +176,10 @@
 
 
 class IntentWritten(t.NamedTuple):
-    """The answer to an intent's write; ``won`` is None when it never came."""
+    """A write of an intent was answered, or got no answer.
+
+    :param won: None where no answer came.
+    """
 
     at: float
     endpoint: str
@@ -166,8 +188,9 @@
 
 
 class IntentsSeen(t.NamedTuple):
-    """Orders that holders before this one may have sent, by endpoint, as rows of
-    (action, model, version, GB).
+    """The orders that earlier lease holders may have sent were read.
+
+    :param intents: endpoints, each with rows of (action, model, version, GB).
     """
 
     at: float
--- a/packages/rookspring-core/src/rookspring_core/_endpoint_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_endpoint_events.py
@@ -1,4 +1,4 @@
-"""Events of endpoints: what they, the platform's list and other nodes tell of them."""
+"""Events about endpoints, from the endpoints, the platform's list and other nodes."""
 
 import typing as t
 
@@ -9,13 +9,15 @@
 
 
 class EndpointSaid(t.NamedTuple):
-    """What the head of an endpoint's answer says of the endpoint, whatever it answers.
-
-    :param endpoint: which was asked, at this address.
-    :param born: the start of its life as it was known when it was asked; 0 where it was not.
-    :param target: the model that was asked for, and the adapter; empty where it was none.
-    :param asked_at: when the request left that it answers; None where it answers none, or it
-        is not known which.
+    """The head of an endpoint's answer carried a notice about the endpoint itself.
+
+    :param endpoint: the endpoint that the request was sent to, at this address.
+    :param started_ms: start of the endpoint's process as known when the request was sent, as in
+        :class:`EndpointReported`.
+    :param target: the model of the request; empty where there was none.
+    :param adapter: the adapter of the request; empty where there was none.
+    :param asked_at: when the request was sent that this answers; None where it answers none, or
+        it is not known which.
     """
 
     at: float
@@ -29,9 +31,9 @@
 
 
 class RatesHeard(t.NamedTuple):
-    """What another node tells of how many requests a second endpoints take.
+    """Another node sent the request rates that endpoints accept.
 
-    :param source: the node that told it.
+    :param source: the node that sent them.
     """
 
     at: float
@@ -40,9 +42,9 @@
 
 
 class LeavingHeard(t.NamedTuple):
-    """What another node tells of endpoints that leave.
+    """Another node sent endpoints that are leaving.
 
-    :param source: the node that told it.
+    :param source: the node that sent them.
     """
 
     at: float
@@ -51,9 +53,9 @@
 
 
 class ShedHeard(t.NamedTuple):
-    """Another node tells that an endpoint turned a request away.
+    """An endpoint turned away a request of another node.
 
-    :param for_s: how long it is spared there, in seconds.
+    :param for_s: how long that node prefers other endpoints, in seconds.
     """
 
     at: float
@@ -62,9 +64,9 @@
 
 
 class EvidenceHeard(t.NamedTuple):
-    """What another node, or the platform's store, tells of requests under which endpoints ended.
+    """Evidence of requests during which endpoints crashed came from a node or the store.
 
-    :param source: the node that told it.
+    :param source: the node that sent it.
     """
 
     at: float
@@ -75,15 +77,16 @@
 class EndpointReported(t.NamedTuple):
     """A load report of one endpoint, from a poll or from a peer's digest.
 
-    :param running: requests that run there; ``LOAD_UNTOLD`` where it does not tell.
-    :param age_s: how old the figures were when they came.
-    :param own: the endpoint gave it itself, on being asked by this node.
-    :param in_memory: models that the endpoint keeps in its box's memory, beside those
-        that are resident; they load fastest.
-    :param on_disk: models that it keeps on its box's disk, also over a restart.
-    :param born: when the endpoint was started, by its box's clock in milliseconds; 0 where it
-        does not tell. It may start again under its name; see :mod:`lives`.
-    :param sure: this is the endpoint's last life, though it tells an earlier start.
+    :param age_s: age of the figures when they were received, in seconds.
+    :param running: requests that run there; ``LOAD_UNREPORTED`` where the report lacks it.
+    :param polled: the endpoint itself sent the report in answer to this node.
+    :param in_memory: models that are not resident but cached in its box's memory, from where they
+        load fastest.
+    :param on_disk: models that are cached on its box's disk; they survive a restart of the box.
+    :param started_ms: when the endpoint's process started, by its box's clock in milliseconds; 0
+        where it is not reported. It may restart under the same name; see :mod:`lives`.
+    :param start_confirmed: this is the endpoint's latest process although its start is earlier than
+        that of a process before it, as after a step back of the box's clock.
     """
 
     at: float
@@ -111,7 +114,7 @@
 
 
 class CacheEventsCame(t.NamedTuple):
-    """Prefixes that an endpoint says it holds, late and with gaps."""
+    """An endpoint sent prefixes that it has cached; these events may be late or lost."""
 
     at: float
     endpoint: str
@@ -128,8 +131,8 @@
 class BoxListed(t.NamedTuple):
     """One row of the platform's box list.
 
-    :param strength: how much a node can carry, as in :class:`PeerHeard`.
-    :param born: when an endpoint was started, as in :class:`EndpointReported`.
+    :param capacity: load that a node can carry, as in :class:`HeartbeatReceived`.
+    :param started_ms: when an endpoint's process started, as in :class:`EndpointReported`.
     """
 
     name: str
@@ -143,16 +146,17 @@
 
 
 class BoxListCame(t.NamedTuple):
-    """The platform's box list, a late hint."""
+    """The platform's box list was received; it may be out of date."""
 
     at: float
     boxes: tuple[BoxListed, ...]
 
 
 class PromptsHeard(t.NamedTuple):
-    """What a node says endpoints are still to read of its requests' prompts.
+    """A node sent how much of its requests' prompts endpoints have yet to read.
 
-    :param rows: endpoints, each with tokens.
+    :param name: the node.
+    :param rows: endpoints, each with its unread prompt tokens.
     """
 
     at: float
@@ -161,9 +165,9 @@
 
 
 class ComingHeard(t.NamedTuple):
-    """Another node has a model loaded at an endpoint.
+    """Another node has ordered a model's load at an endpoint.
 
-    :param in_s: how soon it is expected to be there, in seconds.
+    :param in_s: time until it is expected to be resident, in seconds.
     """
 
     at: float
@@ -173,7 +177,7 @@
 
 
 class DownHeard(t.NamedTuple):
-    """Another node has found that nothing listens at an endpoint."""
+    """Another node found that nothing listens at an endpoint's address."""
 
     at: float
     endpoint: str
--- a/packages/rookspring-core/src/rookspring_core/_node_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_node_events.py
@@ -1,28 +1,32 @@
-"""Events of this node and the others: time, heartbeats, links and the planned stop."""
+"""Events of this node and its peers: time, heartbeats, links and the planned stop."""
 
 import math
 import typing as t
 
 
 class Ticked(t.NamedTuple):
-    """Time went on; queues, leases, limits and plans look whether something is due."""
+    """Time passed; checks whether work is due in queues, leases, limits and plans."""
 
     at: float
 
 
 class PeerHeard(t.NamedTuple):
-    """A heartbeat of another node; what is None was left out.
-
-    :param prompts: tokens of its requests that endpoints are still to read.
-    :param up_s: how long it has run, in seconds.
-    :param strength: how much it can carry; 1 is a whole core and the link for it.
-    :param relay: it passes on what the nodes of its data centre tell.
-    :param relay_s: for how long, in seconds.
-    :param watches: it asks the platform's store itself.
-    :param follows: it takes the store's lists, and the others' work, from this node.
-    :param summed: its figures come within those of another node.
-    :param store_age_s: how old what it knows of the platform's store is, in seconds.
-    :param spent: what it has let in of organisations since it told last.
+    """A heartbeat of another node; fields that it left out are None.
+
+    :param caller_address: address at which callers reach it.
+    :param used: models and adapters that its requests use, each with its endpoint.
+    :param urgent_demand: the part of its demand that can't wait for a load, by model.
+    :param refused_demand: the part of its demand that was refused for lack of room, by model.
+    :param prompts: prompt tokens of its requests that endpoints have yet to read.
+    :param uptime_s: how long its process has run, in seconds.
+    :param capacity: load that it can carry; 1 is a whole core and the link for it.
+    :param relay: it forwards the messages of the nodes of its data centre.
+    :param relay_s: how long it has been a relay, in seconds.
+    :param watches: it reads the platform's store itself.
+    :param follows: it gets the store's lists, and the other nodes' load, from this node.
+    :param aggregated: its figures are included in those of another node.
+    :param store_age_s: age of what it knows of the platform's store, in seconds.
+    :param spent: units of organisations' allotments that it has let in since it last sent this.
     """
 
     at: float
@@ -54,11 +58,12 @@
 
 
 class MembersHeard(t.NamedTuple):
-    """What a linked node says of nodes that need not be linked to this one.
+    """A linked node sent what it knows of nodes that this one may have no link to.
 
-    :param source: the node that says so.
-    :param gone: nodes that it vouches for no more.
-    :param whole: these are all that it vouches for.
+    :param source: the node that sent it.
+    :param rows: nodes that are alive, as far as the source knows.
+    :param removed: nodes that it no longer vouches for.
+    :param complete: the rows are all that it vouches for.
     """
 
     at: float
@@ -69,21 +74,24 @@
 
 
 class PeerUnreached(t.NamedTuple):
-    """A node was dialled and no link came about."""
+    """An attempt to open a link to a node failed."""
 
     at: float
     name: str
 
 
 class PeerLost(t.NamedTuple):
-    """The stream to another node ended."""
+    """The link to another node closed."""
 
     at: float
     name: str
 
 
 class DrainAsked(t.NamedTuple):
-    """An operator or a signal asked this node to stop as planned."""
+    """An operator or a signal requested the planned stop of this node.
+
+    :param hurry: don't continue to serve until the addresses that callers have cached expire.
+    """
 
     at: float
     hurry: bool = False
--- a/packages/rookspring-core/src/rookspring_core/_request_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_request_events.py
@@ -4,12 +4,12 @@
 
 
 class RouteTerms(t.NamedTuple):
-    """What a route grants a request that is passed through as it is.
+    """What a route allows a request that is forwarded unchanged.
 
-    :param service: whose endpoints may serve it.
-    :param attempts: most endpoints that it may be sent to.
-    :param patience_s: longest wait for room before it is refused, in seconds.
-    :param objective_s: an answer within it is worth the most; 0 where none is known.
+    :param service: the service whose endpoints may serve it.
+    :param attempts: number of endpoints that it may be sent to.
+    :param max_wait_s: longest wait for room before it is refused, in seconds.
+    :param objective_s: latest answer that has full value, in seconds; 0 where none is known.
     """
 
     name: str
@@ -22,13 +22,13 @@
 
 
 class RequestArrived(t.NamedTuple):
-    """A caller's request was read and its team established.
+    """A caller's request was read and authenticated.
 
     :param team: the product's team, or the organisation that holds a relayed request's
         key; empty where it needs none.
     :param key: digest of the caller's key; empty where it needs none.
-    :param told_tokens: of the prompt and the most of the answer, as the caller tells them.
-    :param fingerprint: the same for each time that this request comes; see :mod:`fingerprints`.
+    :param declared_tokens: prompt tokens plus the answer's maximum, as the caller declared them.
+    :param fingerprint: identical each time that the same request is sent; see :mod:`fingerprints`.
     """
 
     at: float
@@ -53,10 +53,11 @@
 
 
 class ResumeAsked(t.NamedTuple):
-    """A caller came back for a stream that runs at an endpoint already.
+    """A caller reconnected to a stream that already runs at an endpoint.
 
-    :param endpoint: where its resume token says that it runs.
-    :param continuable: the caller gave the text so far, so another endpoint may go on.
+    :param endpoint: the endpoint named by the caller's resume token.
+    :param offset: tokens that the caller has received.
+    :param continuable: the caller sent the text so far, so that another endpoint may continue it.
     """
 
     at: float
@@ -79,7 +80,7 @@
 
 
 class AttemptProgressed(t.NamedTuple):
-    """Tokens of an attempt were passed on to the caller, batched."""
+    """Tokens of an attempt were passed on to the caller, in batches."""
 
     at: float
     request_id: str
@@ -88,7 +89,7 @@
 
 
 class AttemptSucceeded(t.NamedTuple):
-    """The endpoint's whole answer was passed on."""
+    """The endpoint's whole answer was passed on to the caller."""
 
     at: float
     request_id: str
@@ -98,13 +99,13 @@
 
 
 class AttemptFailed(t.NamedTuple):
-    """An attempt ended without a whole answer.
+    """An attempt ended before the endpoint's answer was complete.
 
     :param sent: a byte of the request may have reached the endpoint.
-    :param said_not_run: the endpoint's own protocol said that it did not run.
+    :param reported_not_run: the endpoint reported in its protocol that it did not run the request.
     :param down: nothing listens at the endpoint's address any more.
-    :param broken: the endpoint ended the connection before its answer was whole.
-    :param withheld: nothing was sent, since the endpoint was found to want nothing.
+    :param broken: the endpoint closed the connection before its answer was complete.
+    :param withheld: nothing was sent, since the endpoint accepts no requests at present.
     """
 
     at: float
@@ -119,16 +120,16 @@
 
 
 class CallerLeft(t.NamedTuple):
-    """The caller's connection ended before its answer did."""
+    """The caller closed its connection before the answer was complete."""
 
     at: float
     request_id: str
 
 
 class AllotmentAnswered(t.NamedTuple):
-    """An organisation's owner has decided on a request.
+    """An organisation's owner decided on a request.
 
-    :param after_s: 0 where it is granted, else when there may be room, in seconds.
+    :param after_s: 0 where it is granted, else the time until there may be room, in seconds.
     """
 
     at: float
@@ -139,13 +140,14 @@
 
 
 class SlotAnswered(t.NamedTuple):
-    """The owner of a plain service, or of an endpoint, has answered a request that needs a slot.
-
-    :param endpoint: where it has one; empty where it waits or is refused.
-    :param after_s: when to come back where it is refused, in seconds; else 0.
-    :param rated: the slot counts towards the requests a second that the endpoint takes.
-    :param stay_s: how long this node is to use other endpoints, if there are any, in seconds.
-    :param blind: it is refused as its owner knows no endpoint that takes work.
+    """The owner of a slot queue answered a request for a slot.
+
+    :param queue: key of the queue, of a plain service or of an endpoint.
+    :param endpoint: the endpoint of the granted slot; empty where the request waits or is refused.
+    :param after_s: when to retry if it is refused, in seconds; else 0.
+    :param counts_towards_rate: the slot is a permit of the endpoint's request rate as well.
+    :param avoid_s: how long this node is to prefer other endpoints, in seconds.
+    :param no_known_endpoint: refused since the owner knows no endpoint that accepts requests.
     """
 
     at: float
@@ -159,7 +161,7 @@
 
 
 class SessionOpened(t.NamedTuple):
-    """A caller asked for a session; the daemon made its identifier."""
+    """A caller requested a session; the daemon generated its identifier."""
 
     at: float
     session: str
--- a/packages/rookspring-core/src/rookspring_core/_validation.py
+++ b/packages/rookspring-core/src/rookspring_core/_validation.py
@@ -1,6 +1,7 @@
-"""Validation of specs by their annotations, apart since its library is slow to load.
+"""Validation of specs by their annotations.
 
-Only :mod:`resources` uses this, when a document is checked.
+It is a module of its own, used by :mod:`resources` alone, so that pydantic, which is slow to
+import, is only loaded when a document is checked.
 """
 
 import typing as t
@@ -15,7 +16,7 @@
 
 
 def validate(cls: type[t.Any], spec: dict[str, t.Any]) -> t.Any:
-    """Turn a mapping into a spec of the class.
+    """Convert a mapping to a spec of the class.
 
     :raises ResourceInvalid: with every faulty field named.
     """
@@ -26,7 +27,7 @@
 
 
 def _adapter(cls: type[t.Any]) -> TypeAdapter[t.Any]:
-    """Give the adapter of a class, made when it is first asked for."""
+    """Return the type adapter of a class, created on first use."""
     if cls not in _ADAPTERS:
         _ADAPTERS[cls] = TypeAdapter(cls, config=ConfigDict(strict=False))
     return _ADAPTERS[cls]
--- a/packages/rookspring-core/src/rookspring_core/acceptance.py
+++ b/packages/rookspring-core/src/rookspring_core/acceptance.py
@@ -1,8 +1,8 @@
-"""Acceptance of what operators declare, one resource after another.
+"""Acceptance of the resources that operators declare, one after another.
 
-The lease holder folds desired resources into the accepted set in the order of
-their platform versions. A resource that cannot be accepted leaves its last
-accepted form in force and carries the reason.
+The lease holder applies desired resources to the accepted set in the order of their platform
+versions. If a resource is rejected, its last accepted version stays in force, and the entry
+records the reason.
 """
 
 import heapq
@@ -19,14 +19,14 @@
 
 
 class Room(t.NamedTuple):
-    """Memory of one runner for the fits check, in gigabytes."""
+    """Memory of one runner that weights may use, in gigabytes, for the check whether models fit."""
 
     engine: str
     usable_gb: float
 
 
 def rooms_of(ledgers: t.Iterable[Ledger], engines: t.Mapping[str, str]) -> tuple[Room, ...]:
-    """Give the memory that weights may take on each known runner."""
+    """Return the memory that weights may use on each known runner."""
     return tuple(
         Room(engines.get(one.endpoint, ""), one.capacity_gb - one.reserve_gb)
         for one in ledgers
@@ -35,7 +35,7 @@
 
 
 def fits(models: t.Iterable[t.Mapping[str, t.Any]], rooms: t.Iterable[Room]) -> bool:
-    """Say whether each model can be resident once, the largest placed first.
+    """Return whether each model can be resident once, with the largest placed first.
 
     :param models: specs with ``engine`` and ``memory_gb``.
     """
@@ -56,7 +56,7 @@
 def accept(
     desired: t.Iterable[Resource], accepted: Entries, rooms: tuple[Room, ...]
 ) -> dict[str, Entry]:
-    """Fold the desired resources into the accepted entries.
+    """Apply the desired resources to the accepted entries.
 
     :param desired: all resources as operators wrote them.
     :param accepted: entries of the revision in force.
@@ -80,12 +80,12 @@
 def _is_current(known: Entry, resource: Resource) -> bool:
     if known.resource is not None and known.resource.version == resource.version:
         return True
-    # A refusal for want of room is judged again, since room may have come.
+    # A rejection for lack of memory is checked again, since there may be more of it now.
     return known.rejected_version == resource.version and "fit" not in known.reason
 
 
 def judge(resource: Resource, entries: Entries, rooms: tuple[Room, ...]) -> str:
-    """Say why a resource cannot be accepted, or nothing if it can."""
+    """Return why a resource is rejected, or an empty string if it is accepted."""
     document = {"kind": resource.kind, "name": resource.name, "spec": resource.spec}
     try:
         check_resource(document)
@@ -96,18 +96,18 @@
         if _accepted(entries, "Model", model) is None:
             return f"spec.model: {model!r} is not an accepted model"
     if resource.kind == "Model":
-        return _judge_room(resource, entries, rooms)
+        return _check_memory(resource, entries, rooms)
     return ""
 
 
-def _judge_room(resource: Resource, entries: Entries, rooms: tuple[Room, ...]) -> str:
+def _check_memory(resource: Resource, entries: Entries, rooms: tuple[Room, ...]) -> str:
     specs = [
         entry.resource.spec
         for entry in entries.values()
         if entry.resource is not None and entry.resource.kind == "Model"
     ]
-    # During a change of version the old and the new one are resident at once,
-    # so the new one comes on top and the old one's place is not counted as free.
+    # While a model changes its version, the old and the new one are resident at the same time, so
+    # the memory of the old one does not count as free.
     if fits([*specs, resource.spec], rooms):
         return ""
     need = resource.spec["memory_gb"]
@@ -132,7 +132,7 @@
 
 
 def shard_of(key: str, count: int = defaults.SHARD_COUNT) -> int:
-    """Give the shard in which a resource is published."""
+    """Return the shard in which a resource is published."""
     from .routing import mix
 
     return mix("shard", key) % count
--- a/packages/rookspring-core/src/rookspring_core/catalogue.py
+++ b/packages/rookspring-core/src/rookspring_core/catalogue.py
@@ -1,7 +1,7 @@
 """The accepted configuration that is in force on a node.
 
-A catalogue is immutable and carries its revision. A node replaces its own only
-by one of a higher revision, so that what was accepted never reverts.
+A catalogue is immutable and has a revision. A node only replaces it by one with a higher
+revision, so an accepted change is never reverted.
 """
 
 import typing as t
@@ -16,7 +16,13 @@
 
 
 class Catalogue(t.NamedTuple):
-    """Accepted specs by kind and name."""
+    """Accepted specs, by kind and name.
+
+    :param team_by_digest: the team of each digest of a caller's key.
+    :param accepted: the accepted version, by resource key.
+    :param rejected: the rejected version and the reason, by resource key.
+    :param parsed: the version and the parsed spec, by resource key.
+    """
 
     revision: int = 0
     models: t.Mapping[str, ModelSpec] = {}
@@ -31,7 +37,7 @@
 
 
 class Entry(t.NamedTuple):
-    """One published resource: the accepted version, or why a newer one was not taken."""
+    """A published resource: its accepted version, and why a newer one was rejected."""
 
     resource: Resource | None
     rejected_version: int = 0
@@ -43,11 +49,11 @@
     entries: t.Mapping[str, Entry],
     before: Catalogue | None = None,
 ) -> Catalogue:
-    """Index published entries for the request path.
+    """Index published entries for lookups by requests.
 
-    :param revision: the revision of the head they belong to.
+    :param revision: the revision of the head that the entries belong to.
     :param entries: by resource key.
-    :param before: the catalogue in force; what did not change is not parsed again.
+    :param before: the catalogue in force; unchanged entries are not parsed again.
     """
     known = before.parsed if before else {}
     parsed: dict[str, tuple[int, t.Any]] = {}
@@ -62,11 +68,11 @@
         resource = entry.resource
         if resource is None:
             continue
-        at_hand = known.get(key)
-        if at_hand is None or at_hand[0] != resource.version:
-            at_hand = (resource.version, parse_spec(resource.kind, resource.spec))
-        parsed[key] = at_hand
-        specs[resource.kind][resource.name] = at_hand[1]
+        cached = known.get(key)
+        if cached is None or cached[0] != resource.version:
+            cached = (resource.version, parse_spec(resource.kind, resource.spec))
+        parsed[key] = cached
+        specs[resource.kind][resource.name] = cached[1]
         accepted[key] = resource.version
     digests = {digest: name for name, team in specs["Team"].items() for digest in team.key_sha256}
     policies = specs["Policy"]
--- a/packages/rookspring-core/src/rookspring_core/control.py
+++ b/packages/rookspring-core/src/rookspring_core/control.py
@@ -1,4 +1,4 @@
-"""State of the control jobs, held by every node and used by the lease holder."""
+"""State of the control plane; every node has it, the lease holder acts on it."""
 
 import typing as t
 
@@ -15,7 +15,7 @@
 
 
 class Publication:
-    """Where the holder stands between operators' wishes and the published head."""
+    """The holder's progress from declared resources to the published head."""
 
     def __init__(self) -> None:
         self.desired: tuple[Resource, ...] | None = None
@@ -28,11 +28,11 @@
 
 
 class StoreBudget:
-    """The weight store's rate, as the holder may use it.
+    """Token bucket for loads from the weight store.
 
-    :param burst: loads that may begin at once, at least.
-    :param kept_s: what comes in during so many seconds is kept, for the next plan; no more, since
-        whatever is kept may be spent beside what a window of time brings by itself.
+    :param burst: loads that may start at once, at least.
+    :param accrual_s: tokens of at most this many seconds accumulate for the next plan. More would
+        break the limit, since a window of time may spend what had accumulated before it as well.
     """
 
     def __init__(self, burst: float = 2.0, kept_s: float = defaults.PLAN_INTERVAL_S) -> None:
@@ -42,22 +42,22 @@
         self.at: float | None = None
 
     def begin(self, now: float) -> None:
-        """Begin with nothing, since a holder before may have used the burst."""
+        """Start with an empty bucket, since an earlier holder may have used the burst."""
         self.level = 0.0
         self.at = now
 
     def refill(self, now: float, rate: float) -> None:
-        """Earn loads at the store's rate, up to what is kept.
+        """Add the tokens for the time since the last refill, up to the bucket's size.
 
         :param rate: loads a second.
         """
         if self.at is not None:
-            most = max(self.burst, rate * self.kept_s)
-            self.level = min(most, self.level + (now - self.at) * rate)
+            size = max(self.burst, rate * self.kept_s)
+            self.level = min(size, self.level + (now - self.at) * rate)
         self.at = now
 
     def take(self) -> bool:
-        """Spend one load, if there is one."""
+        """Take a token for one load, if there is one."""
         if self.level < 1.0:
             return False
         self.level -= 1.0
@@ -65,7 +65,7 @@
 
 
 class ControlState:
-    """Lease, publication, ledgers and plans of one node."""
+    """Lease, publication, memory ledgers and plans of one node."""
 
     def __init__(self) -> None:
         self.lease = Lease()
@@ -75,12 +75,11 @@
         self.meter = DemandMeter()
         self.forecast = Forecast()
         self.peer_demand: dict[str, dict[str, float]] = {}
-        # Of the demand, what cannot wait for its model to be loaded.
+        # The part of the demand that can't wait for its model to be loaded.
         self.urgent = DemandStream()
-        # Of the demand, what was refused for want of room where its model stands.
+        # The part of the demand that was refused for lack of room although its model is resident.
         self.missed = DemandStream()
-        # Adapters and models that other nodes' requests use, each with its endpoint, by
-        # node.
+        # Adapters and models that requests of other nodes use, each with its endpoint, by node.
         self.peer_used: dict[str, tuple[tuple[str, str], ...]] = {}
         self.store = StoreBudget()
         self.acquired_at = -1e9
@@ -94,19 +93,19 @@
         self.placement_override = ""
 
     def hear(self, event: PeerHeard) -> None:
-        """Take what another node tells of its demand and of what its requests use."""
+        """Store another node's demand, and what its requests use, from its heartbeat."""
         self.peer_demand[event.name] = dict(event.demand)
         self.peer_used[event.name] = event.used
         self.urgent.hear(event.name, event.urgent)
         self.missed.hear(event.name, event.missed)
 
     def forget(self, name: str) -> None:
-        """Drop what a node that is gone has told."""
+        """Drop the data of a node that is gone."""
         self.peer_demand.pop(name, None)
         self.peer_used.pop(name, None)
         self.urgent.forget(name)
         self.missed.forget(name)
 
     def holding(self, now: float) -> bool:
-        """Say whether this node may act as the lease holder: in time, and begun."""
+        """Return whether this node may act as the holder: its lease is valid and it has begun."""
         return self.lease.holding(now) and self.acting_epoch == self.lease.own_epoch
--- a/packages/rookspring-core/src/rookspring_core/defaults.py
+++ b/packages/rookspring-core/src/rookspring_core/defaults.py
@@ -1,53 +1,55 @@
-"""Constants of the decisions, named once, with units in the name.
+"""Constants of the decisions, with the unit as a suffix of the name.
 
-A reason stands beside a value where a reader would wonder.
+A comment gives the reason for a value that is not obvious.
 """
 
-# Answers of ``/v1/addresses`` may be kept this long by a caller.
+# Callers may cache answers of ``/v1/addresses`` for this long.
 ADDRESS_TTL_S = 5.0
-# A leaving node goes on serving this much longer than its last answer lives.
+# A leaving node continues to serve for this long after the last answer with its address has
+# expired.
 DRAIN_MARGIN_S = 1.0
 
-# Renewal leaves four tries within one lease life.
+# The renewal interval leaves four attempts within one lease period.
 LEASE_TTL_S = 8.0
 LEASE_RENEW_S = 2.0
-# A holder stops acting this long before its lease can lapse at an observer.
+# A holder stops acting this long before another node may see its lease expire.
 LEASE_MARGIN_S = 2.0
 
 HEARTBEAT_S = 1.0
 PEER_DEAD_S = 4.0
-# Silent nodes are looked for this often.
+# Interval of the search for nodes whose heartbeats have stopped.
 EXPIRE_EVERY_S = 0.5
-# A node that reaches neither platform nor peers takes no new work after this.
+# A node that reaches neither the platform nor a peer refuses new work after this.
 ISOLATION_GRACE_S = 10.0
-# Past this many nodes in a data centre heartbeats go through relays.
+# In a data centre with more nodes than this, heartbeats go through relays.
 MESH_LIMIT = 24
 RELAYS_PER_DATA_CENTRE = 2
 
-# Older reports say nothing of other nodes' work any more.
+# Reports older than this are no longer used to estimate the load from other nodes.
 REPORT_STALE_S = 20.0
-# Stands in a report for the requests that run where it does not tell them.
+# Value of a report's ``running`` when the endpoint does not report its load.
 LOAD_UNTOLD = -1
-# Slots to assume of an endpoint that has not reported yet.
+# Slots assumed for an endpoint that has not reported yet.
 SLOTS_UNKNOWN = 8
 ENDED_MAX = 4096
 
-# Changes are folded into one publication for this long.
+# Changes within this time are combined into one publication.
 PUBLISH_BATCH_S = 0.25
 SHARD_COUNT = 16
 
-# An order that was sent may still arrive this much later.
+# An order may still arrive this long after it was sent.
 LATE_ORDER_BOUND_S = 30.0
 ORDER_RESEND_S = 2.0
-# Part of each endpoint's memory that is never promised to weights.
+# Share of each endpoint's memory that is never allocated to weights.
 MEMORY_RESERVE_SHARE = 0.1
 
 PLAN_INTERVAL_S = 1.0
-# Runners planned for in a second at most: a few hundredths of a core.
+# The plan interval grows with the number of runners so that at most this many are planned for in a
+# second, which takes a few hundredths of a core.
 PLANNED_PER_S = 100.0
 DEMAND_RISE_TAU_S = 2.0
-# Much longer, and the demand of a burst that is over holds the runners that the next one
-# needs; see docs/design/placement.md.
+# With a much longer time constant, the demand of a burst that has ended holds the runners that the
+# next burst needs; see docs/design/placement.md.
 DEMAND_FALL_TAU_S = 10.0
 DEMAND_METER_S = 2.0
 PAY_BACK_S = 60.0
@@ -56,21 +58,22 @@
 AFFINITY_BONUS_S = 0.25
 ADAPTER_MISS_S = 0.15
 REMOTE_COST_S = 0.002
-# A hot prefix is followed only while its endpoint is at most this much busier.
+# An endpoint with a cached hot prefix is preferred only while its load is at most this many times
+# the average.
 AFFINITY_LOAD_BOUND = 1.25
 CACHE_HINT_LIFE_S = 60.0
 CACHE_HINTS_MAX = 4096
 EJECT_AFTER_FAILURES = 3
 EJECT_S = 5.0
-# A runner that owes an answer and has said nothing for so long gets no more: engines
-# make a step in some 10 ms, and callers bear pauses of 300 ms in a stream.
+# A runner with a request in flight that has sent nothing for this long gets no more requests:
+# engines make a step in some 10 ms, and callers tolerate pauses of 300 ms in a stream.
 SILENT_S = 0.8
-# One that takes no connection is left alone for so long, at once.
+# An endpoint that accepts no connection is ejected at once, for this long.
 UNREACHED_EJECT_S = 1.0
 
 QUEUE_MAX = 2048
 TICK_S = 0.1
-# How far ahead a weight moves a request in the deadline order, in seconds.
+# How far ahead each priority moves a request in the deadline order, in seconds.
 PRIORITY_HEADSTART_S = {"ledger": 60.0, "ranked": 30.0, "normal": 10.0, "casual": 0.0}
 PRIORITY_RANK = {"casual": 0, "normal": 1, "ranked": 2, "ledger": 3}
 DEADLINE_MAX_S = 600.0
@@ -81,8 +84,8 @@
 RETRY_BURST = 10.0
 RETRY_BACKOFF_S = 0.05
 ATTEMPTS_MAX = 4
-# Continuations of a cut stream in a row that bring no token. With the back-off they
-# outlast a runner's restart.
+# Consecutive attempts to continue a cut stream that deliver no token. With the back-off this many
+# outlast a restart of a runner.
 BARREN_ATTEMPTS_MAX = 7
 
 SESSION_IDLE_S = 3600.0
@@ -94,375 +97,396 @@
 
 DECISIONS_MAX = 2000
 
-# Accelerator-seconds that one load or unload is taken to cost at weight 1.
+# Accelerator-seconds that one load or unload costs at a move weight of 1.
 MOVE_COST_S = 1.0
-# Reports that a new holder waits for before it judges what fits, in seconds.
+# How long a new holder waits for reports before it decides what fits, in seconds.
 SURVEY_S = 3.0
-# A replica is unloaded only while another was reported resident this recently.
+# A replica is unloaded only if another one was reported resident within this time.
 CONFIRMED_S = 2.5
-# An endpoint that answers no poll for so long counts as gone.
+# An endpoint that has answered no poll for this long counts as gone.
 ENDPOINT_GONE_S = 6.0
 
-# Routed requests. One is refused, with a time to come back, once it has waited this
-# part of its objective for room: later refusals are worth less to callers.
+# Routed requests. A request that has waited for room for this share of its objective is refused,
+# with a time to retry: the later a refusal comes, the less it is worth to the caller.
 PATIENCE_SHARE = 0.25
-# Where a try broke before a byte left, another endpoint is asked, this often at most.
+# Attempts that failed before a byte was sent are repeated at another endpoint, up to this many in
+# all.
 UNSENT_TRIES_MAX = 4
-# A second of order in the queue for each rank: a request of a lower one waits behind
-# those that came within so long after it.
+# Head start in the queue for each rank: a request precedes requests of the next lower rank that
+# arrived up to this long before it.
 RANK_HEADSTART_S = 2.0
-# Callers are told to come back after this long where something is ready in a moment
-# (an adapter, another node), and between these where there was no room, as a burst
-# takes two to four seconds.
+# Retry-After, in seconds, where something is about to be ready (an adapter, another node). Where
+# there was no room it is spread over the range ``RETRY_AFTER_NO_ROOM_S``, since a burst lasts two
+# to four seconds.
 COME_BACK_S = 0.4
-# When one whose endpoint failed may come back.
+# Retry-After for a request whose endpoint failed.
 FAILED_BACK_S = 0.5
 COME_BACK_ROOM_S = (1.0, 3.0)
-# Where the model is yet to be loaded they are told when it can be there, at most the
-# one, and spread over the other: whoever comes back before comes in vain, and most come once.
+# Retry-After where the model has yet to be loaded: the time until it is expected to be resident,
+# capped at ``RETRY_AFTER_ABSENT_MAX_S``, plus a spread of up to ``RETRY_AFTER_SPREAD_S``. A retry
+# before the model is resident is refused again, and most callers retry only once.
 COME_BACK_ABSENT_MAX_S = 8.0
 COME_BACK_SPREAD_S = 1.0
-# Part of the longest time that callers heed over which they are spread where it is too short.
+# Where Retry-After has to be cut to the longest that callers honour, retries are spread over this
+# share of it.
 COME_BACK_APART = 0.25
-# A model that was loaded for callers is kept until they have come back, for so long at most; else
-# it gives way before, and has come for nobody.
+# A model that was loaded for waiting callers is protected from eviction until they have retried,
+# for at most this long. Without that it may be evicted before any of them has used it.
 MODEL_KEPT_S = 4.0
-# From a request for a model that is on no endpoint to its load: the want reaches the
-# holder, a plan is made, what gives way is unloaded, a report tells the end.
+# Time from a request for a model that is not resident until its load starts: the load request
+# reaches the holder, a plan is made, replicas are unloaded to make room, and a report confirms it.
 SWAP_S = 1.0
-# A request waits for its model if it can be there within this part of its objective;
-# the rest is for reading the prompt. It waits somewhat longer than predicted.
+# A request waits for its model if that is expected to be resident within this share of the
+# request's objective; the rest is for reading the prompt. The wait is longer than the prediction by
+# ``READY_MARGIN``.
 READY_SHARE = 0.8
 READY_MARGIN = 1.3
-# Callers heed a time to come back up to this part of the time that they have left.
+# Callers honour a Retry-After of up to this share of the time left until their deadline.
 COME_BACK_SHARE = 1.0 / 3.0
-# How long after the expected end of a load callers may count on it: the report that shows
-# the end is read and told, and loads take longer while many run. Whoever comes back too early is
-# refused twice.
+# How long after the expected end of a load the model is assumed to be usable: the report that shows
+# the end has to be read and distributed, and loads take longer while many run. A caller that
+# retries too early is refused twice.
 COMING_TOLD_S = 1.0
-# A load that is overdue for longer is not waited for.
+# Requests no longer wait for a load that is overdue by more than this.
 COMING_LATE_S = 2.0
-# Weights of the even-load policy, in parts of a full endpoint.
+# Weights in the even-load policy, as shares of the load of a full endpoint.
 REMOTE_LOAD = 0.02
 PREFIX_LOAD_BONUS = 0.06
 
-# A caller is given the addresses of its own data centre alone where there are this
-# many, so that it has another one if one fails.
+# A caller is given only addresses in its own data centre if there are at least this many, so that
+# it has a second one if the first fails.
 NEAR_ADDRESSES_MIN = 2
-# Callers take no more than this many.
+# Callers accept at most this many addresses.
 ADDRESSES_MAX = 64
 
-# Orders of two holders must lie further apart than this, in seconds: the platform's
-# lease-ms is 3,000, and a little more covers clocks and the way there. A box is one
-# holder, so one that was restarted goes on with its lease without a gap.
+# Minimum interval between orders of two different holders, in seconds: the platform's lease-ms is
+# 3,000, and the rest allows for clock differences and transit. The holder is a box, so a box whose
+# process restarted continues with its lease without a gap.
 TURN_GAP_S = 3.3
-# A runner's report is read again this often while it is not known, or an order runs.
+# Interval of reading a runner's report while its state is unknown or an order is running.
 SURVEY_READ_S = 1.0
-# An order without an answer may be carried out up to 12 s later (the users' kinds of
-# trouble), so what it would load counts as held until then.
+# An order without an answer may be carried out up to 12 s later (one of the faults that the users
+# describe), so the memory that it would take counts as allocated until then.
 LATE_ORDER_S = 12.5
-# An order without an answer is sent so often in all before its endpoint is looked at.
+# An order without an answer is sent at most this many times before the endpoint's report is read.
 ORDER_SENDS_MAX = 3
-# Once an order for a model is expected to be over, its runner's report is first read so
-# much later, since reports lag behind what they tell; by this step more each time that
-# one was too early, up to the most.
+# When an order for a model is expected to be over, the runner's report is first read after this
+# delay, since reports lag behind the runner's state. Each read that was too early adds
+# ``ORDER_CHECK_STEP_S`` to the delay, up to ``ORDER_CHECK_MAX_S``.
 ORDER_LOOK_S = 0.15
 ORDER_LOOK_STEP_S = 0.05
 ORDER_LOOK_MAX_S = 0.6
-# An endpoint that tells an earlier start than is known is asked again after so long.
+# An endpoint that reports an earlier start than is known is asked again after this.
 LIFE_LOOK_S = 0.5
-# A want that was not served is forgotten; its request has long been refused.
+# A load request expires after this long; the request behind it has been refused by then.
 WANT_LIFE_S = 1.0
-# For so long after an adapter was attached, in seconds, requests for it have the first call on
-# room there: its callers are told to come back within that time. So many of the slots at most are
-# kept for all that came, and so many of the prompt tokens that may be unread.
+# For this many seconds after an adapter was attached, room at its endpoint is reserved for requests
+# that use it, since its callers were told to retry within that time. At most this share of the
+# slots, and this many of the prompt tokens that may be unread, are reserved for all adapters that
+# were attached recently.
 FIRST_CALL_S = 3.0
 FIRST_CALL_SHARE = 0.125
 FIRST_CALL_TOKENS = 1_024
-# How long callers of an adapter that is attached nowhere are told to stay away: what this part
-# of the waits seen stay below, learnt in steps of this part of itself, up to this many seconds.
+# Retry-After for requests whose adapter is attached nowhere: an estimate of the wait that this
+# share of past waits stayed below. Each wait moves the estimate by a step of ``ADAPTER_WAIT_STEP``
+# of its value, up to ``ADAPTER_WAIT_MOST_S`` seconds.
 ADAPTER_WAIT_SHARE = 0.95
 ADAPTER_WAIT_STEP = 0.4
 ADAPTER_WAIT_MOST_S = 3.0
-# How long a want that nobody asks for now keeps its place among the others: longer than callers
-# of one adapter stay away.
+# A load request that is no longer repeated keeps its place among the others for this long: longer
+# than the interval between retries of callers of one adapter.
 WANT_REMEMBERED_S = 20.0
-# An adapter that was attached for requests is kept until the last of their callers has come
-# back, and for so long beyond: a heartbeat of 0.4 s tells the lease holder that it is used.
+# An adapter that was attached for waiting requests is kept until the last of their callers has
+# retried, plus this: the heartbeat that informs the lease holder of its use comes every 0.4 s.
 PLACE_KEPT_S = 0.6
-# What requests use is looked through this often; nodes tell it every 0.4 s.
+# Interval of the scan for adapters that are in use; nodes report them every 0.4 s.
 USED_NOTED_S = 0.2
-# Adapters that stand by where all places are taken, while more were asked for within so many
-# seconds; a place that stands by costs nothing, since it is taken back without an order.
+# Idle adapters that are withdrawn in advance at a runner whose adapter places are all taken, if
+# another adapter was requested there within ``ADAPTER_PRESSURE_S`` seconds. This costs nothing,
+# since a withdrawal can be undone without an order.
 STANDBY = 2
 PRESSED_S = 5.0
 RELAY_PLACEMENT = "swap"
-# What an unload takes beyond the load that it makes room for: its streams end first,
-# and a report shows it gone, in seconds.
+# Time for an unload that makes room for a load, in addition to the load's own: its streams end
+# first, and a report has to show that it is gone. In seconds.
 UNLOAD_S = 1.0
-# How much longer than predicted an order may take before nobody waits for its runner.
+# A runner whose order takes longer than predicted by more than this is no longer waited for.
 RUNNER_BUSY_S = 1.0
-# How much later a full runner is taken to serve than an idle one, in seconds.
+# How much later a full runner is expected to serve a new model than an idle one, in seconds.
 LOADED_RUNNER_S = 2.0
-# A model asked for at less than this rate may give way although it is the last
-# replica: one mean request of 3,180 tokens falls below it in some six seconds.
+# A model with less demand than this may be evicted even if it is the last replica: the demand of
+# one mean request of 3,180 tokens falls below it in some six seconds.
 IDLE_TOKENS_PER_S = 150.0
-# What is missed without the replicas that give way is missed for so long, in seconds: as
-# it takes to plan, load and unload again.
+# How long the demand of evicted replicas is assumed to go unserved, in seconds: the time to plan,
+# load and unload them again.
 LOST_COPY_S = 10.0
-# Replicas give way to a model that is asked for, or refused, more than four times as much
-# as what would be missed without them: while boxes are lost there is not room for all.
+# Replicas are evicted for a model only if the demand that they serve is less than this share of the
+# model's own or refused demand: while boxes are lost there is not room for all.
 GIVE_WAY_SHARE = 0.25
-# What was asked in vain of a model that stands nowhere counts as if it were asked for again
-# within so many seconds: after three times that it takes the place of one that is asked for as
-# much, so that none is out of reach for long.
+# Unserved demand for a model without a replica counts as if it were asked for again within this
+# many seconds. After three times this long the model can replace one with the same demand, so that
+# no model stays unreachable for long.
 CLAIM_GROWS_S = 2.5
-# Part of a request that can wait for its model, as it counts where that gives way: it is
-# served in time nearly always, but holds up a runner's orders for a swap.
+# Weight of demand that can wait for its model, in the cost of an eviction: nearly all of it is
+# served in time after a reload, but the swap occupies the runner's orders.
 PATIENT_LOSS = 0.2
-# Part of the urgent demand of a model that its second replica is worth by itself: when
-# the only one is lost, all of it is missed until another is loaded.
+# Share of a model's urgent demand that justifies a second replica by itself: if the only replica is
+# lost, all urgent demand fails until another one is loaded.
 SINGLE_LOSS = 0.3
-# What a request asks for on the mean moves by this part of each.
+# Gain of the moving average of the work of a request.
 WORK_GAIN = 0.02
-# What the longest answer's time is multiplied by at each answer that was shorter: so it
-# is about that of the longest in a hundred.
+# Each shorter answer multiplies the time of the longest answer by this, so that it stays close to
+# the longest of about a hundred answers.
 LONGEST_KEPT = 0.99
-# What was refused for want of room counts on for this time constant, in seconds, so that
-# the replica that ended the refusals does not give way as soon as they end.
+# Time constant for demand that was refused for lack of room, in seconds. It is long enough that the
+# replica that ended the refusals is not evicted as soon as they end.
 MISSED_FALL_S = 15.0
-# A load that takes no longer is quick: from memory or disk it takes 0.9 to 1.7 s.
+# A load that takes at most this long is quick; loads from memory or disk take 0.9 to 1.7 s.
 QUICK_LOAD_S = 3.0
-# A replica is to pay within this time, since demand moves on.
+# A replica has to repay its load within this time, since demand shifts.
 SWAP_HORIZON_S = 30.0
-# Part of the weight store's rate that is used. A new holder begins with no burst, so
-# that any window stays below rate and burst together, whoever held the lease in it.
+# Share of the weight store's rate that is used. A new holder starts with an empty token bucket, so
+# that no window exceeds rate and burst together, whichever nodes held the lease in it.
 STORE_RATE_SHARE = 1.0
-# Loads at once from the weight store, beyond its rate: the platform bears three.
+# Loads that may start at once from the weight store, beyond its rate; the platform allows three.
 STORE_BURST = 3.0
-# Work that a runner does, in prompt tokens plus ten times answer tokens a second: the
-# users' engines read 19.2 prompt tokens a millisecond and decode 64 answers in steps
-# of 11 ms, which makes some 9 of their mean requests of 3,180 a second.
-# Below a part of that their answers are never late, so no move pays.
+# Capacity of a runner in prompt tokens plus ten times answer tokens a second: the users' engines
+# read 19.2 prompt tokens a millisecond and decode 64 answers in steps of 11 ms, which is some 9 of
+# their mean requests of 3,180 tokens a second. Below a share of that rate no answer is late, so no
+# move pays.
 RUNNER_TOKENS_PER_S = 4_000.0
-# Prompts from this many tokens on tell a model's pace, once so many were seen; what was
-# seen before keeps this part of its weight at each. The runner is to have no more than
-# this load. The least time to a first event is forgotten by this much a measurement; and
-# no model counts for less than this part of the slowest.
+# A model's pace (seconds per prompt token) is estimated from prompts of at least
+# ``PACE_TOKENS_MIN`` tokens, once ``PACE_SEEN_MIN`` of them were measured, at runners with a load
+# of at most ``PACE_LOAD_MAX``. Each measurement multiplies the weight of earlier ones by
+# ``PACE_DECAY``, and the least time to a first event by ``PACE_BASE_GROWTH``. No model's pace is
+# taken as less than ``PACE_LEAST`` of the slowest model's.
 PACE_TOKENS_MIN = 1_000
 PACE_SEEN_MIN = 3
 PACE_KEPT = 0.95
 PACE_LOAD_MAX = 0.5
 PACE_FORGET = 1.001
 PACE_LEAST = 0.05
-# How far above its even part of the demand a runner may be planned.
+# How many times its even share of the demand may be planned for a runner.
 EVEN_MARGIN = 1.2
-# Room that is being made counts as a model's own if it is there within so long, in
-# seconds: a runner that waits for its last streams held up a second replica for 13 s.
+# Room that a runner is making for a model counts as the model's if it is free within this many
+# seconds: a runner that waited for its last streams delayed a second replica by 13 s.
 ON_WAY_S = 3.0
-# Adapters of one endpoint that may wait at once for their last requests to end; and how
-# long after a withdrawal all nodes have heard of it and of each other's requests there:
-# a heartbeat of 0.4 s and some way.
+# Adapters of one endpoint that may be withdrawn at the same time, waiting for their last requests
+# to end; and the time after a withdrawal until all nodes know of it and of each other's requests
+# for the adapter: a heartbeat interval of 0.4 s plus transit.
 WITHDRAWN_MAX = 3
 WITHDRAWN_TOLD_S = 0.6
-# An adapter arrives from a runner's own memory in somewhat less.
+# Time to attach an adapter; from the runner's own memory it takes somewhat less.
 ADAPTER_LOAD_S = 0.025
-# The lease of relay nodes: an order-giver that dies is replaced within some seven
-# seconds, TURN_GAP_S included, for one write a second to the store.
+# The lease of relay nodes: a holder that dies is replaced within some seven seconds, including
+# ``HANDOVER_GAP_S``, at the cost of one write a second to the store.
 RELAY_LEASE_TTL_S = 4.0
 RELAY_LEASE_RENEW_S = 1.0
 RELAY_LEASE_MARGIN_S = 1.0
-# A write of the lease is answered within some milliseconds; one that was not is settled by
-# a read after this long.
+# A write of the lease is answered within some milliseconds; if it is not after this long, a read
+# determines whether it took effect.
 LEASE_ANSWER_S = 0.4
-# A holder whose heartbeat was heard within this time is alive: two beats and some way.
+# A holder whose heartbeat was received within this time is alive: two intervals plus transit.
 HOLDER_QUIET_S = 1.0
 RELAY_PLAN_INTERVAL_S = 0.5
-# A taken order that ought to be over is looked after this often until a report shows it.
+# Interval of polls for an overdue order that the endpoint has taken, until a report shows that it
+# is done.
 ORDER_POLL_S = 0.2
-# Demand at relay nodes moves between models within five seconds, and a copy that is
-# too many takes the place of one that is missing.
+# Demand at relay nodes shifts between models within five seconds, and a surplus replica takes the
+# room of a missing one.
 RELAY_DEMAND_RISE_S = 1.0
 RELAY_DEMAND_FALL_S = 3.0
 RELAY_DEMAND_METER_S = 1.0
-# The least difference between two moments that are told apart.
+# Smallest difference between two times that counts as one.
 CLOCK_STEP_S = 1e-6
-# Prompt tokens that an endpoint may have to read before it gets another prompt: all its
-# streams pause while it reads. Tighter bounds refuse at runners with room, looser ones make
+# Prompt tokens that an endpoint may have to read when it is sent another prompt: all of its streams
+# pause while it reads. A tighter bound refuses requests at runners with room; a looser one makes
 # streams pause.
 UNREAD_TOKENS_MAX = 4_096
-# Unread tokens that weigh as much as all slots of an endpoint when one is chosen.
+# Unread prompt tokens that weigh as much as all slots of an endpoint in the choice of one.
 UNREAD_TOKENS_FULL = 10_000.0
-# Nodes that may join, beside those that were seen, for parts of what all have together.
+# Factor on the most nodes seen so far, which allows for nodes that join, where a shared total is
+# divided among the nodes.
 JOINING_SHARE = 1.3
-# Relay nodes that may take the lease; a few, since each reads it once a second.
+# Relay nodes that may take the lease; only a few, since each reads it once a second.
 SUCCESSORS = 4
-# Ages of nodes are told apart by this much: all boxes of a deployment start within a
-# second, and a restart in turn takes some seconds a box.
+# Resolution of the comparison of nodes' ages: all boxes of a deployment start within a second, and
+# a rolling restart takes some seconds a box.
 AGE_STEP_S = 5.0
-# A node that has run for less has not heard of all others yet.
+# A node that has run for less than this has not heard from all others yet.
 SETTLED_S = 1.5
 
-# Up to so many relay nodes each links to all others and watches the platform's store
-# itself, which learns a leaving soonest; past that they do both through relays
-# (``topology.py``), since a mesh's heartbeats and calls grow with the square of the nodes.
+# Up to this many relay nodes each link to all others and read the platform's store themselves,
+# which detects a leaving endpoint soonest. Larger groups do both through relays (``topology.py``),
+# since the heartbeats and calls of a mesh grow with the square of the nodes.
 RELAY_MESH_MAX = 12
-# Nodes that watch the store for all others, beside the lease holder. One may be cut off
-# and one be restarted at once; past that any relay steps in by itself.
+# Nodes that read the store for all others, besides the lease holder. One may be cut off while
+# another restarts; if more are lost, any relay takes over.
 WATCHERS = 2
-# What is known of the store is stale past this age. Watchers ask at least each 1.1 s.
+# Data from the store is stale beyond this age. Watchers read at least every 1.1 s.
 STORE_STALE_S = 1.8
-# A node watches the store itself once what it hears of it has been stale for so long:
-# relays first, each rank so much later, and the others spread over the last, so that an
-# outage is not met by calls of all nodes at once.
+# A node reads the store itself once the data that it receives has been stale for this long. Relays
+# start first, each rank later by ``WATCH_TAKEOVER_RELAY_S``; other nodes start after
+# ``WATCH_TAKEOVER_MIN_S``, spread over ``WATCH_TAKEOVER_PER_NODE_S`` a node, so that an outage does
+# not cause calls of all nodes at once.
 STEP_IN_RELAY_S = 0.1
 STEP_IN_LEAST_S = 0.6
 STEP_IN_PER_NODE_S = 0.02
-# A node that runs for longer may be a relay before those that have just started.
+# A node that has run for longer than this is preferred as a relay to those that have just started.
 RELAY_SETTLED_S = 5.0
-# Roles are worked out anew after each change of the nodes, and this often.
+# Roles are computed again after each change of the nodes, and at this interval.
 RELAY_WORK_OUT_S = 2.0
-# Whoever carries this much is strong enough for a relay; stronger ones gain nothing.
+# A node with this capacity is as good a relay as one with more.
 RELAY_STRENGTH = 1.0
-# A node that could not be dialled is left out for so long.
+# A node to which no link could be opened is left out for this long.
 UNREACHED_S = 5.0
-# A node past a mesh that finds nobody to follow for so long asks the seeds as well.
+# Outside a mesh, a node that has found no node to follow for this long asks the seeds as well.
 SEEDS_AFTER_S = 1.5
-# Times of start that differ by less are of one process, told over two ways, in seconds.
+# Start times that differ by less, in seconds, are of the same process; they reached this node in
+# two ways.
 SAME_START_S = 1.0
-# Changes of nodes that are kept for those who are told of differences.
+# Changes of nodes that are kept, for peers that receive only differences.
 CHANGES_KEPT = 4096
 
-# Requests with keys are refused once the configuration was last proved the newest longer
-# ago than this part of the bound on a key's end; the rest is a margin. A node in touch
-# with the store or a relay is 1.5 s old at most, so it never comes near.
+# Requests with keys are refused once the configuration was last proved the newest longer ago than
+# this share of the time for which a revoked key may still be used; the rest is a margin. At a node
+# that reaches the store or a relay the proof is at most 1.5 s old, so it never comes near.
 PROOF_SHARE = 0.9
-# How long the operator and the endpoints take to write again what a copy of the store lacks.
+# Time that the operator and the endpoints need to write again what a restored copy of the store
+# lacks.
 REWRITE_S = 2.0
-# Near this part of its limit an organisation's owner is asked for each request. What nodes
-# know of each other's use is up to 1.3 s old (a heartbeat to the relay, one between relays,
-# half a second to the followers): one that surges to 7.5 times its usual from below a
-# quarter of its limit is at 0.55 of it when the last node hears so.
+# From this share of its limit on, each request of an organisation is put to its owner. What nodes
+# know of each other's use is up to 1.3 s old (a heartbeat to the relay, one between relays, half a
+# second to the followers): an organisation that surges to 7.5 times its usual rate from below a
+# quarter of its limit has reached 0.55 of it when the last node learns of it.
 TIGHT_SHARE = 0.25
-# What was told of it holds for so long; whoever hears nothing asks for each request.
+# A list of organisations near their limits is valid for this long; a node without a valid list asks
+# the owner about each request.
 TIGHT_TOLD_S = 3.0
-# How much of what an owner granted may not be in the others' sums yet, in seconds.
+# Time after which units that an owner granted are included in the sums of the other nodes, in
+# seconds.
 SPEND_LAG_S = 0.8
-# Steps in which a window of allotments moves, in seconds.
+# Step in which the sliding window of allotments moves, in seconds.
 SPEND_STEP_S = 0.1
-# Added to the part of a limit that the last lease holder wrote as used, while no node knows
-# what ran before all started: what it wrote is up to 1.8 s old (a second from one renewal of
-# the lease to the next, the rest from node to node), and a surge to 7.5 times a quarter of
-# the limit uses 0.4 of it meanwhile, of which the tolerance bears 0.1.
+# Added to the used share of a limit that the last lease holder wrote, while no node knows what ran
+# before all of them started. The value is up to 1.8 s old (a second between renewals of the lease,
+# the rest from node to node), and a surge to 7.5 times a quarter of the limit uses 0.4 of it in
+# that time, of which the tolerance covers 0.1.
 UNSEEN_MARGIN = 0.3
-# An owner is two links away at most, a millisecond each. A request that has not heard
-# from it for so long is refused: the owner is frozen or cut off, and another one is
-# chosen within a second or two.
+# An owner is at most two links away, with a millisecond each. A request without an answer after
+# this is refused: the owner is frozen or cut off, and another one is chosen within a second or two.
 OWNER_ANSWER_S = 0.25
-# Where this node can't tell whether a key still holds, or an organisation's owner is
-# silent, callers come back after this long: another node is chosen within about as long.
+# Retry-After where this node can't verify that a key is still valid, or an organisation's owner
+# does not answer; another node is chosen within about that time.
 UNPROVED_BACK_S = 1.0
-# A node that follows no other asks so many linked ones how new the configuration is.
+# A node that follows no other asks this many linked nodes for a proof of the configuration.
 PROOF_SOURCES_MAX = 2
-# A node reads the configuration itself once it was last proved so long ago: relays soon,
-# since others hang on them, and the others spread over a while, so that an outage is not
-# met by calls of all nodes at once.
+# A node reads the configuration itself if its last proof is older than this. Relays do so early,
+# since other nodes depend on them; the others are spread over ``PROOF_READ_SPREAD_S``, so that an
+# outage does not cause calls of all nodes at once.
 PROOF_STEP_IN_RELAY_S = 2.0
 PROOF_STEP_IN_S = 2.6
 PROOF_STEP_IN_SPREAD_S = 0.8
-# Part of the tolerance of an allotment that an owner grants as well: what lies within it
-# may run, and refusing it helps nobody. The rest covers what the owner has not heard of.
+# Share of the tolerance of an allotment that an owner grants as well: requests within it are
+# allowed, so a refusal would gain nothing. The rest covers use that the owner has not learnt of.
 TOLERANCE_SHARE = 0.6
-# Smaller parts of a limit are not written with the lease.
+# Smaller used shares of a limit are not written with the lease.
 RECALLED_SHARE_MIN = 0.05
-# Nodes that have run for less own an organisation only where no other does: about a window
-# of allotments, after which nothing counts that ran before they started.
+# A node that has run for less than this owns an organisation only if there is no older node. It is
+# about the window of allotments, after which use before its start no longer counts.
 OWNER_AGE_S = 10.0
-# An owner that has not ticked for so long, five ticks, begins anew: another may have decided
-# meanwhile.
+# An owner that has not ticked for this long (five ticks) starts afresh: another node may have
+# decided in the meantime.
 OWNER_GAP_S = 0.5
-# What an owner has not been asked of for so long is forgotten.
+# An owner drops a subject for which it has not been asked for this long.
 OWNER_IDLE_S = 60.0
-# Nodes that were heard of within this time count as those that there are, when a part of
-# them is cut off: a window of allotments and some.
+# The number of nodes is taken as the most that were visible within this time, so that a part that
+# is cut off still counts: a window of allotments and some more.
 VISIBLE_KEPT_S = 12.0
-# A linked node that has not been heard for so long, three heartbeats, is out of sight.
+# A linked node that has sent nothing for this long (three heartbeats) is not visible.
 VISIBLE_QUIET_S = 1.2
 
-# Slots of plain services, given out by one node. Beyond its slots an endpoint gets this part
-# more, one at least, so that none is idle while an answer and the next request are on their
-# way: 2 to 5 ms beside runs of 60 ms.
+# Slots of plain services, granted by one node. It grants this share more than an endpoint's slots,
+# one at least, so that no slot is idle while an answer and the next request are in transit: 2 to 5
+# ms, beside runs of 60 ms.
 SLOT_AHEAD_SHARE = 0.17
-# A run is taken to last so long before any was seen, and what is learnt moves by this part
-# of each; a request is let wait if this many runs fit into the rest of its objective, since
-# runs differ: a tenth takes over 1.5 times the mean.
+# Expected length of a run before any was measured; each run moves the estimate by
+# ``SLOT_RUN_GAIN``. A request may wait if the rest of its objective holds ``SLOT_RUN_MARGIN`` runs,
+# since their lengths vary: a tenth takes over 1.5 times the mean.
 SLOT_RUN_S = 0.1
 SLOT_RUN_GAIN = 0.1
 SLOT_RUN_MARGIN = 1.5
-# A failed run counts for no less, so that an endpoint that fails at once draws no requests.
+# A failed run counts as at least this long, so that an endpoint that fails fast does not attract
+# requests.
 SLOT_FAILED_S = 0.5
-# Slots of which nothing was heard for so long are free again.
+# A slot that its holder has not reported for this long is free again.
 SLOT_LEASE_S = 1.0
-# An owner answers within a few milliseconds; a request that hears nothing for so long is
-# placed by the node that it came to.
+# An owner answers within a few milliseconds; a request without an answer after this is placed by
+# its entry node.
 SLOT_ANSWER_S = 0.06
-# Refused for want of slots, callers come back no sooner than the one, and no later than the
-# other where it is not known when there will be a slot.
+# Bounds of Retry-After for a request that was refused for lack of slots; the upper one is used
+# where the time of the next free slot is not known.
 SLOT_BACK_S = (0.5, 3.0)
-# Endpoints of which one node gives out the slots: at 16 of 6 slots and runs of 60 ms these are
-# 1,600 requests a second, as many as a core takes with three messages of 50 us each.
+# Endpoints whose slots one node grants: 16 of 6 slots with runs of 60 ms make 1,600 requests a
+# second, which is the limit of a core with three messages of 50 us each.
 SLOT_ENDPOINTS_MAX = 16
 
-# A request under which so many processes ended is run no more: the users' platform allows that
-# three end, and some tries that were on their way. What is known of it ends after this long,
-# in seconds; callers' deadlines are 30 s at most, and an engine may be mended in some minutes.
+# A request during which this many processes crashed is not run again: the users' platform allows
+# three crashes, plus attempts that were already on their way. The evidence expires after
+# ``EVIDENCE_S`` seconds; callers' deadlines are at most 30 s, and an engine may be repaired within
+# minutes.
 ENDS_MAX = 3.0
 EVIDENCE_S = 600.0
-# From so many on it is run once at a time and by itself, and no sooner than so long after the
-# last end, in seconds: a runner is back after some four.
+# A request with this many crashes is run alone and one at a time, no sooner than
+# ``SUSPECT_RETRY_S`` seconds after the last crash; a runner is back after some four.
 SUSPECT_ENDS = 2.0
 SUSPECT_BACK_S = 2.0
-# A suspect that is run ends its endpoint within this time, in seconds, or is likely to end well.
+# A suspect that crashes its endpoint does so within this many seconds of its run; after that it is
+# likely to succeed.
 TRIAL_S = 2.0
-# How the ends that a request was under are weighed, a name in ``suspects.WEIGHTS``: this way
-# finds no innocents where many endpoints end for no request's sake.
+# How crashes are weighed, a name in ``suspects.WEIGHTS``. This one convicts no innocent requests
+# where many endpoints crash for other reasons.
 SUSPECT_WEIGHT = "young"
-# One that has been answering for longer, in seconds, counts as this much of an end: so a
-# request that ends its endpoint late in its answer is found after six.
+# A crash after more than this many seconds of an answer counts as ``LONG_RUN_WEIGHT`` of a crash,
+# so a request that crashes its endpoint late in its answer is found after six.
 LONG_RUN_S = 1.0
 LONG_RUN_WEIGHT = 0.5
-# A process whose connections broke off is found to have ended within this time, in seconds: its
-# entry lapses after three heartbeats of 1.2 s. One that its caller left may run on for as
-# long as the last.
+# A crash is detected within this many seconds of the connections' end: the endpoint's entry expires
+# after three heartbeats of 1.2 s. A request that its caller left may still run for
+# ``ABANDONED_RUN_S``.
 END_KNOWN_S = 5.0
 LEFT_RUNS_S = 0.3
-# Moments that two nodes tell of are the same if they differ by less, in seconds.
+# Times from two nodes that differ by less than this many seconds denote the same moment.
 SAME_MOMENT_S = 1.0
-# Suspects that are remembered, and of one organisation; and verdicts, which the lease keeps.
+# Limits on the suspects that are kept, in all and for each organisation, and on the verdicts, which
+# are written with the lease.
 SUSPECTS_MAX = 4096
 SUSPECTS_EACH_MAX = 512
 VERDICTS_MAX = 256
 
-# Turns at an endpoint that names how many requests a second it takes: it may have so many in hand,
-# and what it takes in so many seconds beside, so that what comes unevenly finds one.
+# Token bucket for an endpoint that reports how many requests a second it accepts: it holds this
+# many permits plus ``PERMIT_BURST_S`` seconds' worth of the rate, so that requests which arrive
+# unevenly get one.
 TURNS_IN_HAND = 2.0
 TURNS_IN_HAND_S = 0.25
-# For so long after it has become the owner of a subject a node gives nothing of a rate: the owner
-# before may do so yet. Nodes drop one that has been quiet for ``HOLDER_QUIET_S``, and learn of
-# each other's views with a heartbeat of 0.4 s.
+# For this long after a node has become the owner of a subject it grants no permits, since the
+# previous owner may still do so. Nodes drop a peer that has been silent for ``HOLDER_QUIET_S``, and
+# learn of each other's views with a heartbeat of 0.4 s.
 OWNER_SETTLES_S = 1.5
-# A request leaves within this time of the slot that it was given, or asks anew: a connection takes
-# 0.4 s at most.
+# A request is sent within this time of its slot's grant, or asks for another slot: a connection
+# takes at most 0.4 s.
 SLOT_SEND_S = 0.5
-# Nodes that have asked for a turn within this time share the next ones. Each is told to ask
-# elsewhere for a part of what all of them together wait for theirs, so that more ask than there are
-# turns: the first at most; it falls by a factor where turns lie in hand and rises by one with each
-# that asks in vain, down to the least. And for no longer than the most, in seconds.
+# Nodes that have asked for a permit within ``PERMIT_REQUESTERS_S`` share the next ones. Each is
+# told to use other endpoints for a share of the time that all of them together need for their
+# permits, so that more nodes ask than there are permits. The share starts at
+# ``PERMIT_AVOID_SHARE``, its maximum, is multiplied by ``PERMIT_AVOID_FALL`` where permits are left
+# over and by ``PERMIT_AVOID_RISE`` with each request that finds none, and stays above
+# ``PERMIT_AVOID_LEAST``. The time is at most ``PERMIT_AVOID_MAX_S`` seconds.
 TURN_ASKERS_S = 5.0
 TURN_STAY_SHARE = 0.5
 TURN_STAY_LEAST = 0.05
 TURN_STAY_FALL = 0.7
 TURN_STAY_RISE = 1.05
 TURN_STAY_MOST_S = 30.0
-# Whoever was refused a turn asks again no sooner, in seconds.
+# A request that was refused a permit asks again no sooner than after this many seconds.
 TURN_AGAIN_S = 0.05
--- a/packages/rookspring-core/src/rookspring_core/effects.py
+++ b/packages/rookspring-core/src/rookspring_core/effects.py
@@ -1,6 +1,6 @@
-"""Effects that the reducer asks for; the daemon's loop performs them.
+"""Effects that the reducer requests and the daemon's event loop carries out.
 
-An effect is data. Its answer, if it has one, comes back as an event.
+An effect is plain data. Its result, if there is one, arrives as an event.
 """
 
 import typing as t
@@ -17,7 +17,8 @@
 class Dispatch(t.NamedTuple):
     """Send a request to an endpoint, as the given attempt.
 
-    :param offset: tokens already with the caller, to be continued from.
+    :param offset: tokens that the caller has received; the answer continues after them.
+    :param not_before: earliest time to send it, by this node's clock.
     """
 
     request_id: str
@@ -28,7 +29,10 @@
 
 
 class Attach(t.NamedTuple):
-    """Read on from a stream that runs at an endpoint already."""
+    """Continue to read a stream that already runs at an endpoint.
+
+    :param offset: tokens that the caller has received.
+    """
 
     request_id: str
     attempt: int
@@ -40,7 +44,7 @@
     """Answer a caller with an error.
 
     :param outcome: ``not_run``, ``unknown`` or ``ran``.
-    :param retry_after_s: when to come back, in seconds; 0 leaves it out.
+    :param retry_after_s: when the caller may retry, in seconds; 0 leaves it out.
     """
 
     request_id: str
@@ -52,7 +56,7 @@
 
 
 class Replay(t.NamedTuple):
-    """Give a remembered answer again."""
+    """Answer a request with the stored answer of an earlier one with the same key."""
 
     request_id: str
     status: int
@@ -68,17 +72,17 @@
 
 
 class Forget(t.NamedTuple):
-    """A request is over; its I/O may be let go."""
+    """Release the I/O resources of a request that has ended."""
 
     request_id: str
 
 
 class WriteLease(t.NamedTuple):
-    """Write the lease object of an era on the condition that it is still at ``version``.
+    """Write the lease object of an era, provided that it is still at ``version``.
 
-    :param settled: the holder may give orders already.
-    :param turn_in_s: where the lease is given up, how soon another may give orders; None
-        else.
+    :param settled: the holder is already allowed to give orders.
+    :param turn_in_s: when the lease is given up, how long until another holder may give orders, in
+        seconds; else None.
     """
 
     version: int
@@ -90,13 +94,13 @@
 
 
 class ReadDesired(t.NamedTuple):
-    """Begin to follow operators' resources and read intents left by others."""
+    """Start to watch operators' resources, and read the intents of earlier lease holders."""
 
     epoch: int
 
 
 class Publish(t.NamedTuple):
-    """Write shards, then move the head on the condition of its version."""
+    """Write the shards, then update the head, provided that its version is unchanged."""
 
     revision: int
     epoch: int
@@ -105,16 +109,16 @@
 
 
 class ReadHead(t.NamedTuple):
-    """Read the head again, to learn whether an unanswered write took effect."""
+    """Read the head again, to find out whether a write without an answer took effect."""
 
     revision: int
 
 
 class WriteIntent(t.NamedTuple):
-    """Record what may reach an endpoint that does not check, before an order is sent.
+    """Record which orders may reach an endpoint that doesn't verify them, before one is sent.
 
-    :param rows: every order that may arrive yet, as (action, model, version, GB);
-        they replace what was recorded before.
+    :param rows: every order that may still arrive, as (action, model, version, GB); they replace
+        the record before.
     """
 
     endpoint: str
@@ -124,7 +128,7 @@
 
 
 class SendOrder(t.NamedTuple):
-    """Give an endpoint an order. ``action`` is load, unload, seal, attach or detach."""
+    """Send an endpoint an order; ``action`` is load, unload, seal, attach or detach."""
 
     endpoint: str
     address: str
@@ -136,10 +140,10 @@
 
 
 class Want(t.NamedTuple):
-    """Tell the lease holder that a request waits for what is resident nowhere.
+    """Ask the lease holder to load a model or adapter that is resident on no endpoint.
 
-    :param back_s: how soon its caller will have come back at the latest, should it be refused
-        first.
+    :param latest_retry_s: when the caller will have retried at the latest if its request is
+        refused, in seconds from now.
     """
 
     service: str
@@ -149,17 +153,17 @@
 
 
 class WantDeclined(t.NamedTuple):
-    """Tell operators why nothing is ordered now for an adapter that requests wait for."""
+    """Log why nothing is ordered at present for an adapter that requests wait for."""
 
     adapter: str
     why: str
 
 
 class WantEnded(t.NamedTuple):
-    """Tell operators what became of an adapter that requests waited for.
+    """Log the outcome for an adapter that requests waited for.
 
-    :param outcome: ``attached``, or ``given up`` once nobody has asked for a while.
-    :param age_s: since it was first asked for, in seconds.
+    :param outcome: ``attached``, or ``given up`` when no request has asked for it for a while.
+    :param age_s: time since the first request asked for it, in seconds.
     :param times: requests that asked for it.
     """
 
@@ -170,9 +174,10 @@
 
 
 class AdapterLeft(t.NamedTuple):
-    """Tell operators how long an adapter stayed that is being unloaded, in seconds.
+    """Log how long an adapter was attached that is now being detached.
 
-    :param used: a request was seen to use it.
+    :param stay_s: how long, in seconds.
+    :param used: at least one request used it.
     """
 
     endpoint: str
@@ -182,14 +187,21 @@
 
 
 class ReadReport(t.NamedTuple):
-    """Read an endpoint's own report, after a pause in seconds."""
+    """Read an endpoint's own report.
+
+    :param after_s: delay before the read, in seconds.
+    """
 
     endpoint: str
     after_s: float
 
 
 class Remind(t.NamedTuple):
-    """Tell when a pause is over, in seconds, after which an order counts as done."""
+    """Start the timer after which an order counts as done, though no report shows it.
+
+    :param taken_before: how many orders the endpoint had taken before it.
+    :param after_s: length of the timer, in seconds.
+    """
 
     endpoint: str
     taken_before: int
@@ -197,16 +209,19 @@
 
 
 class SharePrompts(t.NamedTuple):
-    """Tell every other node what an endpoint is still to read of this node's prompts."""
+    """Send every other node how much of this node's prompts an endpoint has yet to read.
+
+    :param tokens: unread prompt tokens.
+    """
 
     endpoint: str
     tokens: int
 
 
 class ShareComing(t.NamedTuple):
-    """Tell every other node that a model is being loaded at an endpoint.
+    """Send every other node that a model is being loaded at an endpoint.
 
-    :param in_s: how soon it is expected to be there, in seconds.
+    :param in_s: time until it is expected to be resident, in seconds.
     """
 
     endpoint: str
@@ -215,15 +230,15 @@
 
 
 class ShareDown(t.NamedTuple):
-    """Tell every other node that nothing listens at an endpoint."""
+    """Send every other node that nothing listens at an endpoint's address."""
 
     endpoint: str
 
 
 class ShareShed(t.NamedTuple):
-    """Tell the other nodes that an endpoint turned a request of this one away.
+    """Send the other nodes that an endpoint turned away a request of this one.
 
-    :param for_s: how long it is spared here, in seconds.
+    :param for_s: how long this node prefers other endpoints, in seconds.
     """
 
     endpoint: str
@@ -231,9 +246,9 @@
 
 
 class ShareLeaving(t.NamedTuple):
-    """Tell the other nodes of endpoints that leave.
+    """Send the other nodes endpoints that are leaving.
 
-    :param source: the node that told it; empty where this one heard it itself.
+    :param source: the node that this was received from; empty where an endpoint told this node.
     """
 
     rows: tuple[Leaving, ...]
@@ -241,9 +256,9 @@
 
 
 class ShareRates(t.NamedTuple):
-    """Tell the other nodes how many requests a second endpoints take.
+    """Send the other nodes the request rates that endpoints accept.
 
-    :param source: the node that told it; empty where this one heard it itself.
+    :param source: the node that this was received from; empty where an endpoint told this node.
     """
 
     rows: tuple[RateWord, ...]
@@ -251,9 +266,9 @@
 
 
 class ShareEvidence(t.NamedTuple):
-    """Tell every other node of requests under which endpoints ended.
+    """Send every other node evidence of requests during which endpoints crashed.
 
-    :param source: the node that told it; empty where it was seen here.
+    :param source: the node that this was received from; empty where it was observed here.
     """
 
     evidence: Evidence
@@ -261,9 +276,10 @@
 
 
 class VerdictFound(t.NamedTuple):
-    """Tell operators that a request was found to end the endpoints that run it.
+    """Log that a request was found to crash the endpoints that run it.
 
-    :param endpoints: those that ended under it, as far as this node knows.
+    :param endpoints: those that crashed while they ran it, as far as this node knows.
+    :param left_s: how long the verdict remains in force, in seconds.
     """
 
     fingerprint: str
@@ -273,7 +289,7 @@
 
 
 class ShareReport(t.NamedTuple):
-    """Tell every other node what is now true of an endpoint."""
+    """Send every other node the new state of an endpoint."""
 
     report: EndpointReported
 
@@ -281,7 +297,7 @@
 class AskAllotment(t.NamedTuple):
     """Ask an organisation's owner whether a request may run within its allotment.
 
-    :param units: what the request counts for.
+    :param units: units that the request takes from the allotment.
     """
 
     request_id: str
@@ -290,14 +306,14 @@
 
 
 class AskSlot(t.NamedTuple):
-    """Ask the owner of a plain service, or of one endpoint, for a slot.
+    """Ask the owner of a slot queue for a slot.
 
-    :param queue: which of them; see :mod:`slotting`.
+    :param queue: key of the queue, of a plain service or of an endpoint; see :mod:`slotting`.
     :param rank: 0 is the most urgent.
-    :param organisation: whose it is; empty where that is not asked.
-    :param wait_s: how long until an answer is late, in seconds.
+    :param organisation: whose request it is; empty where the queue doesn't need it.
+    :param wait_s: how long an answer is of use, in seconds.
     :param avoid: the endpoint at which the request has failed.
-    :param rate: the requests a second that the endpoint takes; None where it is a service.
+    :param rate: requests a second that the endpoint accepts; None for a service.
     """
 
     request_id: str
@@ -310,10 +326,10 @@
 
 
 class FreeSlot(t.NamedTuple):
-    """Tell the owner of a slot that a request's run is over.
+    """Return a slot to its owner after a request's run.
 
-    :param took_s: how long it took, in seconds.
-    :param unsent: nothing of it was sent.
+    :param took_s: how long the run took, in seconds.
+    :param unsent: nothing of the request was sent.
     """
 
     request_id: str
@@ -324,20 +340,20 @@
 
 
 class ReturnAllotment(t.NamedTuple):
-    """Tell an organisation's owner that what it granted did not run."""
+    """Return granted units to an organisation's owner, since the request did not run."""
 
     organisation: str
     units: float
 
 
 class Announce(t.NamedTuple):
-    """Tell the other nodes at once, outside the heartbeat's beat."""
+    """Send the other nodes a heartbeat at once rather than at the next interval."""
 
     topic: str
 
 
 class Stop(t.NamedTuple):
-    """The planned stop is complete; outcomes may be written and the process may end."""
+    """End the process: the planned stop is complete, and outcomes may be written."""
 
 
 Effect = (
--- a/packages/rookspring-core/src/rookspring_core/events.py
+++ b/packages/rookspring-core/src/rookspring_core/events.py
@@ -1,7 +1,7 @@
-"""Events that the reducer takes. Each carries its time, in seconds, which never goes back.
+"""Events that the reducer takes, each with its time in seconds.
 
-An event says what happened, never what to do. Times are of the node's own
-monotonic clock; only durations cross between nodes.
+An event states what happened, never what to do. Its time is of the node's own monotonic clock and
+never decreases from one event to the next; nodes exchange durations only.
 """
 
 from ._control_events import DesiredSeen as DesiredSeen
--- a/packages/rookspring-core/src/rookspring_core/exceptions.py
+++ b/packages/rookspring-core/src/rookspring_core/exceptions.py
@@ -1,19 +1,19 @@
-"""Errors of the core, under one root that every other layer turns."""
+"""Errors of the core. All of rookspring's errors derive from ``RookspringError``."""
 
 
 class RookspringError(Exception):
-    """Root of all errors that rookspring raises."""
+    """Base class of all errors that rookspring raises."""
 
 
 class CoreError(RookspringError):
-    """A decision could not be made from the state at hand."""
+    """Base class of the errors of the core."""
 
 
 class InvariantBroken(CoreError):
-    """A promise that must always hold does not; the program must not go on.
+    """An invariant does not hold, so the process must end.
 
     :param name: the invariant, as registered.
-    :param detail: what was seen.
+    :param detail: what was found.
     """
 
     def __init__(self, name: str, detail: str) -> None:
@@ -23,7 +23,7 @@
 
 
 class ResourceInvalid(CoreError):
-    """A resource does not meet its schema.
+    """A resource does not match its schema.
 
     :param faults: every fault found, each as ``field: what was expected``.
     """
@@ -34,4 +34,4 @@
 
 
 class UnknownPolicy(CoreError):
-    """A setting names a policy that no module registered."""
+    """A setting names a policy that no module has registered."""
--- a/packages/rookspring-core/src/rookspring_core/invariants.py
+++ b/packages/rookspring-core/src/rookspring_core/invariants.py
@@ -1,7 +1,7 @@
-"""Promises that must hold after every event, asserted inside the program.
+"""Invariants that are checked after every event.
 
-Cheap ones look at what the event touched and are always on; full ones walk the
-whole state and are switched on by a setting, in tests and in soak runs.
+Checks of a single event or effect are cheap and always on. Checks that scan the whole state are
+enabled by a setting, in tests and in soak runs.
 """
 
 import typing as t
@@ -25,17 +25,17 @@
 FULL: dict[str, Check] = {}
 
 
-# How long a request that was decided before may take until its first byte leaves, in seconds:
-# a connection takes one at most, and a node that stood still is excused. Endpoints bear 2 s.
+# How long after an endpoint's notice the first byte of a request that was dispatched before may
+# still be sent, in seconds: a connection takes one at most, and a node that was suspended is
+# exempt. Endpoints tolerate 2 s.
 SAID_ON_WAY_S = 1.0
 
 
 def invariant(name: str, on: type[t.Any] | None = None) -> t.Callable[[Check], Check]:
-    """Register a check; it gives a text when the promise is broken, else nothing.
+    """Register a check, which returns a description of the violation, or an empty string.
 
-    :param on: a type of effects or events; the check runs whenever such an effect is
-        asked for, or after such an event. Without one it runs after every event, where full
-        checks are on.
+    :param on: a type of effects or events; the check runs after an event of that type, or one that
+        has such an effect. Without it the check runs after every event if full checks are enabled.
     """
 
     def register(function: Check) -> Check:
@@ -51,9 +51,9 @@
 def check(state: "NodeState", event: t.Any, effects: list[Effect]) -> None:
     """Run the checks.
 
-    :raises InvariantBroken: at the first promise that does not hold.
+    :raises InvariantBroken: for the first invariant that does not hold.
     """
-    _witness(state, event)
+    _record_sent(state, event)
     for kind in {type(event), *(type(effect) for effect in effects)}:
         _run(CHEAP.get(kind, {}), state, event, effects)
     for effect in effects:
@@ -70,8 +70,11 @@
             raise InvariantBroken(name, detail)
 
 
-def _witness(state: "NodeState", event: t.Any) -> None:
-    """Keep a record of its own of what may be with an endpoint, apart from the handlers'."""
+def _record_sent(state: "NodeState", event: t.Any) -> None:
+    """Record which requests may have reached an endpoint, and endpoints' notices.
+
+    The record is kept apart from the handlers' state, so that the checks do not depend on it.
+    """
     if isinstance(event, EndpointSaid):
         state.told.note(event)
     if isinstance(event, AttemptStarted):
@@ -84,14 +87,14 @@
 
 @invariant("memory", on=SendOrder)
 def check_memory(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """No endpoint's memory is promised beyond what it holds."""
+    """An order never allocates more memory than its endpoint has."""
     if state.relaying:
         return _check_relayed_memory(state, effects)
     for effect in effects:
         if isinstance(effect, SendOrder) and effect.action in ("load", "attach"):
             ledger = state.control.ledgers[effect.endpoint]
             if ledger.free() < -1e-6:
-                return f"{effect.endpoint}: {-ledger.free():.3f} GB too much"
+                return f"{effect.endpoint}: {-ledger.free():.3f} GB overallocated"
     return ""
 
 
@@ -103,23 +106,23 @@
             continue
         promised, held = promised_mb(state, effect)
         if promised > held + 1e-6:
-            return f"{effect.endpoint}: {promised - held:.0f} MB too much"
+            return f"{effect.endpoint}: {promised - held:.0f} MB overallocated"
     return ""
 
 
 @invariant("memory-all")
 def check_all_memory(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """The same for every endpoint, not only for those that get an order."""
+    """No endpoint's memory is overallocated, whether or not it gets an order now."""
     for ledger in state.control.ledgers.values():
         promised = any(order.action in ("load", "attach") for order in ledger.orders())
         if ledger.usable and promised and ledger.free() < -1e-6:
-            return f"{ledger.endpoint}: {-ledger.free():.3f} GB too much"
+            return f"{ledger.endpoint}: {-ledger.free():.3f} GB overallocated"
     return ""
 
 
 @invariant("lease", on=SendOrder)
 def check_lease(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """Only a holder with time to spare gives orders."""
+    """Only a holder whose lease has not run out sends orders."""
     for effect in effects:
         if isinstance(effect, SendOrder) and not state.control.lease.holding(state.now):
             return f"order {effect.token} without the lease"
@@ -135,24 +138,24 @@
         if not isinstance(effect, SendOrder) or effect.action != "unload":
             continue
         if effect.model in state.catalogue.models and not model_hosts(state, effect.model):
-            return f"{effect.model} would be resident nowhere"
+            return f"{effect.model} would have no resident replica"
     return ""
 
 
 @invariant("not-run", on=Refuse)
 def check_not_run(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """A request that may be with an endpoint is never told ``not_run``."""
+    """A refusal never claims ``not_run`` if the request may have reached an endpoint."""
     for effect in effects:
         if not isinstance(effect, Refuse) or effect.outcome != "not_run":
             continue
         if effect.request_id in state.witness:
-            return f"{effect.request_id} was sent"
+            return f"{effect.request_id} may have reached an endpoint"
     return ""
 
 
 @invariant("at-most-once", on=Dispatch)
 def check_once(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """An unrepeatable request that may be with an endpoint is never sent again."""
+    """An unrepeatable request that may have reached an endpoint is never sent again."""
     for effect in effects:
         if not isinstance(effect, Dispatch):
             continue
@@ -164,19 +167,19 @@
 
 @invariant("suspects", on=Dispatch)
 def check_suspects(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """A request that is known here to end what runs it is sent nowhere."""
+    """A request that is known to crash its endpoints is not sent."""
     for effect in effects:
         if not isinstance(effect, Dispatch):
             continue
         fingerprint = state.requests[effect.request_id].arrived.fingerprint
         if state.suspects.verdict(fingerprint, state.now) is not None:
-            return f"{effect.request_id} would be sent, and ends endpoints"
+            return f"{effect.request_id} would be sent although it crashes endpoints"
     return ""
 
 
 @invariant("leaving", on=Dispatch)
 def check_leaving(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """A leaving endpoint gets no new work."""
+    """A leaving endpoint gets no new requests."""
     for effect in effects:
         if isinstance(effect, Dispatch) and state.endpoints[effect.endpoint].leaving:
             return f"{effect.endpoint} is leaving"
@@ -185,35 +188,35 @@
 
 @invariant("said", on=Dispatch)
 def check_said(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """Nothing is sent to a life that said to this node that it leaves or wants rest."""
+    """Nothing is sent to a process that told this node that it is leaving, or to back off."""
     for effect in effects:
-        if isinstance(effect, Dispatch) and (fault := _find_said(state, effect.endpoint, 0.0)):
+        if isinstance(effect, Dispatch) and (fault := _find_notice(state, effect.endpoint, 0.0)):
             return fault
     return ""
 
 
 @invariant("request-rate", on=Dispatch)
 def check_rates(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """Nothing is sent to an endpoint that names a rate without a slot that counts towards it."""
+    """An endpoint with a request rate gets only requests that hold one of its permits."""
     for effect in effects:
         if not isinstance(effect, Dispatch) or state.endpoints[effect.endpoint].rate is None:
             continue
         held = state.requests[effect.request_id].slot
         if held is None or held.endpoint != effect.endpoint or not held.rated:
-            return f"{effect.request_id} would be sent to {effect.endpoint} without a turn"
+            return f"{effect.request_id} would be sent to {effect.endpoint} without a permit"
     return ""
 
 
 @invariant("said-late", on=AttemptStarted)
 def check_said_late(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """What was decided before a life said that it leaves has left soon after."""
+    """A request is not sent long after its endpoint announced that it leaves."""
     request = state.requests.get(event.request_id)
     if request is None or request.attempt != event.attempt:
         return ""
-    return _find_said(state, request.endpoint, SAID_ON_WAY_S)
+    return _find_notice(state, request.endpoint, SAID_ON_WAY_S)
 
 
-def _find_said(state: "NodeState", endpoint: str, late_s: float) -> str:
+def _find_notice(state: "NodeState", endpoint: str, late_s: float) -> str:
     view = state.endpoints.get(endpoint)
     if view is None:
         return ""
@@ -223,7 +226,7 @@
 
 @invariant("uncut", on=Stop)
 def check_uncut(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """A planned stop ends only after the last request has."""
+    """A planned stop ends only after the last request has ended."""
     if state.stopped and state.requests and not state.hurry:
         return f"{len(state.requests)} requests in flight at the stop"
     return ""
@@ -231,9 +234,9 @@
 
 @invariant("inflight")
 def check_inflight(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """Every request in flight at an endpoint is one that this node knows."""
+    """Every request that counts as in flight at an endpoint is known to this node."""
     for view in state.endpoints.values():
-        lost = set(view.inflight) - set(state.requests)
-        if lost:
-            return f"{view.name} counts {sorted(lost)[0]}, which is over"
+        unknown = set(view.inflight) - set(state.requests)
+        if unknown:
+            return f"{view.name} counts {sorted(unknown)[0]}, which has ended"
     return ""
--- a/packages/rookspring-core/src/rookspring_core/mixing.py
+++ b/packages/rookspring-core/src/rookspring_core/mixing.py
@@ -1,8 +1,8 @@
-"""A hash that takes the place of chance in decisions; the same on every node."""
+"""A stable hash that replaces randomness in decisions."""
 
 import xxhash
 
 
 def mix(*parts: str) -> int:
-    """Hash names to a number; the same on every node."""
+    """Hash strings to a 64-bit number that is the same on every node and in every run."""
     return xxhash.xxh64_intdigest("\x00".join(parts).encode())
--- a/packages/rookspring-core/src/rookspring_core/policy_names.py
+++ b/packages/rookspring-core/src/rookspring_core/policy_names.py
@@ -1,7 +1,7 @@
-"""Names of the policies that modules have registered, for checks of what asks for one.
+"""Names of the registered policies, which specs are checked against.
 
-Specs are checked against it, so that the modules of the policies, which need the
-specs, are not imported by the module that declares them.
+The registry is a module of its own, since the policies' modules import the specs and so can't be
+imported by the module that defines them.
 """
 
 NAMES: dict[str, list[str]] = {"routing": [], "placement": []}
--- a/packages/rookspring-core/src/rookspring_core/reducer.py
+++ b/packages/rookspring-core/src/rookspring_core/reducer.py
@@ -1,7 +1,7 @@
-"""The reducer: one function over all events, with effects as data.
+"""The reducer: one function that handles all events and returns effects as data.
 
-Handlers register by event type. Every decision of a node happens in here, so
-that a run can be repeated from its events alone.
+Handlers are registered by event type. All decisions of a node are made here, so a run can be
+reproduced from its events alone.
 """
 
 import typing as t
@@ -18,14 +18,14 @@
 
 
 def handles(event_type: type[t.Any]) -> t.Callable[[H], H]:
-    """Register the handler of an event type; there is one for each.
+    """Register the handler of an event type; each type has exactly one.
 
     :param event_type: a class of :mod:`rookspring_core.events`.
     """
 
     def register(function: H) -> H:
         if event_type in HANDLERS:
-            raise TypeError(f"{event_type.__name__} has a handler already")
+            raise TypeError(f"{event_type.__name__} already has a handler")
         HANDLERS[event_type] = function
         return function
 
@@ -33,12 +33,12 @@
 
 
 def reduce(state: NodeState, event: Event) -> Effects:
-    """Take one event, change the state, and give the effects to perform.
+    """Handle one event: update the state and return the effects to carry out.
 
-    :raises InvariantBroken: when a promise does not hold afterwards; the process
-        must end, since going on could break it towards callers.
+    :raises InvariantBroken: when an invariant does not hold afterwards. The process must end, since
+        callers could get wrong answers if it went on.
     """
-    # Time never goes back within a node, even where events are delivered late.
+    # Events may be delivered late; the node's time never decreases.
     state.now = max(state.now, event.at)
     effects = HANDLERS[type(event)](state, event)
     invariants.check(state, event, effects)
--- a/packages/rookspring-core/src/rookspring_core/resources.py
+++ b/packages/rookspring-core/src/rookspring_core/resources.py
@@ -1,10 +1,9 @@
-"""Resources that operators declare, and the checks on a single one.
+"""Resources that operators declare, and the checks of a single one.
 
-The resource API checks each write with :func:`check_resource`; the lease
-holder checks again at acceptance, since the platform's objects can be written
-by other hands. Specs are ``NamedTuple`` classes in the registry ``KINDS``; the
-checks on their fields are carried out by :mod:`_validation`, which loads its
-library only once a document is checked.
+The resource API checks each write with :func:`check_resource`. The lease holder checks again on
+acceptance, since other clients can write the platform's objects as well. Specs are ``NamedTuple``
+classes in the registry ``KINDS``. Their fields are checked by :mod:`_validation`, which imports
+pydantic only when a document is checked.
 """
 
 import re
@@ -15,11 +14,11 @@
 
 
 class Check:
-    """Bounds of a field, by the names that the validating library gives them.
+    """Bounds of a field, by pydantic's names for them.
 
-    It stands in a field's annotation without the library. A relay node checks no
-    documents, and without that library its start takes 0.31 s of processor in place of
-    0.49, and 30 MiB in place of 40 (medians of ten whole processes).
+    Used in annotations, so that they don't need pydantic. A relay node checks no documents; without
+    pydantic its start takes 0.31 s of processor time rather than 0.49 s, and 30 MiB rather than 40
+    (medians of ten processes).
 
     :param bounds: such as ``ge`` or ``pattern``.
     """
@@ -30,7 +29,7 @@
     def __get_pydantic_core_schema__(
         self, source: t.Any, handler: t.Callable[[t.Any], dict[str, t.Any]]
     ) -> dict[str, t.Any]:
-        """Add the bounds to the schema that the library makes of the field's type."""
+        """Add the bounds to pydantic's schema of the field's type."""
         return {**handler(source), **self.bounds}
 
 
@@ -59,7 +58,7 @@
 
 @kind("Model")
 class ModelSpec(t.NamedTuple):
-    """A model to keep reachable; memory in gigabytes of one runner's accelerators."""
+    """A model that has to stay reachable; memory in gigabytes of one runner's accelerators."""
 
     version: t.Annotated[str, Check(min_length=1, max_length=64)]
     memory_gb: Positive
@@ -72,7 +71,7 @@
 
 @kind("Adapter")
 class AdapterSpec(t.NamedTuple):
-    """A small set of weights upon a base model."""
+    """A small set of weights that extends a base model."""
 
     model: Name
     memory_gb: Positive = 0.1
@@ -90,7 +89,7 @@
 
 @kind("Team")
 class TeamSpec(t.NamedTuple):
-    """Callers that share keys and limits; keys are kept as SHA-256 digests."""
+    """Callers that share keys and limits; keys are stored as SHA-256 digests."""
 
     key_sha256: tuple[t.Annotated[str, Check(pattern=r"^[0-9a-f]{64}$")], ...]
     requests_per_s: Positive = 1e6
@@ -100,7 +99,7 @@
 
 @kind("Policy")
 class PolicySpec(t.NamedTuple):
-    """How attainment is weighed against moves, and the weight store's limits."""
+    """The weight of moves against demand, the policies, and the limits of the weight store."""
 
     move_weight: t.Annotated[float, Check(ge=0, le=1e6, allow_inf_nan=False)] = 1.0
     placement: Name = "gain"
@@ -110,7 +109,7 @@
 
 
 class Resource(t.NamedTuple):
-    """One declared resource with the platform's version of it (0 when unwritten)."""
+    """A declared resource with its version in the platform (0 before it is written)."""
 
     kind: str
     name: str
@@ -124,11 +123,11 @@
 
 
 def parse_spec(kind_name: str, spec: object) -> t.Any:
-    """Turn a mapping into the kind's spec.
+    """Convert a mapping to the kind's spec.
 
     :raises ResourceInvalid: with every faulty field named.
     """
-    # Loaded here alone: see ``Check``.
+    # Imported here to avoid the import of pydantic; see ``FieldBounds``.
     from . import _validation  # noqa: PLC0415
 
     cls = KINDS.get(kind_name)
@@ -145,7 +144,7 @@
 
 
 def _check_policy(policy: PolicySpec) -> None:
-    """Check that the policies named are registered, since each request needs them."""
+    """Check that the named policies are registered, since every request needs them."""
     faults = [
         f"spec.{field}: one of {', '.join(names)} was expected"
         for field, names in NAMES.items()
--- a/packages/rookspring-core/src/rookspring_core/state.py
+++ b/packages/rookspring-core/src/rookspring_core/state.py
@@ -1,4 +1,4 @@
-"""All that a node knows, in one place, changed by the reducer alone."""
+"""The complete state of a node. Only the reducer's handlers change it."""
 
 import typing as t
 
@@ -33,7 +33,7 @@
 
 
 class Identity(t.NamedTuple):
-    """Who a node is; the incarnation is new at each start."""
+    """Identifies a node; its incarnation is new at each start."""
 
     name: str
     incarnation: str
@@ -43,9 +43,9 @@
 
 
 class Charge(t.NamedTuple):
-    """What a request counts for in its organisation's allotment.
+    """The units that a request takes from its organisation's allotment.
 
-    :param asked: the organisation's owner granted it.
+    :param granted_by_owner: the organisation's owner granted the units.
     """
 
     organisation: str
@@ -54,7 +54,10 @@
 
 
 class Parked(t.NamedTuple):
-    """A request that waits for its organisation's owner, and until when."""
+    """A request that waits for a decision of its organisation's owner.
+
+    :param until: when the wait ends, by this node's clock.
+    """
 
     arrived: RequestArrived
     charge: Charge
@@ -62,10 +65,11 @@
 
 
 class SlotHeld(t.NamedTuple):
-    """A slot that an owner has given to a request, and since when.
+    """A slot that an owner has granted to a request.
 
-    :param queue: of which owner; see :mod:`slotting`.
-    :param rated: it counts towards the requests a second that its endpoint takes.
+    :param queue: key of the slot queue that granted it; see :mod:`slotting`.
+    :param at: when it was granted.
+    :param counts_towards_rate: the slot is a permit of the endpoint's request rate as well.
     """
 
     queue: str
@@ -75,14 +79,17 @@
 
 
 class TurnAsked(t.NamedTuple):
-    """A request that asks for a turn at an endpoint, and until when it may wait for that."""
+    """A request that waits for a permit of an endpoint's rate limiter.
+
+    :param until: when the wait ends, by this node's clock.
+    """
 
     endpoint: str
     until: float
 
 
 class RequestState:
-    """One request at its entry node."""
+    """A request on its entry node, from its arrival to its end."""
 
     __slots__ = (
         "alone",
@@ -114,35 +121,39 @@
         self.attempt = 0
         self.endpoint = ""
         self.tried: set[str] = set()
-        # Whether a byte may be with an endpoint that has not said "not run".
+        # Whether a byte may have reached an endpoint that has not reported "not run".
         self.sent = False
+        # Whether the endpoint of the last failed attempt reported that it did not run it.
         self.not_run_said = False
         self.maybe_ran = False
-        # Attempts of which a byte may have left, for the bound of a route.
+        # Attempts of which a byte may have left; a route limits their number.
         self.sends = 0
         self.limited = False
         self.charge: Charge | None = None
-        # The slot that its service's owner gave it; when it was asked for, and whether the
-        # owner has said that the request waits in its queue.
+        # The slot granted by the owner of the queue, when one was requested, and whether the
+        # owner has confirmed that the request waits in its queue.
         self.slot: SlotHeld | None = None
         self.slot_asked_at: float | None = None
         self.slot_heard = False
         self.slot_queue = ""
-        # Endpoints that had no turn for it, and when they have one.
+        # Endpoints whose rate limiter refused a permit, with the time when one is expected.
         self.turns_due: dict[str, float] = {}
         self.running = False
-        # Whether its endpoint had no other prompt to read, and was not busy, when it was sent.
+        # Whether its endpoint had no unread prompt and a low load when the request was sent, so
+        # that the time to the first event measures this prompt alone.
         self.alone = False
         self.delivered = 0
+        # Consecutive attempts that delivered no token.
         self.barren = 0
         self.dispatched_at = 0.0
-        # When its endpoint's process was started, and when it gave the first event of this attempt.
+        # When its endpoint's process started (ms, by that box's clock), and when the first event
+        # of this attempt came from it (by this node's clock).
         self.born = 0
         self.first_at: float | None = None
 
 
 class Decision(t.NamedTuple):
-    """One recorded decision, for ``rookctl explain``."""
+    """A recorded decision, shown by ``rookctl explain``."""
 
     at: float
     subject: str
@@ -151,7 +162,7 @@
 
 
 class NodeState:
-    """The state of one node. Handlers change it; nothing else does."""
+    """The state of one node. Only the reducer's handlers change it."""
 
     def __init__(self, identity: Identity, started_at: float = 0.0) -> None:
         self.identity = identity
@@ -159,7 +170,8 @@
         self.now = started_at
         self.ticked_at = started_at
         self.catalogue = Catalogue()
-        # Whether the configuration is a route table that the platform accepts.
+        # Whether the configuration is a route table that the platform has accepted, in place of
+        # declared resources.
         self.relaying = False
         self.table: RouteTable | None = None
         self.residency = Residency()
@@ -182,26 +194,28 @@
         self.allotments = Allotments(None, started_at)
         self.owners = OwnerTable(identity.name)
         self.parked: dict[str, Parked] = {}
-        # Requests that ask for a turn at an endpoint; they stand in no queue meanwhile.
+        # Requests that wait for a permit of an endpoint's rate limiter. Meanwhile they are in
+        # none of this node's queues.
         self.turns_asked: dict[str, TurnAsked] = {}
-        # Whether owners give out the slots of plain services, and the queues of those that
-        # this node owns.
+        # Whether owner nodes grant the slots of plain services, and the slot queues that this
+        # node owns.
         self.slots_by_owner = False
         self.slot_queues: dict[str, SlotQueue] = {}
         self.budget = RetryBudget()
         self.once = OnceTable()
         self.membership = Membership(identity.name, identity.data_centre)
         self.topology = Topology(self.membership)
-        # How much this node can carry; see ``PeerHeard``.
+        # What this node can carry, in cores with the link for them; see ``HeartbeatReceived``.
         self.strength = 0.0
         self.control = ControlState()
-        # How often the platform's store has come back from a copy, as far as is known here.
+        # How often the platform's store has been restored from an older copy, as far as this node
+        # knows.
         self.store_era = 0
         self.platform_at = started_at
         self.platform_reachable = False
         self.draining_since: float | None = None
-        # How long a leaving node goes on serving, in seconds, for callers who still
-        # hold its address.
+        # How long a leaving node continues to serve, in seconds, since callers may have its
+        # address cached.
         self.drain_serve_s = defaults.ADDRESS_TTL_S + defaults.DRAIN_MARGIN_S
         self.hurry = False
         self.stopped = False
@@ -213,24 +227,30 @@
         self.routing_override = ""
 
     def index(self, view: EndpointView, before: frozenset[str], after: frozenset[str]) -> None:
-        """Keep the index of endpoints by target, so that a request looks only at its own."""
+        """Update the index of endpoints by target.
+
+        It spares a request the scan of endpoints that can't serve its target.
+
+        :param before: targets that the endpoint served until now.
+        :param after: targets that it serves from now on.
+        """
         for target in before - after:
             self.hosts.get(target, {}).pop(view.name, None)
         for target in after:
             self.hosts.setdefault(target, {})[view.name] = view
 
     def record(self, subject: str, what: str, why: str) -> None:
-        """Keep a decision for later questions, the oldest given up first."""
+        """Record a decision; drops the oldest quarter of the records when there are too many."""
         self.decisions.append(Decision(self.now, subject, what, why))
         if len(self.decisions) > defaults.DECISIONS_MAX:
             del self.decisions[: defaults.DECISIONS_MAX // 4]
 
     @property
     def revision(self) -> int:
-        """Give the version of the configuration in force, whichever kind it is of."""
+        """Version of the configuration in force: of the route table if there is one."""
         return self.table.version if self.table else self.catalogue.revision
 
     @property
     def leaving(self) -> bool:
-        """Whether this node is on its planned way out."""
+        """Whether the planned stop of this node has begun."""
         return self.draining_since is not None
