--- a/bench/notice_mutants.py
+++ b/bench/notice_mutants.py
@@ -1,7 +1,8 @@
 """Wrong decisions about what endpoints say of themselves."""
 
 import typing as t
-
+from .mutant import Mutant
+from .mutant import NOTICES
 from rookspring import relay_merged
 from rookspring import relay_notices
 from rookspring_core import comebacks
@@ -14,8 +15,7 @@
 from rookspring_core.notices import NoticeTable
 from rookspring_core.notices import Rest
 
-from .mutant import NOTICES
-from .mutant import Mutant
+
 
 
 def _nothing(*given: t.Any) -> None:
@@ -59,7 +59,7 @@
     """Take the word of another process for that of the one that was asked."""
     if not event.notice.leaving:
         return []
-    return noticing._note_leaving(state, event.endpoint, event.born)
+    return noticing._note_leaving(state, event.endpoint, event.started_ms)
 
 
 def _same_moment(state: t.Any, request: t.Any) -> float:
--- a/bench/passing_mutants.py
+++ b/bench/passing_mutants.py
@@ -2,24 +2,24 @@
 
 import math
 import typing as t
-
+from .mutant import ADAPTERS
+from .mutant import HANDOVER
+from .mutant import Mutant
+from .mutant import RELAY
+from .mutant import SLOTS
+from .mutant import STORE
 from rookspring_core import attaching
 from rookspring_core import comebacks
 from rookspring_core import defaults
 from rookspring_core import residency
 from rookspring_core import routed
-from rookspring_core.control import StoreBudget
+from rookspring_core.control import WeightStoreLimiter
 from rookspring_core.effects import AdapterLeft
 from rookspring_core.leases import Lease
 from rookspring_core.slot_queues import SlotAnswer
 from rookspring_core.slot_queues import SlotQueue
 
-from .mutant import ADAPTERS
-from .mutant import HANDOVER
-from .mutant import RELAY
-from .mutant import SLOTS
-from .mutant import STORE
-from .mutant import Mutant
+
 
 _refuse = SlotQueue._refuse
 _come_back = comebacks.come_back
@@ -49,7 +49,7 @@
 
 
 def _keeps_for_long(state: t.Any, model: str) -> float:
-    return float(state.now) + defaults.MODEL_KEPT_S
+    return float(state.now) + defaults.MODEL_KEEP_MAX_S
 
 
 def _keeps_nothing(state: t.Any, model: str) -> float:
@@ -60,10 +60,10 @@
     return min(3.25, _come_back(state, request))
 
 
-def _keeps_a_second(self: StoreBudget, now: float, rate: float) -> None:
-    if self.at is not None:
-        self.level = min(max(self.burst, rate), self.level + (now - self.at) * rate)
-    self.at = now
+def _keeps_a_second(self: WeightStoreLimiter, now: float, rate: float) -> None:
+    if self.refilled_at is not None:
+        self.level = min(max(self.burst, rate), self.level + (now - self.refilled_at) * rate)
+    self.refilled_at = now
 
 
 def _sees_all(self: SlotQueue, ask: t.Any, wait_s: float, now: float) -> SlotAnswer:
@@ -79,6 +79,8 @@
     Mutant("keeps what nobody wants", "reach", residency, "_kept_until", _keeps_for_long, RELAY),
     Mutant("keeps nothing", "reach", residency, "_kept_until", _keeps_nothing, RELAY),
     Mutant("has callers back too soon", "callers", comebacks, "come_back", _told_soon, RELAY),
-    Mutant("keeps a second's loads", "CEILING", StoreBudget, "refill", _keeps_a_second, STORE),
+    Mutant(
+        "keeps a second's loads", "CEILING", WeightStoreLimiter, "refill", _keeps_a_second, STORE
+    ),
     Mutant("refuses blindly", "callers", SlotQueue, "_refuse", _sees_all, SLOTS),
 )
--- a/bench/relay_mutants.py
+++ b/bench/relay_mutants.py
@@ -7,12 +7,23 @@
 import argparse
 import contextlib
 import io
-import typing as t
-from unittest import mock
-
 import orjson
+import typing as t
+from . import clock_mutants
+from . import era_mutants
+from . import notice_mutants
+from . import organisation_mutants
+from . import passing_mutants
+from . import rate_mutants
+from . import suspect_mutants
+from .mutant import ADAPTERS
+from .mutant import ENTRIES
+from .mutant import LIVES
+from .mutant import Mutant
+from .mutant import SIZE
+from .registry import experiment
+from .registry import report
 from behave.__main__ import main as behave
-
 from rookspring import relay_beats
 from rookspring import relay_members
 from rookspring.relay_lists import EndpointList
@@ -39,21 +50,10 @@
 from rookspring_platform import dialect
 from rookspring_platform import store
 from rookspring_platform.dialect import PlatformDialect
+from unittest import mock
+
+
 
-from . import clock_mutants
-from . import era_mutants
-from . import notice_mutants
-from . import organisation_mutants
-from . import passing_mutants
-from . import rate_mutants
-from . import suspect_mutants
-from .mutant import ADAPTERS
-from .mutant import ENTRIES
-from .mutant import LIVES
-from .mutant import SIZE
-from .mutant import Mutant
-from .registry import experiment
-from .registry import report
 
 
 def _always(*given: t.Any) -> bool:
@@ -172,7 +172,7 @@
 
 
 def _any_life(known: t.Any, event: t.Any) -> str:
-    return "new" if known is not None and known.born != event.born else "same"
+    return "new" if known is not None and known.started_ms != event.started_ms else "same"
 
 
 def _blank_room(before: Room) -> Room:
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -9,18 +9,18 @@
 import functools
 import random
 import typing as t
-from unittest import mock
-
+from .registry import experiment
+from .registry import report
 from rookspring.logs import configure
 from rookspring_core import notices
 from rookspring_core import noticing
 from rookspring_core.endpoints import EndpointView
-from rookspring_core.mixing import mix
+from rookspring_core.hashing import stable_hash
 from rookspring_core.notices import NoticeTable
 from rookspring_fakes.fleet_callers import FleetCallers
+from unittest import mock
+
 
-from .registry import experiment
-from .registry import report
 
 ENDPOINTS = 6
 SLOTS = 12
@@ -77,7 +77,7 @@
     def later(state: t.Any, view: EndpointView) -> None:
         recall(state, view)
         if view.rests(state.now):
-            spread = mix(state.identity.name, view.name) % 1000 / 1000.0
+            spread = stable_hash(state.identity.name, view.name) % 1000 / 1000.0
             view.rest_until += spread * RAMP_SHARE * REST_S
 
     stack.enter_context(mock.patch.object(noticing, "recall", later))
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -9,8 +9,9 @@
 import time
 import tracemalloc
 import typing as t
+from .registry import experiment
+from .registry import report
 from functools import partial
-
 from rookspring import gossip
 from rookspring import peers
 from rookspring_core import Entry
@@ -18,17 +19,17 @@
 from rookspring_core import NodeState
 from rookspring_core import Resource
 from rookspring_core import reduce
-from rookspring_core.acceptance import Room
+from rookspring_core.acceptance import RunnerMemory
 from rookspring_core.acceptance import accept
 from rookspring_core.catalogue import Catalogue
 from rookspring_core.catalogue import build_catalogue
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListCame
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
-from rookspring_core.events import PeerHeard
+from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RevisionSeen
 from rookspring_core.events import Ticked
@@ -38,8 +39,7 @@
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
-from .registry import experiment
-from .registry import report
+
 
 REPLICAS = 4
 
@@ -73,7 +73,7 @@
     rows = tuple(
         BoxListed(f"r-{number}", "a", "dc", "runner", "live", "e") for number in range(endpoints)
     )
-    reduce(state, BoxListCame(1.0, rows))
+    reduce(state, BoxListReceived(1.0, rows))
     for number in range(endpoints):
         reduce(state, report_of(number, 1.0, models))
     for number in range(nodes):
@@ -81,11 +81,13 @@
     return state
 
 
-def beat_of(number: int, at: float, models: int, inflight: int = 0) -> PeerHeard:
+def beat_of(number: int, at: float, models: int, inflight: int = 0) -> HeartbeatReceived:
     """Make another node's heartbeat."""
     demand = tuple((f"m-{one:04d}", 12.5) for one in range(models))
     rows = tuple((f"r-{one}", 3) for one in range(inflight))
-    return PeerHeard(at, f"n-{number}", "1", "a", "a", "dc", 1, False, demand, (), 0, inflight=rows)
+    return HeartbeatReceived(
+        at, f"n-{number}", "1", "a", "a", "dc", 1, False, demand, (), 0, inflight=rows
+    )
 
 
 def time_of(work: t.Callable[[int], t.Any], times: int) -> float:
@@ -173,7 +175,7 @@
         yield _row("plan (holder)", f"models on {runners} runners", models, cost / 1000, "ms")
     for models in (20, 200, 990):
         entries = entries_of(models, models * 5)
-        rooms = tuple(Room("e", 72.0) for _ in range(models))
+        rooms = tuple(RunnerMemory("e", 72.0) for _ in range(models))
         change = Resource("Model", "m-0000", {"version": "v2", "memory_gb": 10.0, "engine": "e"}, 9)
         desired = {one.resource.key: one.resource for one in entries.values() if one.resource}
         desired[change.key] = change
@@ -182,7 +184,10 @@
 
 
 def _accept(
-    desired: dict[str, Resource], entries: dict[str, Entry], rooms: tuple[Room, ...], number: int
+    desired: dict[str, Resource],
+    entries: dict[str, Entry],
+    rooms: tuple[RunnerMemory, ...],
+    number: int,
 ) -> dict[str, Entry]:
     return accept(desired.values(), entries, rooms)
 
--- a/bench/suspect_mutants.py
+++ b/bench/suspect_mutants.py
@@ -1,15 +1,15 @@
 """Wrong decisions about requests under which endpoints end."""
 
 import typing as t
-
+from .mutant import CRASHES
+from .mutant import Mutant
 from rookspring import relay_merged
 from rookspring import relay_suspects
 from rookspring_core import suspecting
 from rookspring_core.suspects import Evidence
 from rookspring_core.suspects import SuspectTable
 
-from .mutant import CRASHES
-from .mutant import Mutant
+
 
 
 def _no_effects(*given: t.Any) -> list[t.Any]:
@@ -32,7 +32,7 @@
 
 def _any_end(state: t.Any, request: t.Any, event: t.Any) -> list[t.Any]:
     """Take an end that was planned for one under the request."""
-    life = suspecting.Life(request.endpoint, request.born)
+    life = suspecting.Life(request.endpoint, request.endpoint_started_ms)
     sighting = suspecting._sight(state, request, life)
     told = suspecting._tell(state, Evidence(tuple(state.suspects.note_broken(sighting))))
     return told + (suspecting._end(state, life) if event.down else [])
--- a/features/adapter_stage.py
+++ b/features/adapter_stage.py
@@ -10,39 +10,37 @@
 import itertools
 import random
 import typing as t
-
 from adapter_runner import ADAPTER_SLOTS
 from adapter_runner import DISK_LOAD_S
-from adapter_runner import STORE_LOAD_S
 from adapter_runner import Runner
+from adapter_runner import STORE_LOAD_S
 from relay_harness import LIMITS
 from relay_harness import RelayHarness
-
 from rookspring_core import attaching
 from rookspring_core.effects import AdapterLeft
 from rookspring_core.effects import Dispatch
 from rookspring_core.effects import ReadReport
 from rookspring_core.effects import Refuse
-from rookspring_core.effects import Remind
+from rookspring_core.effects import RequestLoad
 from rookspring_core.effects import SendOrder
-from rookspring_core.effects import ShareComing
+from rookspring_core.effects import ShareLoading
 from rookspring_core.effects import ShareReport
-from rookspring_core.effects import Want
+from rookspring_core.effects import StartOrderTimer
 from rookspring_core.effects import WriteLease
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListCame
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
-from rookspring_core.events import ComingHeard
-from rookspring_core.events import EndpointSaid
+from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LeaseWritten
-from rookspring_core.events import ModelWanted
+from rookspring_core.events import LoadRequested
+from rookspring_core.events import LoadingReceived
+from rookspring_core.events import NoticeReceived
 from rookspring_core.events import OrderAnswered
 from rookspring_core.events import OrderDue
-from rookspring_core.events import PeerHeard
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTableSeen
 from rookspring_core.events import RouteTerms
@@ -53,6 +51,8 @@
 from rookspring_core.routes import RouteTable
 from rookspring_core.routes import ServiceSize
 
+
+
 NETWORK_S = 0.001
 BEAT_S = 0.4
 TICK_S = 0.1
@@ -177,7 +177,7 @@
         if node is self.holder:
             return
         control = node.state.control
-        heard = PeerHeard(
+        heard = HeartbeatReceived(
             self.now,
             node.name,
             node.name,
@@ -188,8 +188,8 @@
             False,
             demand=tuple(control.meter.rates.items()),
             used=attaching.used_rows(node.state),
-            urgent=tuple(control.urgent.meter.rates.items()),
-            missed=tuple(control.missed.meter.rates.items()),
+            urgent_demand=tuple(control.urgent_demand.meter.rates.items()),
+            refused_demand=tuple(control.refused_demand.meter.rates.items()),
         )
         self.after(NETWORK_S, lambda: self.holder.submit(heard._replace(at=self.now)))
 
@@ -203,7 +203,7 @@
             if one.alive
         )
         for node in self.nodes:
-            node.submit(BoxListCame(self.now, rows))
+            node.submit(BoxListReceived(self.now, rows))
 
     def lose(self, name: str, silent: bool = False) -> None:
         """Fail a runner; its entry in the list is removed a second later.
@@ -243,12 +243,12 @@
             case WriteLease():
                 answer = LeaseWritten(self.now, self.now, effect.nonce, True, effect.version + 1)
                 self.after(NETWORK_S, lambda: node.submit(answer))
-            case Want():
-                self.after(NETWORK_S, lambda: self.holder.submit(ModelWanted(self.now, *effect)))
+            case RequestLoad():
+                self.after(NETWORK_S, lambda: self.holder.submit(LoadRequested(self.now, *effect)))
             case ShareReport() if node is self.holder:
                 for other in self.nodes[1:]:
                     self.after(NETWORK_S, lambda other=other: other.submit(effect.report))
-            case ShareComing():
+            case ShareLoading():
                 for other in self.nodes[1:]:
                     self.after(
                         NETWORK_S,
@@ -256,7 +256,7 @@
                     )
             case ReadReport():
                 self.read(node, effect)
-            case Remind():
+            case StartOrderTimer():
                 due = (effect.endpoint, effect.taken_before)
                 self.after(effect.after_s, lambda: node.submit(OrderDue(self.now, *due)))
             case SendOrder():
@@ -269,9 +269,9 @@
             case AdapterLeft():
                 self.left.append(effect)
 
-    def tell_coming(self, node: Node, told: ShareComing) -> None:
+    def tell_coming(self, node: Node, told: ShareLoading) -> None:
         """Send a node the notice of a load under way."""
-        node.submit(ComingHeard(self.now, told.endpoint, told.model, told.in_s))
+        node.submit(LoadingReceived(self.now, told.endpoint, told.model, told.in_s))
 
     def read(self, node: Node, effect: ReadReport) -> None:
         """Read a runner's own report, which arrives with a lag."""
@@ -280,7 +280,7 @@
             return
 
         def look() -> None:
-            report = self.report(runner)._replace(own=True)
+            report = self.report(runner)._replace(polled=True)
             self.after(REPORT_LAG_S, lambda: node.submit(report._replace(at=self.now)))
 
         self.after(max(0.0, effect.after_s - REPORT_LAG_S), look)
@@ -342,7 +342,7 @@
             model, slash, _ = name.partition("/")
             lacks = Notice(misdirected=True)
             adapter = name if slash else ""
-            node.submit(EndpointSaid(self.now, effect.endpoint, 0, lacks, "", model, adapter))
+            node.submit(NoticeReceived(self.now, effect.endpoint, 0, lacks, "", model, adapter))
         node.submit(AttemptFailed(self.now, effect.request_id, effect.attempt, True, True, "421"))
 
     def start_run(self, node: Node, effect: Dispatch) -> None:
--- a/features/relay_harness.py
+++ b/features/relay_harness.py
@@ -5,19 +5,19 @@
 from rookspring_core import reduce
 from rookspring_core.effects import AdapterLeft
 from rookspring_core.effects import Dispatch
+from rookspring_core.effects import LoadRequestDeclined
+from rookspring_core.effects import LoadRequestEnded
 from rookspring_core.effects import ReadReport
 from rookspring_core.effects import Refuse
-from rookspring_core.effects import Remind
+from rookspring_core.effects import RequestLoad
 from rookspring_core.effects import SendOrder
 from rookspring_core.effects import ShareDown
-from rookspring_core.effects import Want
-from rookspring_core.effects import WantDeclined
-from rookspring_core.effects import WantEnded
+from rookspring_core.effects import StartOrderTimer
 from rookspring_core.effects import WriteLease
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListCame
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
 from rookspring_core.events import LeaseSeen
@@ -79,10 +79,10 @@
             Dispatch: self.sent,
             Refuse: self.refused,
             SendOrder: self.orders,
-            Want: self.wants,
+            RequestLoad: self.wants,
             ShareDown: self.told_down,
-            WantDeclined: self.told,
-            WantEnded: self.told,
+            LoadRequestDeclined: self.told,
+            LoadRequestEnded: self.told,
             AdapterLeft: self.told,
         }
         effects = reduce(self.state, event)
@@ -98,7 +98,7 @@
 
     def list_endpoints(self, names, service, role, state="live"):
         rows = [BoxListed(name, name, "z", role, state, service) for name in names]
-        self.submit(BoxListCame(self.now, tuple(rows)))
+        self.submit(BoxListReceived(self.now, tuple(rows)))
 
     def report(self, name, resident=(), adapters=(), token=(0, 0), **fields):
         return EndpointReported(
@@ -193,7 +193,7 @@
     def entry(self, name):
         """Make the report that the endpoint list's entry of a runner gives now."""
         runner = self.runners[name]
-        fields = {"on_disk": runner["disk"], "born": runner.get("born", 0)}
+        fields = {"on_disk": runner["disk"], "started_ms": runner.get("born", 0)}
         return self.report(name, runner["models"], token=(0, -1), **fields)
 
     def perform(self, effect):
@@ -203,7 +203,7 @@
             self.submit(LeaseWritten(self.now, self.now, effect.nonce, True, effect.version + 1))
         elif isinstance(effect, ReadReport):
             self.read_report(effect)
-        elif isinstance(effect, Remind):
+        elif isinstance(effect, StartOrderTimer):
             self.submit(OrderDue(self.now, effect.endpoint, effect.taken_before))
         elif isinstance(effect, SendOrder):
             self.carry_out(effect)
@@ -215,7 +215,7 @@
             token = (0, runner["taken"])
             models, adapters = runner["models"], runner["adapters"]
             disk = runner["disk"]
-            fields = {"own": True, "on_disk": disk, "born": runner.get("born", 0)}
+            fields = {"polled": True, "on_disk": disk, "started_ms": runner.get("born", 0)}
             report = self.report(effect.endpoint, models, adapters, token, **fields)
             self.submit(report)
 
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -4,15 +4,15 @@
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
-
 from rookspring_core.effects import AdapterLeft
-from rookspring_core.effects import WantDeclined
-from rookspring_core.effects import WantEnded
-from rookspring_core.events import ComingHeard
-from rookspring_core.events import ModelWanted
-from rookspring_core.events import PeerHeard
+from rookspring_core.effects import LoadRequestDeclined
+from rookspring_core.effects import LoadRequestEnded
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import LoadRequested
+from rookspring_core.events import LoadingReceived
 from rookspring_core.events import Ticked
 
+
 # How long requests wait by the harness's route, in seconds; how often each wait is repeated.
 PATIENCE_S = 0.1
 WAIT_REPEATS = 12
@@ -22,12 +22,12 @@
 
 
 def want(holder, adapter):
-    holder.submit(ModelWanted(holder.now, "llm", "m", f"m/{adapter}"))
+    holder.submit(LoadRequested(holder.now, "llm", "m", f"m/{adapter}"))
 
 
 def use(holder, adapters):
     used = tuple(("e1", f"m/{one}") for one in adapters)
-    peer = PeerHeard(holder.now, "p0", "i", "a", "c", "z", 1, False, used=used)
+    peer = HeartbeatReceived(holder.now, "p0", "i", "a", "c", "z", 1, False, used=used)
     holder.submit(peer)
 
 
@@ -82,9 +82,9 @@
 
 def describe(one):
     match one:
-        case WantDeclined():
+        case LoadRequestDeclined():
             return f"{one.adapter} declined: {one.why}"
-        case WantEnded():
+        case LoadRequestEnded():
             return f"{one.adapter} {one.outcome}, asked for {TIMES.get(one.times, one.times)}"
         case AdapterLeft():
             return f"{one.adapter} left {'used' if one.used else 'unused'}"
@@ -107,7 +107,7 @@
     node.submit(node.report("e1", ("m",)))
     if does != "is free":
         seconds = float(does.split()[-2])
-        node.submit(ComingHeard(node.now, "e1", "n", seconds))
+        node.submit(LoadingReceived(node.now, "e1", "n", seconds))
 
 
 @when("an adapter of m is requested that is attached nowhere")
@@ -128,7 +128,7 @@
 def holder_told(context):
     wanted = context.node.wants[-1]
     after_s = PATIENCE_S + context.node.refused[-1].retry_after_s
-    assert abs(wanted.back_s - after_s) < 0.15, (wanted.back_s, after_s)
+    assert abs(wanted.latest_retry_s - after_s) < 0.15, (wanted.latest_retry_s, after_s)
 
 
 @given("an endpoint holding {held}, and a request for {requested}")
@@ -153,8 +153,8 @@
     node = context.node
     node.now += 0.1
     node.submit(Ticked(node.now))
-    got = node.state.control.missed.meter.rates.get("m", 0.0) > 0.0
-    assert got == (missed == "yes"), node.state.control.missed.meter.rates
+    got = node.state.control.refused_demand.meter.rates.get("m", 0.0) > 0.0
+    assert got == (missed == "yes"), node.state.control.refused_demand.meter.rates
 
 
 @when("a9 is attached and evicted before any request has used it")
--- a/features/steps/allotment_steps.py
+++ b/features/steps/allotment_steps.py
@@ -1,10 +1,8 @@
 import random
-
 from behave import then
 from behave import when
 from key_stories import KEYS
 from key_stories import directory_of
-
 from rookspring_core.allotments import WindowTolerance
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTerms
@@ -13,6 +11,8 @@
 from rookspring_fakes.fleet import Fleet
 from rookspring_fakes.fleet import FleetPlan
 
+
+
 TOLERANCE = WindowTolerance(8.0, 0.1, 11_000.0)
 
 
@@ -55,13 +55,13 @@
                     deadline_at=self.fleet.now + 5.0,
                     route=terms,
                     key=self.key,
-                    told_tokens=units,
+                    declared_tokens=units,
                 )
             )
 
     def most_in_window(self, window_s=8.0):
         """Return the most tokens sent and started within any window, and when it starts."""
-        rows = [(sent, began, arrived.told_tokens) for sent, began, arrived in self.fleet.runs]
+        rows = [(sent, began, arrived.declared_tokens) for sent, began, arrived in self.fleet.runs]
         most = (0.0, 0.0)
         for start, _, _ in rows:
             inside = (
@@ -73,7 +73,7 @@
         return most
 
     def ran_between(self, start, end):
-        return sum(one[2].told_tokens for one in self.fleet.runs if start <= one[0] < end)
+        return sum(one[2].declared_tokens for one in self.fleet.runs if start <= one[0] < end)
 
 
 def fleet_with(nodes, rate):
--- a/features/steps/crash_end_steps.py
+++ b/features/steps/crash_end_steps.py
@@ -2,14 +2,13 @@
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
-
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListCame
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
-from rookspring_core.events import EvidenceHeard
+from rookspring_core.events import EvidenceReceived
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTerms
 from rookspring_core.suspects import Evidence
@@ -17,6 +16,7 @@
 from rookspring_core.suspects import Sighting
 from rookspring_fakes.fleet_callers import FATAL
 
+
 # Which events count as a crash, and how they are detected.
 
 
@@ -52,12 +52,12 @@
             BoxListed(name, name, "z", "runner", state if name == self.name else "live", "llm")
             for name in self.there
         ]
-        self.submit(BoxListCame(self.now, tuple(rows)))
+        self.submit(BoxListReceived(self.now, tuple(rows)))
 
     def empty(self):
         """Have all listed endpoints hold no model, so that the next one gets the request."""
         for name, born in self.there.items():
-            self.submit(self.report(name, [], born=born))
+            self.submit(self.report(name, [], started_ms=born))
 
     def lapse(self):
         """Remove the entry of the last endpoint."""
@@ -72,7 +72,7 @@
         self.born = 1000 * self.number
         self.there[self.name] = self.born
         self.relist()
-        self.submit(self.report(self.name, ["m"], born=self.born))
+        self.submit(self.report(self.name, ["m"], started_ms=self.born))
         send_fatal(self, f"r{self.number}")
         last = self.sent[-1]
         self.key = (last.request_id, last.attempt)
@@ -138,7 +138,7 @@
     node.fail()
     node.now += 2.0
     node.there[node.name] = node.born + 1
-    node.submit(node.report(node.name, [], born=node.born + 1))
+    node.submit(node.report(node.name, [], started_ms=node.born + 1))
 
 
 @ending("another node reported its end")
@@ -146,7 +146,7 @@
     node.fail()
     life = Life(node.name, node.born)
     seen = Sighting(f"other-{node.number}", "", life, node.now, True)
-    node.submit(EvidenceHeard(node.now, Evidence((seen,)), "n2"))
+    node.submit(EvidenceReceived(node.now, Evidence((seen,)), "n2"))
 
 
 @ending("it still accepted connections")
@@ -212,7 +212,7 @@
     node.name = "e51"
     node.there[node.name] = 9
     node.relist()
-    node.submit(node.report("e51", ["m"], born=9))
+    node.submit(node.report("e51", ["m"], started_ms=9))
     send_fatal(node, "last")
     reasons = [one.reason for one in node.refused if one.request_id == "last"]
     assert reasons == (["ends_endpoints"] if fate == "refused" else []), reasons
@@ -237,7 +237,7 @@
         node.name = name
     node.relist()
     for name in ("busy", "idle"):
-        node.submit(node.report(name, ["m"], born=9, slots=100))
+        node.submit(node.report(name, ["m"], started_ms=9, slots=100))
     view = node.state.endpoints["busy"]
     view.begin("another", node.now)
     view.hint((7,), node.now)
@@ -284,7 +284,7 @@
         node.name = name
     node.relist()
     for name in ("first", "other"):
-        node.submit(node.report(name, ["m"], born=9))
+        node.submit(node.report(name, ["m"], started_ms=9))
     send_fatal(node, "last")
     context.first = node.sent[-1]
     assert context.first.request_id == "last", node.refused
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -1,10 +1,7 @@
-from functools import partial
-
 from behave import given
 from behave import then
 from behave import when
-from samples import report
-
+from functools import partial
 from rookspring_core import Catalogue
 from rookspring_core import Identity
 from rookspring_core import NodeState
@@ -16,11 +13,11 @@
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListCame
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
 from rookspring_core.events import CallerLeft
-from rookspring_core.events import EndpointSaid
-from rookspring_core.events import PeerHeard
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import NoticeReceived
 from rookspring_core.events import PlatformAnswered
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import SessionOpened
@@ -32,6 +29,9 @@
 from rookspring_core.resources import TeamSpec
 from rookspring_core.retries import RetryBudget
 from rookspring_core.streams import StreamGuard
+from samples import report
+
+
 
 
 class Harness:
@@ -53,7 +53,7 @@
         service = "s" if role == "service" else ""
         boxes = [BoxListed(f"e{i}", f"e{i}", "dc", role, "live", service) for i in (1, 2)]
         self.submit(PlatformAnswered(self.now, True))
-        self.submit(BoxListCame(self.now, tuple(boxes)))
+        self.submit(BoxListReceived(self.now, tuple(boxes)))
         for i in (1, 2):
             self.submit(report(f"e{i}", self.now, resident=(("m", "v1"),)))
 
@@ -86,7 +86,7 @@
     def fail(self, sent=True, not_run=False, leaving=False):
         last = self.sent[-1]
         if leaving:
-            self.submit(EndpointSaid(self.now, last.endpoint, 0, Notice(leaving=True)))
+            self.submit(NoticeReceived(self.now, last.endpoint, 0, Notice(leaving=True)))
         self.submit(AttemptFailed(self.now, last.request_id, last.attempt, sent, not_run, "x"))
 
     def ask(self, **fields):
@@ -217,7 +217,7 @@
     node.submit(PlatformAnswered(node.now, whom == "the platform"))
     node.now += seconds
     if whom == "a node":
-        node.submit(PeerHeard(node.now, "p", "p#1", "a", "a", "dc", 1, False))
+        node.submit(HeartbeatReceived(node.now, "p", "p#1", "a", "a", "dc", 1, False))
     for number in (1, 2):
         node.submit(report(f"e{number}", node.now, resident=(("m", "v1"),)))
     node.ask()
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -1,8 +1,7 @@
 import asyncio
 import json
-import time
-
 import orjson
+import time
 from aiohttp import web
 from behave import given
 from behave import then
@@ -13,7 +12,6 @@
 from hypothesis import strategies
 from relay_stage import RelayStage
 from relay_stage import request
-
 from rookspring.platform import Stored
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
@@ -24,6 +22,8 @@
 from rookspring_platform.endpoints import read_entry
 from rookspring_platform.endpoints import read_report
 
+
+
 GOOD = {
     "service": "llm",
     "address": "10.1.64.1:8122",
@@ -119,7 +119,7 @@
         return
     assert isinstance(row, BoxListed) and isinstance(report, EndpointReported)
     assert row.service and row.address.count(":") == 1 and row.state in ("live", "leaving")
-    assert type(report.slots) is int and report.slots > 0 and report.born >= 0
+    assert type(report.slots) is int and report.slots > 0 and report.started_ms >= 0
     for names in (report.adapters, report.in_memory, report.on_disk):
         assert all(type(one) is str for one in names), names
 
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -1,15 +1,15 @@
 from behave import given
 from behave import then
 from behave import when
-
-from rookspring_core.events import BoxListCame
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
-from rookspring_core.events import DownHeard
+from rookspring_core.events import DownReceived
 from rookspring_core.events import LeaseSeen
-from rookspring_core.events import ModelWanted
+from rookspring_core.events import LoadRequested
 from rookspring_core.events import Ticked
 from rookspring_core.rooms import doubted_mb
 
+
 BORN = 1_700_000_000_000
 SECOND = 1_000
 MODEL_GB = 200_000.0
@@ -33,7 +33,7 @@
 
 
 def want(holder, adapter):
-    holder.submit(ModelWanted(holder.now, "llm", "m", f"m/{adapter}"))
+    holder.submit(LoadRequested(holder.now, "llm", "m", f"m/{adapter}"))
 
 
 def listed(holder, state):
@@ -41,7 +41,7 @@
         BoxListed(name, name, "z", "runner", state if name == "e1" else "live", "llm")
         for name in holder.runners
     ]
-    holder.submit(BoxListCame(holder.now, tuple(rows)))
+    holder.submit(BoxListReceived(holder.now, tuple(rows)))
 
 
 STATES = {}
@@ -99,7 +99,7 @@
 
 @state("it was found down")
 def _down(holder):
-    holder.submit(DownHeard(holder.now, "e1"))
+    holder.submit(DownReceived(holder.now, "e1"))
     assert holder.state.endpoints["e1"].down
 
 
@@ -127,7 +127,7 @@
     holder = context.holder
     context.before = holder.entry("e1")
     context.own_before = context.before._replace(
-        own=True, order_token=(0, holder.runners["e1"]["taken"]), adapters=("m/a2",)
+        polled=True, order_token=(0, holder.runners["e1"]["taken"]), adapters=("m/a2",)
     )
     STATES[state](holder)
     holder.orders.clear()
@@ -201,8 +201,8 @@
         # This node itself can't read the endpoint.
         holder.dead.add("e1")
         holder.submit(row)
-        assert holder.state.endpoints["e1"].report.born == BORN
-        holder.submit(row._replace(at=holder.now + 0.01, sure=True))
+        assert holder.state.endpoints["e1"].report.started_ms == BORN
+        holder.submit(row._replace(at=holder.now + 0.01, start_confirmed=True))
         return
     holder.submit(row)
 
@@ -212,7 +212,7 @@
     holder = context.holder
     holder.pass_time(seconds)
     view = holder.state.endpoints["e1"]
-    assert view.report.born == context.born, view.report
+    assert view.report.started_ms == context.born, view.report
     assert "m" not in view.resident or "m" in holder.runners["e1"]["models"]
 
 
--- a/features/steps/notice_node_steps.py
+++ b/features/steps/notice_node_steps.py
@@ -5,23 +5,23 @@
 from behave import when
 from relay_harness import HolderHarness
 from relay_harness import RelayHarness
-
 from rookspring_core.effects import AskSlot
 from rookspring_core.effects import FreeSlot
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListCame
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
 from rookspring_core.events import CallerLeft
-from rookspring_core.events import EndpointSaid
-from rookspring_core.events import LeavingHeard
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import NoticeReceived
 from rookspring_core.events import SlotAnswered
 from rookspring_core.events import Ticked
 from rookspring_core.notices import Leaving
 from rookspring_core.notices import Notice
 
+
 LEAVES = Notice(leaving=True)
 # The slots of an endpoint; as many runs fill it.
 SLOTS = 8
@@ -40,20 +40,20 @@
 
     def relist(self, address="", names=None):
         rows = [
-            BoxListed(name, address or name, "z", "runner", "live", "llm", born=born)
+            BoxListed(name, address or name, "z", "runner", "live", "llm", started_ms=born)
             for name, born in self.there.items()
             if names is None or name in names
         ]
-        self.submit(BoxListCame(self.now, tuple(rows)))
+        self.submit(BoxListReceived(self.now, tuple(rows)))
         for row in rows:
-            self.tell(row.name, row.born)
+            self.tell(row.name, row.started_ms)
 
     def tell(self, name, born, **fields):
-        token = (0, 0) if fields.get("own") else (0, -1)
-        self.submit(self.report(name, ["m"], token=token, slots=SLOTS, born=born, **fields))
+        token = (0, 0) if fields.get("polled") else (0, -1)
+        self.submit(self.report(name, ["m"], token=token, slots=SLOTS, started_ms=born, **fields))
 
     def say(self, notice, name="e1", born=5, **fields):
-        self.submit(EndpointSaid(self.now, name, born, notice, name, **fields))
+        self.submit(NoticeReceived(self.now, name, born, notice, name, **fields))
 
     def come(self, **fields):
         """Submit a request, and return the endpoint that it is sent to; empty if it is not sent."""
@@ -165,7 +165,7 @@
 @after("its own report states that it is live")
 def _own_report(context, node):
     node.now += 0.1
-    node.tell("e1", 5, own=True)
+    node.tell("e1", 5, polled=True)
 
 
 @after("another node's report states that it is live")
@@ -190,7 +190,7 @@
 def _starts_earlier(context, node):
     node.now += 0.1
     node.there["e1"] = 4
-    node.tell("e1", 4, sure=True)
+    node.tell("e1", 4, start_confirmed=True)
 
 
 @after("a late row of the list has start 4")
@@ -201,13 +201,13 @@
 @after("it restarts, and a late message has start 5 as leaving")
 def _late_word(context, node):
     _starts(context, node)
-    node.submit(LeavingHeard(node.now, (Leaving("e1", 5, node.now - 1.0),), "n2"))
+    node.submit(LeavingReceived(node.now, (Leaving("e1", 5, node.now - 1.0),), "n2"))
 
 
 @after("it restarts, and a node's message has start 6 as leaving")
 def _new_word(context, node):
     _starts(context, node)
-    node.submit(LeavingHeard(node.now, (Leaving("e1", 6, node.now),), "n2"))
+    node.submit(LeavingReceived(node.now, (Leaving("e1", 6, node.now),), "n2"))
 
 
 @after("it restarts, and a late response of start 5 announces it")
@@ -379,7 +379,7 @@
 @when("a slot there was granted before it announced that it leaves")
 def slot_before_leaving(context):
     context.node = node = SlotHarness()
-    node.submit(EndpointSaid(node.now, "f", 0, LEAVES, "f"))
+    node.submit(NoticeReceived(node.now, "f", 0, LEAVES, "f"))
     node.grant()
     context.before = 0
 
@@ -387,7 +387,7 @@
 @when("a slot there was granted before it requested a back-off of 3 s")
 def slot_before_rest(context):
     context.node = node = SlotHarness()
-    node.submit(EndpointSaid(node.now, "f", 0, Notice(turned_away=True, rest_s=3.0), "f"))
+    node.submit(NoticeReceived(node.now, "f", 0, Notice(turned_away=True, rest_s=3.0), "f"))
     node.grant()
     context.before = 0
 
@@ -440,14 +440,14 @@
     context.holder = holder = HolderHarness(["m", "n"])
     holder.orders.clear()
     notice = LEAVES if said == "leaves" else Notice(turned_away=True, rest_s=60.0)
-    holder.submit(EndpointSaid(holder.now, "e1", 0, notice, "e1"))
+    holder.submit(NoticeReceived(holder.now, "e1", 0, notice, "e1"))
 
 
 @when("a model is requested that is resident nowhere")
 def asked_nowhere(context):
     holder = context.holder
     holder.runners["e2"]["models"] = []
-    holder.submit(holder.report("e2", [], token=(0, 0), own=True))
+    holder.submit(holder.report("e2", [], token=(0, 0), polled=True))
     for _ in range(80):
         holder.demand("n", 60_000.0)
         holder.pass_time(0.1)
--- a/features/steps/organisation_steps.py
+++ b/features/steps/organisation_steps.py
@@ -13,24 +13,24 @@
 from relay_harness import RelayHarness
 from relay_harness import make_route
 from relay_harness import make_table
-
 from rookspring import defaults
 from rookspring import relay
 from rookspring.dialect import Errand
 from rookspring.http_messages import HttpRequest
 from rookspring.platform import Stored
 from rookspring_core import keys
+from rookspring_core.events import NearLimitReceived
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTableSeen
 from rookspring_core.events import RouteTerms
 from rookspring_core.events import TableProved
-from rookspring_core.events import TightHeard
 from rookspring_core.freshness import Freshness
 from rookspring_core.freshness import ProofTerms
 from rookspring_core.organisations import digest_of
 from rookspring_platform import PlatformDialect
 from rookspring_platform import configuration
 
+
 TENANTS = [
     {
         "name": "org-a",
@@ -83,7 +83,7 @@
     node.state.proof_terms = ProofTerms(5.0)
     node.submit(RouteTableSeen(node.now, table))
     node.submit(TableProved(node.now, node.now, table.version))
-    node.submit(TightHeard(node.now, node.now, ()))
+    node.submit(NearLimitReceived(node.now, node.now, ()))
     return node
 
 
@@ -350,7 +350,7 @@
     node.submit(first)
     digest = digest_of(b"key-a1")
     node.submit(
-        first._replace(request_id="r1", team="org-a", key=digest, told_tokens=700),
+        first._replace(request_id="r1", team="org-a", key=digest, declared_tokens=700),
     )
     assert [one.request_id for one in node.sent] == ["r0"], node.sent
     assert node.state.allotments.sums(node.now) == {"org-a": 700.0}
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -5,12 +5,10 @@
 import subprocess
 import sys
 import tempfile
-
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
-
 from rookspring.dialect import Errand
 from rookspring.exceptions import SettingsError
 from rookspring.http_messages import HttpHead
@@ -21,6 +19,8 @@
 from rookspring_platform import endpoints
 from rookspring_platform import read_settings
 
+
+
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 SETTINGS = {
     "node-name": "frontend-1",
@@ -307,7 +307,7 @@
 
 @given("an endpoint of start 5 that is known to {known}")
 def known_endpoint(context, known):
-    context.known = RelayHarness().report("e1", born=5)._replace(leaving=known == "leave")
+    context.known = RelayHarness().report("e1", started_ms=5)._replace(leaving=known == "leave")
 
 
 @when("its report tells the state {state} and the start {start:d}")
--- a/features/steps/rate_limit_node_steps.py
+++ b/features/steps/rate_limit_node_steps.py
@@ -1,28 +1,26 @@
 """The rate limit of an endpoint at one node: how long it applies, and how it is enforced."""
 
 import random
-
 from behave import given
 from behave import then
 from behave import when
 from hypothesis import given as drawn
 from hypothesis import settings as drawing
 from hypothesis import strategies
-from notice_node_steps import SLOTS
 from notice_node_steps import NoticeHarness
+from notice_node_steps import SLOTS
 from notice_node_steps import SlotHarness
 from rate_counts import aimed
 from rate_counts import most_in_window
 from relay_harness import HolderHarness
-
 from rookspring_core.effects import AskSlot
 from rookspring_core.effects import FreeSlot
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import CallerLeft
-from rookspring_core.events import EndpointSaid
-from rookspring_core.events import RatesHeard
+from rookspring_core.events import NoticeReceived
+from rookspring_core.events import RatesReceived
 from rookspring_core.events import SlotAnswered
 from rookspring_core.events import Ticked
 from rookspring_core.notices import Notice
@@ -33,6 +31,8 @@
 from rookspring_core.slot_queues import SlotQueue
 
 
+
+
 def naming(rate):
     return Notice(rate=rate, names_rate=rate is not None)
 
@@ -56,7 +56,7 @@
     def hear(self, rate, asked_at, **fields):
         notice = fields.pop("notice", None) or naming(rate)
         self.submit(
-            EndpointSaid(self.now, "e1", fields.pop("born", 5), notice, "e1", "", "", asked_at)
+            NoticeReceived(self.now, "e1", fields.pop("born", 5), notice, "e1", "", "", asked_at)
         )
 
     def grant(self, asked=None, rated=True, **fields):
@@ -99,7 +99,7 @@
 def _told(after_s, *words):
     def play(node):
         node.now = node.heard_at + after_s
-        node.submit(RatesHeard(node.now, words, "n2"))
+        node.submit(RatesReceived(node.now, words, "n2"))
 
     return play
 
@@ -119,9 +119,9 @@
 
 
 def _earlier_and_late(node):
-    _born(4, sure=True)(node)
+    _born(4, start_confirmed=True)(node)
     node.hear(3.0, node.now, born=4)
-    node.submit(RatesHeard(node.now, (RateWord("e1", 5, 9, 1.0),), "n2"))
+    node.submit(RatesReceived(node.now, (RateWord("e1", 5, 9, 1.0),), "n2"))
 
 
 def _lapses(node):
@@ -162,7 +162,7 @@
         "its report has limit 1": lambda node: node.hear(1.0, None),
         "its entry expires and is listed again": _lapses,
         "it restarts, with start 6": _born(6),
-        "it restarts, with the earlier start 4 confirmed": _born(4, sure=True),
+        "it restarts, with the earlier start 4 confirmed": _born(4, start_confirmed=True),
         "it restarts, and an answer of the previous process has limit 3": _starts_and_late,
         "its confirmed start 4 has limit 3, and a record of start 5 comes late": _earlier_and_late,
         "another node's record at 0.5 s ends the limit": _told(0.5, RateWord("e1", 5, 2, None)),
@@ -368,7 +368,7 @@
 @given("a node, and a plain service whose endpoint has a rate limit of 2 requests a second")
 def rated_service(context):
     context.node = node = RatedSlots()
-    node.submit(EndpointSaid(node.now, "f", 0, naming(2.0), "f"))
+    node.submit(NoticeReceived(node.now, "f", 0, naming(2.0), "f"))
 
 
 @when("its owner grants a slot that {counts}")
@@ -453,7 +453,7 @@
     holder.orders.clear()
     for _ in range(200):
         holder.state.paces.note_work(3_000.0)
-    holder.submit(EndpointSaid(holder.now, "e1", 0, naming(0.5), "e1", asked_at=holder.now))
+    holder.submit(NoticeReceived(holder.now, "e1", 0, naming(0.5), "e1", asked_at=holder.now))
 
 
 @when("8 requests a second arrive for that model")
--- a/features/steps/relay_down_steps.py
+++ b/features/steps/relay_down_steps.py
@@ -2,9 +2,9 @@
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
-
 from rookspring_core.events import AttemptFailed
-from rookspring_core.events import DownHeard
+from rookspring_core.events import DownReceived
+
 
 
 @when("another node reports that nothing listens at the first runner")
@@ -14,7 +14,7 @@
     for runner in holder.runners.values():
         runner["disk"] = ("n",)
     holder.relist()
-    holder.submit(DownHeard(holder.now, "e1"))
+    holder.submit(DownReceived(holder.now, "e1"))
     holder.ask(model="n", objective_s=6.0)
     holder.demand("n", 1000.0)
     # The load is never answered.
@@ -29,7 +29,7 @@
 
 @when("another node reports wrongly that nothing listens at the first runner")
 def runner_wrongly_reported_down(context):
-    context.holder.submit(DownHeard(context.holder.now, "e1"))
+    context.holder.submit(DownReceived(context.holder.now, "e1"))
 
 
 @then("it may get requests and orders again within {seconds:g} s")
--- a/features/steps/relay_lease_steps.py
+++ b/features/steps/relay_lease_steps.py
@@ -1,31 +1,31 @@
 import re
-
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
-
 from rookspring_core import governing
+from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LeaseWritten
-from rookspring_core.events import PeerHeard
 from rookspring_core.leases import Lease
 from rookspring_core.leases import LeaseTerms
 
 
+
+
 @given("a relaying node that runs for {own:d} s beside nodes that run for {ages} s")
 def beside_nodes(context, own, ages):
     context.relay_node = node = RelayHarness()
     node.state.started_at = node.now - own
     for number, age in enumerate(ages.split(", ")):
-        heard = PeerHeard(node.now, f"p{number}", "i", "a", "c", "z", 1, False)
-        node.submit(heard._replace(up_s=float(age)))
+        heard = HeartbeatReceived(node.now, f"p{number}", "i", "a", "c", "z", 1, False)
+        node.submit(heard._replace(uptime_s=float(age)))
 
 
 @when("the other node told {ago:g} s ago that it {held} the lease")
 def told_of_lease(context, ago, held):
     node = context.relay_node
-    heard = PeerHeard(node.now, "p0", "i", "a", "c", "z", 1, False, up_s=100.0)
+    heard = HeartbeatReceived(node.now, "p0", "i", "a", "c", "z", 1, False, uptime_s=100.0)
     node.submit(heard._replace(lease_epoch=3 if held == "holds" else 0))
     node.state.control.lease.see(LeaseSeen(node.now, 7, "p0", 3, "x"), "n")
     node.state.now = node.now + ago
--- a/features/steps/relay_order_steps.py
+++ b/features/steps/relay_order_steps.py
@@ -1,25 +1,25 @@
 import random
-
 from behave import given
 from behave import then
 from behave import when
-from relay_harness import SIZES
 from relay_harness import HolderHarness
+from relay_harness import SIZES
 from relay_harness import make_table
-
 from rookspring_core import placement
 from rookspring_core import planning
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptSucceeded
+from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import LeaseSeen
-from rookspring_core.events import ModelWanted
+from rookspring_core.events import LoadRequested
 from rookspring_core.events import OrderAnswered
-from rookspring_core.events import PeerHeard
 from rookspring_core.events import RouteTableSeen
 from rookspring_core.orders import usable
 
 
+
+
 @given("a lease holder over runners holding {held} of 200 GB")
 def lease_holder(context, held):
     context.holder = HolderHarness(held.split(", "))
@@ -28,7 +28,7 @@
 
 
 def want(holder, adapter):
-    holder.submit(ModelWanted(holder.now, "llm", "m", f"m/{adapter}"))
+    holder.submit(LoadRequested(holder.now, "llm", "m", f"m/{adapter}"))
 
 
 @when("an adapter of m is wanted")
@@ -50,7 +50,7 @@
             holder.ask(model="m", adapter=f"m/{name}", key=f"r-{name}")
         assert len(holder.sent) == 2
         return
-    context.peer = PeerHeard(holder.now, "p0", "i", "a", "c", "z", 1, False)
+    context.peer = HeartbeatReceived(holder.now, "p0", "i", "a", "c", "z", 1, False)
     beat(context, (("e1", "m/a2"), ("e1", "m/a3")))
 
 
@@ -288,7 +288,7 @@
     holder.runners["e1"]["models"].append("n")
     holder.list_endpoints(["e1"], "llm", "runner")
     view = holder.state.endpoints["e1"]
-    holder.submit(holder.report("e1", ["m", "n"], ["m/a2", "m/a3"], (0, 0), own=True))
+    holder.submit(holder.report("e1", ["m", "n"], ["m/a2", "m/a3"], (0, 0), polled=True))
     holder.ask(model="m", adapter="m/a2", key="r1")
     assert [one.request_id for one in holder.sent] == ["r1"]
     engine = holder.state.table.services["llm"].engine
@@ -302,7 +302,7 @@
 def adapter_of_n(context, seconds):
     holder = context.holder
     for _ in range(round(seconds / 0.1)):
-        holder.submit(ModelWanted(holder.now, "llm", "n", "n/a7"))
+        holder.submit(LoadRequested(holder.now, "llm", "n", "n/a7"))
         if holder.state.requests.get("r1"):
             holder.submit(AttemptProgressed(holder.now, "r1", 1, 1))
         holder.pass_time(0.1)
@@ -342,7 +342,7 @@
     runner = holder.runners["e1"]
     runner["models"].remove("m")
     runner["taken"] += 1
-    holder.submit(holder.report("e1", runner["models"], (), (0, runner["taken"]), own=True))
+    holder.submit(holder.report("e1", runner["models"], (), (0, runner["taken"]), polled=True))
 
 
 @then("the holder counts nothing of m there any more")
@@ -423,7 +423,7 @@
     holder.now += 0.5
     if what == "its report":
         token = holder.state.endpoints["e1"].report.order_token
-        holder.submit(holder.report("e1", ["m"], (), token, own=True))
+        holder.submit(holder.report("e1", ["m"], (), token, polled=True))
     elif what == "its row again":
         holder.list_endpoints(["e1", "e2"], "llm", "runner")
     context.open = holder.state.endpoints["e1"].open_for_work(holder.now)
--- a/features/steps/relay_socket_steps.py
+++ b/features/steps/relay_socket_steps.py
@@ -1,7 +1,6 @@
 import asyncio
-import time
-
 import ports
+import time
 from behave import given
 from behave import then
 from behave import when
@@ -9,13 +8,14 @@
 from relay_stage import configuration
 from relay_stage import read_answer
 from relay_stage import request
-
 from rookspring import clock
 from rookspring.exceptions import SettingsError
 from rookspring.messages import TableGiven
 from rookspring.platform import Stored
 from rookspring_fakes.model_server import EVENTS
 
+
+
 SAFE_HEADERS = {"host", "x-rookspring-request-id", "content-length"}
 
 
@@ -313,7 +313,7 @@
 
 @then("the new retry terms are in force")
 def new_terms(context):
-    assert context.relay.node.context.state.window_terms.share == 0.1
+    assert context.relay.node.context.state.retry_window_terms.share == 0.1
 
 
 @then("wrong settings leave them as they are")
@@ -325,7 +325,7 @@
         context.relay.node.reload(fail)
 
     context.loop.run(work())
-    assert context.relay.node.context.state.window_terms.share == 0.1
+    assert context.relay.node.context.state.retry_window_terms.share == 0.1
 
 
 PEER_OFFSETS = (101, 102)
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -4,19 +4,18 @@
 from relay_harness import RelayHarness
 from relay_harness import make_route
 from relay_harness import make_table
-
 from rookspring_core import routed
-from rookspring_core.defaults import LOAD_UNTOLD
+from rookspring_core.defaults import LOAD_UNREPORTED
 from rookspring_core.effects import Cancel
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
 from rookspring_core.events import CallerLeft
-from rookspring_core.events import ComingHeard
 from rookspring_core.events import DrainAsked
-from rookspring_core.events import ModelWanted
-from rookspring_core.events import PeerHeard
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import LoadRequested
+from rookspring_core.events import LoadingReceived
 from rookspring_core.events import PeerLost
 from rookspring_core.events import RouteTableSeen
 from rookspring_core.events import Ticked
@@ -26,6 +25,7 @@
 from rookspring_core.routes import pick_service
 
 
+
 @given("routes for {prefixes}")
 def routes_for(context, prefixes):
     context.routes = make_table(routes=[make_route(one) for one in prefixes.split(", ")])
@@ -61,7 +61,7 @@
 @given("a relaying node with three endpoints and {attempts:d} attempts for a {kind} route")
 def three_endpoints(context, attempts, kind):
     context.relay_node = node = RelayHarness()
-    node.state.window_terms = WindowTerms(1.0, 100.0, 10.0, 1)
+    node.state.retry_window_terms = WindowTerms(1.0, 100.0, 10.0, 1)
     node.list_endpoints(["e1", "e2", "e3"], "svc", "service")
     for name in ("e1", "e2", "e3"):
         node.submit(node.report(name))
@@ -91,9 +91,9 @@
 @given("a relaying node that has seen {seen:d} others, of which {left:d} remain")
 def seen_others(context, seen, left):
     node = RelayHarness()
-    node.state.window_terms = WindowTerms(0.2, 160.0, 10.0, 16)
+    node.state.retry_window_terms = WindowTerms(0.2, 160.0, 10.0, 16)
     for number in range(seen):
-        node.submit(PeerHeard(node.now, f"p{number}", "i", "a", "c", "z", 1, False))
+        node.submit(HeartbeatReceived(node.now, f"p{number}", "i", "a", "c", "z", 1, False))
     for number in range(left, seen):
         node.submit(PeerLost(node.now, f"p{number}"))
     context.window = routed.window(node.state, "svc")
@@ -296,7 +296,7 @@
     # Orders of this node are not carried out.
     holder.answer = "none"
     holder.submit(RouteTableSeen(holder.now, make_table(2)))
-    holder.submit(ComingHeard(holder.now, "e1", "n", in_s))
+    holder.submit(LoadingReceived(holder.now, "e1", "n", in_s))
 
 
 @when("a request with an objective of {objective:g} s arrives for n")
@@ -316,7 +316,7 @@
     for _ in range(40):
         holder.demand("n", 3000.0)
         holder.pass_time(0.1)
-        holder.submit(ModelWanted(holder.now, "llm", "n", "", max(0.0, back)))
+        holder.submit(LoadRequested(holder.now, "llm", "n", "", max(0.0, back)))
         if any(one.order and one.order.taken for one in holder.state.residency.rooms.values()):
             break
     # No caller asks for n from here on; the load takes 8 s.
@@ -368,7 +368,7 @@
     node.list_endpoints(["e1"], "llm", "runner")
     node.submit(node.report("e1", ["m"]))
     node.now += 0.1
-    heard = PeerHeard(node.now, "p1", "i", "a", "c", "z", 1, False)
+    heard = HeartbeatReceived(node.now, "p1", "i", "a", "c", "z", 1, False)
     node.submit(heard._replace(inflight=(("e1", theirs),)))
     node.submit(Ticked(node.now))
 
@@ -378,8 +378,8 @@
     node = context.relay_node
     node.now += 0.05
     token = (0, -1) if source == "entry" else (0, 1)
-    report = node.report("e1", ["m"], token=token, own=source == "report")
-    node.submit(report._replace(running=LOAD_UNTOLD))
+    report = node.report("e1", ["m"], token=token, polled=source == "report")
+    node.submit(report._replace(running=LOAD_UNREPORTED))
 
 
 @when("a request arrives")
--- a/features/steps/resource_steps.py
+++ b/features/steps/resource_steps.py
@@ -1,17 +1,17 @@
 import json
-
 from behave import given
 from behave import then
 from behave import when
-
 from rookspring_core import Entry
 from rookspring_core import Resource
 from rookspring_core import ResourceInvalid
 from rookspring_core import check_resource
-from rookspring_core.acceptance import Room
+from rookspring_core.acceptance import RunnerMemory
 from rookspring_core.acceptance import accept
 
 
+
+
 @given("a {kind} named {name} with spec {spec}")
 def a_document(context, kind, name, spec):
     context.document = {"kind": kind, "name": name, "spec": json.loads(spec)}
@@ -43,7 +43,7 @@
 
 @given("runners with {one} and {other} GB")
 def runners(context, one, other):
-    context.rooms = (Room("e", float(one)), Room("e", float(other)))
+    context.rooms = (RunnerMemory("e", float(one)), RunnerMemory("e", float(other)))
 
 
 @given("accepted models {models}")
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -1,21 +1,21 @@
 import math
-
 from behave import given
 from behave import register_type
 from behave import then
 from behave import when
 from parse_type import TypeBuilder
 from relay_harness import RelayHarness
-
 from rookspring.relay_news import send_want
 from rookspring_core import routed
-from rookspring_core.effects import Want
-from rookspring_core.events import BoxListCame
+from rookspring_core.effects import RequestLoad
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
 from rookspring_core.retries import WindowTerms
 from rookspring_core.topology import listed_node
 from rookspring_fakes import fleet as fleets
 
+
+
 STEP_S = 0.1
 
 register_type(
@@ -87,7 +87,7 @@
 def listed_others(context, number):
     context.relay_node = RelayHarness()
     state = context.relay_node.state
-    state.window_terms = WindowTerms(0.2, 430.0, 10.0, 16)
+    state.retry_window_terms = WindowTerms(0.2, 430.0, 10.0, 16)
     rows = [listed_node(f"n{one}", f"a{one}", "z", 1.0) for one in range(number)]
     state.membership.take_list(rows)
 
@@ -95,7 +95,7 @@
 @when("the list of endpoints arrives")
 def endpoints_come(context):
     node = context.relay_node
-    node.submit(BoxListCame(node.now, (BoxListed("e", "e", "z", "runner", "live", "llm"),)))
+    node.submit(BoxListReceived(node.now, (BoxListed("e", "e", "z", "runner", "live", "llm"),)))
 
 
 @then("it still knows {number:d} nodes, and is not part of a mesh")
@@ -337,7 +337,7 @@
     with fleet.running():
         for node in fleet.live():
             if not node.state.topology.relay and node.place != context.holder.place:
-                send_want(node.peers, Want("llm", "x", "x/a1"))
+                send_want(node.peers, RequestLoad("llm", "x", "x/a1"))
                 return
 
 
--- a/features/steps/slot_steps.py
+++ b/features/steps/slot_steps.py
@@ -2,18 +2,16 @@
 import heapq
 import itertools
 import random
-
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
-
 from rookspring_core.effects import AskSlot
 from rookspring_core.effects import FreeSlot
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListCame
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import CallerLeft
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTerms
@@ -23,6 +21,8 @@
 from rookspring_core.slot_queues import SlotEndpoint
 from rookspring_core.slot_queues import SlotQueue
 
+
+
 OBJECTIVE_S = 0.3
 # Network delay from a node to a service's owner, and the interval of heartbeats.
 HOP_S = 0.0015
@@ -326,7 +326,7 @@
         )
 
     def answer(self, endpoint="", after_s=0.0, blind=False):
-        self.submit(SlotAnswered(self.now, "r1", "svc", endpoint, after_s, blind=blind))
+        self.submit(SlotAnswered(self.now, "r1", "svc", endpoint, after_s, no_known_endpoint=blind))
 
     def refuse_blind(self):
         """Answer like an owner that knows no endpoint."""
@@ -334,7 +334,7 @@
         self.answer(after_s=answer.after_s, blind=answer.blind)
 
     def forget_endpoints(self):
-        self.submit(BoxListCame(self.now, ()))
+        self.submit(BoxListReceived(self.now, ()))
 
 
 ANSWERS = {
--- a/features/steps/stand_still_steps.py
+++ b/features/steps/stand_still_steps.py
@@ -4,20 +4,20 @@
 from behave import then
 from behave import when
 from relay_harness import HolderHarness
-
+from rookspring_core.defaults import HANDOVER_GAP_S
 from rookspring_core.defaults import RELAY_LEASE_MARGIN_S
 from rookspring_core.defaults import RELAY_LEASE_RENEW_S
 from rookspring_core.defaults import RELAY_LEASE_TTL_S
-from rookspring_core.defaults import TURN_GAP_S
 from rookspring_core.events import LeaseWritten
-from rookspring_core.events import ModelWanted
+from rookspring_core.events import LoadRequested
 from rookspring_core.events import OrderAnswered
 from rookspring_core.events import Ticked
 from rookspring_core.leases import LeaseTerms
 
 
+
 def request_load(holder, adapter):
-    holder.submit(ModelWanted(holder.now, "llm", "m", f"m/{adapter}", 2.0))
+    holder.submit(LoadRequested(holder.now, "llm", "m", f"m/{adapter}", 2.0))
 
 
 @given("a lease holder over two runners, with {step}")
@@ -25,7 +25,7 @@
     context.holder = holder = HolderHarness(["m", "m"])
     # Relay nodes' terms: the lease is valid for 4 s from when its write was sent, and the holder
     # acts on it for 3 s.
-    terms = LeaseTerms(RELAY_LEASE_TTL_S, RELAY_LEASE_RENEW_S, RELAY_LEASE_MARGIN_S, TURN_GAP_S)
+    terms = LeaseTerms(RELAY_LEASE_TTL_S, RELAY_LEASE_RENEW_S, RELAY_LEASE_MARGIN_S, HANDOVER_GAP_S)
     holder.state.control.lease.terms = terms
     holder.pass_time(8.0)
     holder.orders.clear()
@@ -57,7 +57,7 @@
     if first == "a load request":
         request_load(holder, "a1")
     elif first == "a runner's report":
-        holder.submit(holder.report("e1", ["m"], token=(0, 0), own=True))
+        holder.submit(holder.report("e1", ["m"], token=(0, 0), polled=True))
     elif first == "the order's answer":
         order = holder.orders[-1]
         holder.submit(OrderAnswered(holder.now, order.endpoint, order.token, True, "done"))
--- a/features/steps/swapping_steps.py
+++ b/features/steps/swapping_steps.py
@@ -1,12 +1,10 @@
 import re
-
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import HolderHarness
 from relay_harness import RelayHarness
 from relay_harness import make_table
-
 from rookspring_core import placement
 from rookspring_core import swapping as swapping
 from rookspring_core.events import RouteTableSeen
@@ -14,6 +12,8 @@
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
+
+
 MODELS = {"m": 70.0, "n": 60.0, "o": 60.0, "p": 60.0, "big": 150.0}
 LOAD_S = {"store": 8.0, "disk": 1.5, "memory": 1.2}
 RUNNER_GB = 200.0
@@ -116,7 +116,7 @@
     table = make_table(2, sizes=sizes, loads_per_s=context.rate)
     holder.orders.clear()
     # Drop the budget that was accumulated at another rate.
-    holder.state.control.store.begin(holder.now)
+    holder.state.control.store_limiter.start_empty(holder.now)
     holder.relist()
     holder.submit(RouteTableSeen(holder.now, table))
     for model in ("x", "y"):
--- a/features/steps/trusted_report_steps.py
+++ b/features/steps/trusted_report_steps.py
@@ -2,11 +2,11 @@
 from behave import then
 from behave import when
 from relay_harness import HolderHarness
-
 from rookspring_core.orders import put_report
 from rookspring_core.orders import usable
 from rookspring_core.rooms import without
 
+
 SUSPENDED_S = 6.0
 
 
@@ -27,7 +27,7 @@
     context.holder = holder = LaggingHolder(["m+n"])
     runner = holder.runners["e1"]
     runner["taken"] += 1
-    holder.submit(holder.report("e1", runner["models"], token=(0, runner["taken"]), own=True))
+    holder.submit(holder.report("e1", runner["models"], token=(0, runner["taken"]), polled=True))
     view = holder.state.endpoints["e1"]
     holder.state.residency.rooms["e1"].withdraw("n", holder.now)
     put_report(holder.state, view, without(view.report, "n", ""))
--- a/features/steps/weight_store_steps.py
+++ b/features/steps/weight_store_steps.py
@@ -1,12 +1,12 @@
 import bisect
 import random
-
 from behave import given
 from behave import then
 from behave import when
-
 from rookspring_core import defaults
-from rookspring_core.control import StoreBudget
+from rookspring_core.control import WeightStoreLimiter
+
+
 
 WINDOW_S = 5.0
 LENGTH_S = 60.0
@@ -22,8 +22,8 @@
 def take_all(rate, seed):
     """Take every token at each plan; return when loads began, and how long some waited."""
     generator = random.Random(seed)
-    store = StoreBudget(defaults.STORE_BURST, defaults.RELAY_PLAN_INTERVAL_S)
-    store.begin(0.0)
+    store = WeightStoreLimiter(defaults.STORE_BURST, defaults.RELAY_PLAN_INTERVAL_S)
+    store.start_empty(0.0)
     now, waited_s, began = 0.0, 0.0, []
     pause_until = PAUSE_S
     while now < LENGTH_S:
--- a/packages/rookspring-core/src/rookspring_core/_control_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_control_events.py
@@ -1,12 +1,12 @@
 """Events of the control plane: the store, the lease, the configuration and orders."""
 
 import typing as t
-
 from .catalogue import Entry
 from .resources import Resource
 from .routes import RouteTable
 
 
+
 class RouteTableSeen(t.NamedTuple):
     """A route table was received from the platform or another node."""
 
@@ -41,7 +41,7 @@
     version: int
 
 
-class TightHeard(t.NamedTuple):
+class NearLimitReceived(t.NamedTuple):
     """Another node sent the organisations that were near their limits.
 
     :param as_of: when they were, by this node's own clock.
@@ -52,7 +52,7 @@
     names: tuple[str, ...]
 
 
-class UseRecalled(t.NamedTuple):
+class UsageRestored(t.NamedTuple):
     """The use of the organisations' limits was read, as of the last write of the lease.
 
     :param shares: organisations, each with the part of its limit that was used.
@@ -161,7 +161,7 @@
     taken_before: int
 
 
-class ModelWanted(t.NamedTuple):
+class LoadRequested(t.NamedTuple):
     """A node has a request for a model or adapter that is resident on no endpoint.
 
     :param latest_retry_s: when the caller will have retried at the latest if its request is
@@ -172,7 +172,7 @@
     service: str
     model: str
     adapter: str
-    back_s: float = 0.0
+    latest_retry_s: float = 0.0
 
 
 class IntentWritten(t.NamedTuple):
--- a/packages/rookspring-core/src/rookspring_core/_endpoint_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_endpoint_events.py
@@ -1,14 +1,14 @@
 """Events about endpoints, from the endpoints, the platform's list and other nodes."""
 
 import typing as t
-
 from .notices import Leaving
 from .notices import Notice
 from .request_rates import RateWord
 from .suspects import Evidence
 
 
-class EndpointSaid(t.NamedTuple):
+
+class NoticeReceived(t.NamedTuple):
     """The head of an endpoint's answer carried a notice about the endpoint itself.
 
     :param endpoint: the endpoint that the request was sent to, at this address.
@@ -22,7 +22,7 @@
 
     at: float
     endpoint: str
-    born: int
+    started_ms: int
     notice: Notice
     address: str = ""
     target: str = ""
@@ -30,7 +30,7 @@
     asked_at: float | None = None
 
 
-class RatesHeard(t.NamedTuple):
+class RatesReceived(t.NamedTuple):
     """Another node sent the request rates that endpoints accept.
 
     :param source: the node that sent them.
@@ -41,7 +41,7 @@
     source: str
 
 
-class LeavingHeard(t.NamedTuple):
+class LeavingReceived(t.NamedTuple):
     """Another node sent endpoints that are leaving.
 
     :param source: the node that sent them.
@@ -52,7 +52,7 @@
     source: str
 
 
-class ShedHeard(t.NamedTuple):
+class ShedReceived(t.NamedTuple):
     """An endpoint turned away a request of another node.
 
     :param for_s: how long that node prefers other endpoints, in seconds.
@@ -63,7 +63,7 @@
     for_s: float
 
 
-class EvidenceHeard(t.NamedTuple):
+class EvidenceReceived(t.NamedTuple):
     """Evidence of requests during which endpoints crashed came from a node or the store.
 
     :param source: the node that sent it.
@@ -106,14 +106,14 @@
     leaving: bool = False
     checks_orders: bool = False
     order_token: tuple[int, int] = (0, 0)
-    own: bool = False
+    polled: bool = False
     in_memory: tuple[str, ...] = ()
     on_disk: tuple[str, ...] = ()
-    born: int = 0
-    sure: bool = False
+    started_ms: int = 0
+    start_confirmed: bool = False
 
 
-class CacheEventsCame(t.NamedTuple):
+class CacheEventsReceived(t.NamedTuple):
     """An endpoint sent prefixes that it has cached; these events may be late or lost."""
 
     at: float
@@ -141,18 +141,18 @@
     role: str
     state: str
     service: str = ""
-    strength: float = 0.0
-    born: int = 0
+    capacity: float = 0.0
+    started_ms: int = 0
 
 
-class BoxListCame(t.NamedTuple):
+class BoxListReceived(t.NamedTuple):
     """The platform's box list was received; it may be out of date."""
 
     at: float
     boxes: tuple[BoxListed, ...]
 
 
-class PromptsHeard(t.NamedTuple):
+class PromptsReceived(t.NamedTuple):
     """A node sent how much of its requests' prompts endpoints have yet to read.
 
     :param name: the node.
@@ -164,7 +164,7 @@
     rows: tuple[tuple[str, int], ...]
 
 
-class ComingHeard(t.NamedTuple):
+class LoadingReceived(t.NamedTuple):
     """Another node has ordered a model's load at an endpoint.
 
     :param in_s: time until it is expected to be resident, in seconds.
@@ -176,7 +176,7 @@
     in_s: float
 
 
-class DownHeard(t.NamedTuple):
+class DownReceived(t.NamedTuple):
     """Another node found that nothing listens at an endpoint's address."""
 
     at: float
--- a/packages/rookspring-core/src/rookspring_core/_node_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_node_events.py
@@ -10,7 +10,7 @@
     at: float
 
 
-class PeerHeard(t.NamedTuple):
+class HeartbeatReceived(t.NamedTuple):
     """A heartbeat of another node; fields that it left out are None.
 
     :param caller_address: address at which callers reach it.
@@ -42,22 +42,22 @@
     lease_epoch: int = 0
     lease_ended: int = 0
     used: tuple[tuple[str, str], ...] = ()
-    urgent: tuple[tuple[str, float], ...] = ()
-    missed: tuple[tuple[str, float], ...] = ()
+    urgent_demand: tuple[tuple[str, float], ...] = ()
+    refused_demand: tuple[tuple[str, float], ...] = ()
     inflight: tuple[tuple[str, int], ...] | None = ()
     prompts: tuple[tuple[str, int], ...] | None = None
-    up_s: float = 0.0
-    strength: float = 0.0
+    uptime_s: float = 0.0
+    capacity: float = 0.0
     relay: bool = False
     watches: bool = False
     follows: bool = False
-    summed: bool = False
+    aggregated: bool = False
     store_age_s: float = math.inf
     spent: tuple[tuple[str, float], ...] | None = None
     relay_s: float = 0.0
 
 
-class MembersHeard(t.NamedTuple):
+class MembersReceived(t.NamedTuple):
     """A linked node sent what it knows of nodes that this one may have no link to.
 
     :param source: the node that sent it.
@@ -68,9 +68,9 @@
 
     at: float
     source: str
-    rows: tuple[PeerHeard, ...]
-    gone: tuple[str, ...] = ()
-    whole: bool = False
+    rows: tuple[HeartbeatReceived, ...]
+    removed: tuple[str, ...] = ()
+    complete: bool = False
 
 
 class PeerUnreached(t.NamedTuple):
--- a/packages/rookspring-core/src/rookspring_core/_request_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_request_events.py
@@ -17,7 +17,7 @@
     version: int
     rank: int
     attempts: int
-    patience_s: float
+    max_wait_s: float
     objective_s: float = 0.0
 
 
@@ -48,7 +48,7 @@
     stream: bool = False
     route: RouteTerms | None = None
     key: str = ""
-    told_tokens: int | None = None
+    declared_tokens: int | None = None
     fingerprint: str = ""
 
 
@@ -112,7 +112,7 @@
     request_id: str
     attempt: int
     sent: bool
-    said_not_run: bool
+    reported_not_run: bool
     reason: str
     down: bool = False
     broken: bool = False
@@ -155,9 +155,9 @@
     queue: str
     endpoint: str
     after_s: float
-    rated: bool = False
-    stay_s: float = 0.0
-    blind: bool = False
+    counts_towards_rate: bool = False
+    avoid_s: float = 0.0
+    no_known_endpoint: bool = False
 
 
 class SessionOpened(t.NamedTuple):
--- a/packages/rookspring-core/src/rookspring_core/acceptance.py
+++ b/packages/rookspring-core/src/rookspring_core/acceptance.py
@@ -7,7 +7,6 @@
 
 import heapq
 import typing as t
-
 from . import defaults
 from .catalogue import Entry
 from .exceptions import ResourceInvalid
@@ -15,32 +14,35 @@
 from .resources import Resource
 from .resources import check_resource
 
+
 Entries = t.Mapping[str, Entry]
 
 
-class Room(t.NamedTuple):
+class RunnerMemory(t.NamedTuple):
     """Memory of one runner that weights may use, in gigabytes, for the check whether models fit."""
 
     engine: str
     usable_gb: float
 
 
-def rooms_of(ledgers: t.Iterable[Ledger], engines: t.Mapping[str, str]) -> tuple[Room, ...]:
+def list_runner_memory(
+    ledgers: t.Iterable[Ledger], engines: t.Mapping[str, str]
+) -> tuple[RunnerMemory, ...]:
     """Return the memory that weights may use on each known runner."""
     return tuple(
-        Room(engines.get(one.endpoint, ""), one.capacity_gb - one.reserve_gb)
+        RunnerMemory(engines.get(one.endpoint, ""), one.capacity_gb - one.reserve_gb)
         for one in ledgers
         if one.usable
     )
 
 
-def fits(models: t.Iterable[t.Mapping[str, t.Any]], rooms: t.Iterable[Room]) -> bool:
+def fits(models: t.Iterable[t.Mapping[str, t.Any]], runners: t.Iterable[RunnerMemory]) -> bool:
     """Return whether each model can be resident once, with the largest placed first.
 
     :param models: specs with ``engine`` and ``memory_gb``.
     """
     heaps: dict[str, list[float]] = {}
-    for room in rooms:
+    for room in runners:
         heaps.setdefault(room.engine, []).append(-room.usable_gb)
     for heap in heaps.values():
         heapq.heapify(heap)
@@ -54,7 +56,7 @@
 
 
 def accept(
-    desired: t.Iterable[Resource], accepted: Entries, rooms: tuple[Room, ...]
+    desired: t.Iterable[Resource], accepted: Entries, runners: tuple[RunnerMemory, ...]
 ) -> dict[str, Entry]:
     """Apply the desired resources to the accepted entries.
 
@@ -68,7 +70,7 @@
         known = entries.get(resource.key)
         if known is not None and _is_current(known, resource):
             continue
-        reason = judge(resource, entries, rooms)
+        reason = find_rejection(resource, entries, runners)
         if not reason:
             entries[resource.key] = Entry(resource)
             continue
@@ -84,7 +86,7 @@
     return known.rejected_version == resource.version and "fit" not in known.reason
 
 
-def judge(resource: Resource, entries: Entries, rooms: tuple[Room, ...]) -> str:
+def find_rejection(resource: Resource, entries: Entries, runners: tuple[RunnerMemory, ...]) -> str:
     """Return why a resource is rejected, or an empty string if it is accepted."""
     document = {"kind": resource.kind, "name": resource.name, "spec": resource.spec}
     try:
@@ -96,11 +98,11 @@
         if _accepted(entries, "Model", model) is None:
             return f"spec.model: {model!r} is not an accepted model"
     if resource.kind == "Model":
-        return _check_memory(resource, entries, rooms)
+        return _check_memory(resource, entries, runners)
     return ""
 
 
-def _check_memory(resource: Resource, entries: Entries, rooms: tuple[Room, ...]) -> str:
+def _check_memory(resource: Resource, entries: Entries, rooms: tuple[RunnerMemory, ...]) -> str:
     specs = [
         entry.resource.spec
         for entry in entries.values()
@@ -133,6 +135,6 @@
 
 def shard_of(key: str, count: int = defaults.SHARD_COUNT) -> int:
     """Return the shard in which a resource is published."""
-    from .routing import mix
+    from .routing import stable_hash
 
-    return mix("shard", key) % count
+    return stable_hash("shard", key) % count
--- a/packages/rookspring-core/src/rookspring_core/adapter_waits.py
+++ b/packages/rookspring-core/src/rookspring_core/adapter_waits.py
@@ -6,10 +6,10 @@
 """
 
 import typing as t
-
 from . import defaults
 
 
+
 class AdapterWaits:
     """Running estimate, by model, of a high quantile of the waits for its adapters."""
 
@@ -41,7 +41,7 @@
         """Raise the estimate if the wait was longer, otherwise lower it by a smaller step."""
         model = adapter.partition("/")[0]
         likely_s = self._likely_s.get(model, 0.0)
-        step_s = defaults.ADAPTER_WAIT_STEP * max(likely_s, defaults.COME_BACK_S)
+        step_s = defaults.ADAPTER_WAIT_STEP * max(likely_s, defaults.RETRY_AFTER_S)
         share = defaults.ADAPTER_WAIT_SHARE
         likely_s += step_s * share if wait_s > likely_s else -step_s * (1.0 - share)
         self._likely_s[model] = min(max(0.0, likely_s), defaults.ADAPTER_WAIT_MOST_S)
--- a/packages/rookspring-core/src/rookspring_core/allotments.py
+++ b/packages/rookspring-core/src/rookspring_core/allotments.py
@@ -9,16 +9,16 @@
 not grant from the reports.
 
 "Far" means below a share of the limit from which no surge reaches the limit within the
-reporting lag: see ``TIGHT_SHARE``.
+reporting lag: see ``NEAR_LIMIT_SHARE``.
 """
 
 import collections
 import typing as t
-
 from . import defaults
 from .organisations import Allotment
 
 
+
 class SpendWindow:
     """Usage within the last window, in steps of ``SPEND_STEP_S``."""
 
@@ -193,7 +193,7 @@
 
     def far(self, name: str, now: float) -> bool:
         """Return whether recent information shows an organisation far from its limit."""
-        return now - self._near_limit_at < defaults.TIGHT_TOLD_S and name not in self._near_limit
+        return now - self._near_limit_at < defaults.NEAR_LIMIT_TTL_S and name not in self._near_limit
 
     def find_shares(self, terms: t.Mapping[str, Allotment], now: float) -> dict[str, float]:
         """Return the share of its limit that each organisation is known to have used.
@@ -213,7 +213,7 @@
     def find_tight(self, terms: t.Mapping[str, Allotment], now: float) -> list[str]:
         """Return the organisations that are near their limits, by observed usage."""
         sums = self.sums(now)
-        threshold = defaults.TIGHT_SHARE
+        threshold = defaults.NEAR_LIMIT_SHARE
         return [
             name
             for name, one in terms.items()
@@ -244,7 +244,7 @@
             return 0.0
         if self._recalled is None:
             return 1.0
-        return min(1.0, self._recalled.get(name, 0.0) + defaults.UNSEEN_MARGIN)
+        return min(1.0, self._recalled.get(name, 0.0) + defaults.RESTORED_USE_MARGIN)
 
     # Grants as an owner.
 
--- a/packages/rookspring-core/src/rookspring_core/allotting.py
+++ b/packages/rookspring-core/src/rookspring_core/allotting.py
@@ -10,10 +10,10 @@
 from .effects import Effect
 from .effects import Refuse
 from .effects import ReturnAllotment
+from .events import NearLimitReceived
 from .events import RequestArrived
-from .events import TightHeard
-from .events import UseRecalled
-from .mixing import mix
+from .events import UsageRestored
+from .hashing import stable_hash
 from .organisations import Allotment
 from .reducer import handles
 from .state import Charge
@@ -28,7 +28,7 @@
     terms = find_terms(state, arrived.team)
     if terms is None or terms.rate <= 0.0:
         return None
-    return Charge(arrived.team, terms.cost(arrived.told_tokens), asked=False)
+    return Charge(arrived.team, terms.cost(arrived.declared_tokens), granted_by_owner=False)
 
 
 def find_terms(state: NodeState, organisation: str) -> Allotment | None:
@@ -67,7 +67,9 @@
 def park(state: NodeState, arrived: RequestArrived, charge: Charge) -> list[Effect]:
     """Hold a request until its organisation's owner has answered, and ask that owner."""
     until = state.now + defaults.OWNER_ANSWER_S
-    state.parked[arrived.request_id] = Parked(arrived, charge._replace(asked=True), until)
+    state.parked[arrived.request_id] = Parked(
+        arrived, charge._replace(granted_by_owner=True), until
+    )
     return [AskAllotment(arrived.request_id, charge.organisation, charge.units)]
 
 
@@ -78,7 +80,7 @@
     id, so that callers refused together don't retry together.
     """
     identity = parked.arrived.request_id
-    spread = mix("allotment", identity) % 1000 / 1000.0
+    spread = stable_hash("allotment", identity) % 1000 / 1000.0
     text = f"organisation {parked.charge.organisation!r} is over its allotment"
     state.record(identity, "refused limited", text)
     return Refuse(identity, 429, "limited", "not_run", text, after_s * (1.0 + spread))
@@ -94,7 +96,7 @@
         text = f"the owner of organisation {parked.charge.organisation!r} does not answer"
         state.record(identity, "refused owner_silent", text)
         effects.append(
-            Refuse(identity, 503, "owner_silent", "not_run", text, defaults.UNPROVED_BACK_S)
+            Refuse(identity, 503, "owner_silent", "not_run", text, defaults.RETRY_AFTER_UNPROVED_S)
         )
     return effects
 
@@ -104,18 +106,18 @@
     if charge is None:
         return []
     state.allotments.spend(charge.organisation, -charge.units, state.now)
-    return [ReturnAllotment(charge.organisation, charge.units)] if charge.asked else []
+    return [ReturnAllotment(charge.organisation, charge.units)] if charge.granted_by_owner else []
 
 
-@handles(TightHeard)
-def take_tight(state: NodeState, event: TightHeard) -> list[Effect]:
+@handles(NearLimitReceived)
+def take_tight(state: NodeState, event: NearLimitReceived) -> list[Effect]:
     """Store which organisations are near their limits, as another node reported."""
     state.allotments.hear_tight(event.names, event.as_of)
     return []
 
 
-@handles(UseRecalled)
-def take_recalled(state: NodeState, event: UseRecalled) -> list[Effect]:
+@handles(UsageRestored)
+def take_recalled(state: NodeState, event: UsageRestored) -> list[Effect]:
     """Store the usage from before this node started or became a relay, as the store has it."""
     state.allotments.recall(dict(event.shares))
     return []
@@ -127,7 +129,7 @@
     return {
         name: round(share, 2)
         for name, share in shares.items()
-        if share >= defaults.RECALLED_SHARE_MIN
+        if share >= defaults.RESTORED_SHARE_MIN
     }
 
 
--- a/packages/rookspring-core/src/rookspring_core/arrivals.py
+++ b/packages/rookspring-core/src/rookspring_core/arrivals.py
@@ -37,7 +37,7 @@
 def _isolated(state: NodeState) -> bool:
     if state.membership.size() > 0 or state.platform_reachable:
         return False
-    return state.now - state.platform_at > defaults.ISOLATION_GRACE_S
+    return state.now - state.platform_answered_at > defaults.ISOLATION_GRACE_S
 
 
 def _refusal(
--- a/packages/rookspring-core/src/rookspring_core/attaching.py
+++ b/packages/rookspring-core/src/rookspring_core/attaching.py
@@ -18,8 +18,8 @@
 from . import defaults
 from .effects import AdapterLeft
 from .effects import Effect
-from .effects import WantDeclined
-from .effects import WantEnded
+from .effects import LoadRequestDeclined
+from .effects import LoadRequestEnded
 from .endpoints import EndpointView
 from .orders import adapters_at
 from .orders import engine_of
@@ -69,7 +69,7 @@
         active = want.live(state.now)
         if adapter and any(one.has_adapter(adapter) for one in _open_hosts(state, key)):
             effects += _end_want(state, key, "attached")
-        elif quiet_s > defaults.WANT_REMEMBERED_S or (not adapter and not active):
+        elif quiet_s > defaults.LOAD_REQUEST_KEPT_S or (not adapter and not active):
             del state.residency.wanted[key]
         elif not active and not want.given_up:
             effects += _end_want(state, key, "given up")
@@ -88,7 +88,7 @@
 
 def _end_want(state: NodeState, key: WantKey, outcome: str) -> Effects:
     want = state.residency.wanted.pop(key)
-    return [WantEnded(key[2], outcome, state.now - want.first_at, want.times)]
+    return [LoadRequestEnded(key[2], outcome, state.now - want.first_at, want.times)]
 
 
 def _serve(state: NodeState, key: WantKey) -> Effects:
@@ -102,7 +102,7 @@
     if why == want.declined:
         return effects
     state.residency.wanted[key] = want._replace(declined=why)
-    return [*effects, WantDeclined(adapter, why)] if why else effects
+    return [*effects, LoadRequestDeclined(adapter, why)] if why else effects
 
 
 def _decline_reason(state: NodeState, hosts: list[EndpointView], ready: list[EndpointView]) -> str:
@@ -129,7 +129,7 @@
 def note_used(state: NodeState) -> None:
     """Mark the attached adapters that requests use, about as often as nodes report their use."""
     residency = state.residency
-    if state.now - residency.used_noted_at < defaults.USED_NOTED_S:
+    if state.now - residency.used_noted_at < defaults.USE_SCAN_INTERVAL_S:
         return
     residency.used_noted_at = state.now
     for rows in (used_rows(state), *state.control.peer_used.values()):
@@ -177,7 +177,7 @@
     in_use = list_used(state)
     idle = [one for one in account.going_adapters() if (view.name, one) not in in_use]
     for adapter in sorted(idle, key=lambda one: account.withdrawn[one]):
-        if state.now - account.withdrawn[adapter] >= defaults.WITHDRAWN_TOLD_S:
+        if state.now - account.withdrawn[adapter] >= defaults.WITHDRAWN_PROPAGATION_S:
             left = _end_stay(state, view, account, adapter)
             return [*left, give_order(state, view, "unload", *split_name(adapter))]
     waiting = sum(1 for key, want in state.residency.wanted.items() if key[2] and not want.given_up)
@@ -216,7 +216,7 @@
     contended = {
         view.name: view
         for key, want in state.residency.wanted.items()
-        if key[2] and state.now - want.asked_at <= defaults.PRESSED_S
+        if key[2] and state.now - want.asked_at <= defaults.ADAPTER_PRESSURE_S
         for view in _open_hosts(state, key)
     }
     in_use = list_used(state) if contended else set()
@@ -226,7 +226,7 @@
         if account is None or not account.trusted or engine is None or view.report is None:
             continue
         idle_going = [one for one in account.going_adapters() if (name, one) not in in_use]
-        lacking = defaults.STANDBY - len(idle_going)
+        lacking = defaults.STANDBY_ADAPTERS - len(idle_going)
         if lacking <= 0 or _count_slots(state, view, account) < engine.adapters_max:
             continue
         ranked = _list_least_missed(state, view, account, in_use)
@@ -267,7 +267,7 @@
         if account.order is not None and account.order.adapter == adapter:
             continue
         del account.withdrawn[adapter]
-        kept_until = max(state.now, want.back_at) + defaults.PLACE_KEPT_S
+        kept_until = max(state.now, want.back_at) + defaults.KEEP_AFTER_RETRY_S
         attachment = account.stays.get(
             adapter, Stay(state.now, kept_until, wanted_at=want.first_at)
         )
@@ -291,7 +291,7 @@
         if view is None or not usable(state, view):
             continue
         for model in account.withdrawn_models():
-            known_to_all = state.now - account.withdrawn[model] >= defaults.WITHDRAWN_TOLD_S
+            known_to_all = state.now - account.withdrawn[model] >= defaults.WITHDRAWN_PROPAGATION_S
             if known_to_all and (name, model) not in in_use:
                 effects.append(give_order(state, view, "unload", model, ""))
                 break
--- a/packages/rookspring-core/src/rookspring_core/cluster.py
+++ b/packages/rookspring-core/src/rookspring_core/cluster.py
@@ -16,19 +16,19 @@
 from .effects import Stop
 from .effects import WriteLease
 from .endpoints import EndpointView
-from .events import BoxListCame
+from .events import BoxListReceived
 from .events import BoxListed
-from .events import CacheEventsCame
-from .events import ComingHeard
-from .events import DownHeard
+from .events import CacheEventsReceived
+from .events import DownReceived
 from .events import DrainAsked
 from .events import EndpointReported
-from .events import MembersHeard
-from .events import PeerHeard
+from .events import HeartbeatReceived
+from .events import LoadingReceived
+from .events import MembersReceived
 from .events import PeerLost
 from .events import PeerUnreached
 from .events import PlatformAnswered
-from .events import PromptsHeard
+from .events import PromptsReceived
 from .events import ReportMissed
 from .events import RouteTableSeen
 from .events import StoreRead
@@ -71,7 +71,7 @@
 def work_out_roles(state: NodeState) -> None:
     """Update this relay node's roles and links from the current membership."""
     local = Standing(
-        state.strength, state.now - state.started_at, state.leaving, governing.holding(state)
+        state.capacity, state.now - state.started_at, state.leaving, governing.holding(state)
     )
     state.topology.work_out(state.now, local)
 
@@ -100,15 +100,15 @@
         ended = suspecting.note_ended(state, view)
         view.leaving = False
         view.rest_until = -1e9
-        state.notices.begin(view.name, event.born, event.sure)
-        state.rates.begin(view.name, event.born, event.sure)
+        state.notices.begin(view.name, event.started_ms, event.start_confirmed)
+        state.rates.begin(view.name, event.started_ms, event.start_confirmed)
         view.rate = None
         view.prefixes.clear()
     before = view.targets()
     if state.relaying:
         if lives.judge(view.report, event) == "old":
             event, effects = lives.doubt(state, view, event)
-            if not event.sure:
+            if not event.start_confirmed:
                 return effects
         if lives.judge(view.report, event) == "new":
             ended += suspecting.note_ended(state, view)
@@ -117,12 +117,12 @@
             before = frozenset()
         residency.note_report(state, event)
         if event.leaving:
-            noticing.note_listed(state, event.endpoint, event.born)
+            noticing.note_listed(state, event.endpoint, event.started_ms)
         if event.order_token[1] >= 0 and _is_outdated(view, event):
             return ended
         event = residency.refine(state, view, event)
     # A report that this node read itself proves that the endpoint can be reached.
-    view.down = view.down and not event.own
+    view.down = view.down and not event.polled
     if not view.take_report(event):
         return ended
     residency.trust(state, event)
@@ -136,7 +136,7 @@
         ledger = state.control.ledgers.get(event.endpoint)
         if ledger is not None:
             ledger.take_report(event, ordering.sizes_of(state))
-    shared: Effects = [ShareReport(event._replace(own=False))] if event.own else []
+    shared: Effects = [ShareReport(event._replace(polled=False))] if event.polled else []
     return ended + shared + requests.pump(state)
 
 
@@ -158,8 +158,8 @@
     return [Announce("table")]
 
 
-@handles(CacheEventsCame)
-def take_hints(state: NodeState, event: CacheEventsCame) -> Effects:
+@handles(CacheEventsReceived)
+def take_hints(state: NodeState, event: CacheEventsReceived) -> Effects:
     """Remember the prompt prefixes that an endpoint reports as cached."""
     view = state.endpoints.get(event.endpoint)
     if view is not None:
@@ -178,8 +178,8 @@
     return []
 
 
-@handles(BoxListCame)
-def take_boxes(state: NodeState, event: BoxListCame) -> Effects:
+@handles(BoxListReceived)
+def take_boxes(state: NodeState, event: BoxListReceived) -> Effects:
     """Apply the platform's list: the nodes to link to, and the endpoints in use or leaving."""
     if not state.relaying:
         # On relay nodes this list holds endpoints only; nodes are listed separately.
@@ -214,7 +214,7 @@
             row.role,
             row.service,
             state.peers_work,
-            row.born,
+            row.started_ms,
         )
         state.endpoints[row.name] = view
         # Its entry may have lapsed and been written again in its earlier state.
@@ -223,22 +223,22 @@
     elif state.relaying:
         view.gone = False
     if row.state == "leaving":
-        noticing.note_listed(state, row.name, row.born)
+        noticing.note_listed(state, row.name, row.started_ms)
 
 
-@handles(PeerHeard)
-def hear_peer(state: NodeState, event: PeerHeard) -> Effects:
+@handles(HeartbeatReceived)
+def hear_peer(state: NodeState, event: HeartbeatReceived) -> Effects:
     """Apply another node's heartbeat."""
     fresh = state.membership.hear(event)
     state.control.lease.note_end(event.lease_ended, event.at)
     if event.name not in state.membership.peers:
         return []
     state.limits.hear(event.name, event.team_demand)
-    state.control.hear(event)
+    state.control.apply_heartbeat(event)
     if event.spent is not None:
         pass_on = state.topology.relay and not event.relay
         state.allotments.hear(dict(event.spent), event.at, pass_on)
-    if event.summed:
+    if event.aggregated:
         # Its in-flight requests are already part of another node's sums: of the node that this
         # one follows, or of the node that the sender follows.
         state.peers_work.forget(event.name)
@@ -252,8 +252,8 @@
     return [Announce("hello")] if fresh else []
 
 
-@handles(MembersHeard)
-def hear_members(state: NodeState, event: MembersHeard) -> Effects:
+@handles(MembersReceived)
+def hear_members(state: NodeState, event: MembersReceived) -> Effects:
     """Apply a linked node's rows about nodes that need not be linked to this one."""
     for name in state.membership.hear_rows(event):
         _forget_peer(state, name)
@@ -283,8 +283,8 @@
     )
 
 
-@handles(PromptsHeard)
-def hear_prompts(state: NodeState, event: PromptsHeard) -> Effects:
+@handles(PromptsReceived)
+def hear_prompts(state: NodeState, event: PromptsReceived) -> Effects:
     """Apply another node's counts of unread prompt tokens; lower counts may make room."""
     if event.name not in state.membership.peers:
         return []
@@ -293,8 +293,8 @@
     return requests.pump(state)
 
 
-@handles(ComingHeard)
-def hear_coming(state: NodeState, event: ComingHeard) -> Effects:
+@handles(LoadingReceived)
+def hear_coming(state: NodeState, event: LoadingReceived) -> Effects:
     """Record a model load in progress and when it should end, for the callers' retry times."""
     view = state.endpoints.get(event.endpoint)
     if view is not None:
@@ -302,8 +302,8 @@
     return []
 
 
-@handles(DownHeard)
-def hear_down(state: NodeState, event: DownHeard) -> Effects:
+@handles(DownReceived)
+def hear_down(state: NodeState, event: DownReceived) -> Effects:
     """Mark an endpoint as down after another node's connection to it was refused."""
     view = state.endpoints.get(event.endpoint)
     if view is not None and view.found_down(event.at):
@@ -324,7 +324,7 @@
     """Record whether the platform can be reached."""
     state.platform_reachable = event.reachable
     if event.reachable:
-        state.platform_at = event.at
+        state.platform_answered_at = event.at
     return []
 
 
--- a/packages/rookspring-core/src/rookspring_core/comebacks.py
+++ b/packages/rookspring-core/src/rookspring_core/comebacks.py
@@ -4,15 +4,15 @@
 """
 
 import typing as t
-
 from . import defaults
 from . import routed
 from .endpoints import EndpointView
-from .mixing import mix
+from .hashing import stable_hash
 from .state import NodeState
 from .state import RequestState
 
 
+
 def come_back(state: NodeState, request: RequestState) -> float:
     """Predict in how many seconds a refused request is likely to be served.
 
@@ -24,25 +24,25 @@
     if rest_s > 0.0:
         return rest_s
     arrived = request.arrived
-    if request.turns_due and routed.turnless(state, request):
+    if request.permits_due and routed.turnless(state, request):
         # An owner gives each request a different time, so no jitter is needed.
-        due_s = max(defaults.TURN_AGAIN_S, min(request.turns_due.values()) - state.now)
-        return min(due_s, (arrived.deadline_at - state.now) * defaults.COME_BACK_SHARE)
+        due_s = max(defaults.PERMIT_RETRY_S, min(request.permits_due.values()) - state.now)
+        return min(due_s, (arrived.deadline_at - state.now) * defaults.RETRY_AFTER_MAX_SHARE)
     adapter = arrived.adapter
     hosts = list(state.hosts.get(arrived.target, {}).values())
     if adapter and hosts and not any(view.has_adapter(adapter) for view in hosts):
         likely_s = state.adapter_waits.likely_s(arrived.target)
-        after_s = max(defaults.COME_BACK_S, likely_s + _orders_blocked_s(state, hosts))
-        return min(after_s, (arrived.deadline_at - state.now) * defaults.COME_BACK_SHARE)
+        after_s = max(defaults.RETRY_AFTER_S, likely_s + _orders_blocked_s(state, hosts))
+        return min(after_s, (arrived.deadline_at - state.now) * defaults.RETRY_AFTER_MAX_SHARE)
     # Jitter by request, so that callers refused together do not retry together.
-    jitter = mix("come back", arrived.request_id) % 1000 / 1000.0
-    least_s, most_s = defaults.COME_BACK_ROOM_S
+    jitter = stable_hash("come back", arrived.request_id) % 1000 / 1000.0
+    least_s, most_s = defaults.RETRY_AFTER_NO_ROOM_S
     if arrived.route is not None and not arrived.service and not routed.stands(state, arrived):
         ready_s = routed.ready_in_s(state, arrived.route.service, arrived.target)
-        least_s = min(ready_s, defaults.COME_BACK_ABSENT_MAX_S)
-        most_s = least_s + defaults.COME_BACK_SPREAD_S
+        least_s = min(ready_s, defaults.RETRY_AFTER_ABSENT_MAX_S)
+        most_s = least_s + defaults.RETRY_AFTER_SPREAD_S
     after_s = least_s + (most_s - least_s) * jitter
-    return min(after_s, (arrived.deadline_at - state.now) * defaults.COME_BACK_SHARE)
+    return min(after_s, (arrived.deadline_at - state.now) * defaults.RETRY_AFTER_MAX_SHARE)
 
 
 def rest_back_s(state: NodeState, request: RequestState) -> float:
@@ -55,11 +55,11 @@
     left_s = routed.rest_left_s(state, request.arrived)
     if left_s <= 0.0 or request.sent:
         return 0.0
-    jitter = mix("come back", request.arrived.request_id) % 1000 / 1000.0
-    after_s = left_s + jitter * defaults.COME_BACK_SPREAD_S
-    most_s = (request.arrived.deadline_at - state.now) * defaults.COME_BACK_SHARE
+    jitter = stable_hash("come back", request.arrived.request_id) % 1000 / 1000.0
+    after_s = left_s + jitter * defaults.RETRY_AFTER_SPREAD_S
+    most_s = (request.arrived.deadline_at - state.now) * defaults.RETRY_AFTER_MAX_SHARE
     # Callers ignore longer times than this; the jitter is kept below that bound.
-    return min(after_s, most_s * (1.0 - jitter * defaults.COME_BACK_APART))
+    return min(after_s, most_s * (1.0 - jitter * defaults.RETRY_AFTER_SPREAD_SHARE))
 
 
 def _orders_blocked_s(state: NodeState, hosts: t.Iterable[EndpointView]) -> float:
--- a/packages/rookspring-core/src/rookspring_core/defaults.py
+++ b/packages/rookspring-core/src/rookspring_core/defaults.py
@@ -28,7 +28,7 @@
 # Reports older than this are no longer used to estimate the load from other nodes.
 REPORT_STALE_S = 20.0
 # Value of a report's ``running`` when the endpoint does not report its load.
-LOAD_UNTOLD = -1
+LOAD_UNREPORTED = -1
 # Slots assumed for an endpoint that has not reported yet.
 SLOTS_UNKNOWN = 8
 ENDED_MAX = 4096
@@ -86,7 +86,7 @@
 ATTEMPTS_MAX = 4
 # Consecutive attempts to continue a cut stream that deliver no token. With the back-off this many
 # outlast a restart of a runner.
-BARREN_ATTEMPTS_MAX = 7
+ATTEMPTS_WITHOUT_TOKEN_MAX = 7
 
 SESSION_IDLE_S = 3600.0
 SESSIONS_MAX = 50_000
@@ -100,7 +100,7 @@
 # Accelerator-seconds that one load or unload costs at a move weight of 1.
 MOVE_COST_S = 1.0
 # How long a new holder waits for reports before it decides what fits, in seconds.
-SURVEY_S = 3.0
+REPORTS_WAIT_S = 3.0
 # A replica is unloaded only if another one was reported resident within this time.
 CONFIRMED_S = 2.5
 # An endpoint that has answered no poll for this long counts as gone.
@@ -108,7 +108,7 @@
 
 # Routed requests. A request that has waited for room for this share of its objective is refused,
 # with a time to retry: the later a refusal comes, the less it is worth to the caller.
-PATIENCE_SHARE = 0.25
+MAX_WAIT_SHARE = 0.25
 # Attempts that failed before a byte was sent are repeated at another endpoint, up to this many in
 # all.
 UNSENT_TRIES_MAX = 4
@@ -118,21 +118,21 @@
 # Retry-After, in seconds, where something is about to be ready (an adapter, another node). Where
 # there was no room it is spread over the range ``RETRY_AFTER_NO_ROOM_S``, since a burst lasts two
 # to four seconds.
-COME_BACK_S = 0.4
+RETRY_AFTER_S = 0.4
 # Retry-After for a request whose endpoint failed.
-FAILED_BACK_S = 0.5
-COME_BACK_ROOM_S = (1.0, 3.0)
+RETRY_AFTER_FAILURE_S = 0.5
+RETRY_AFTER_NO_ROOM_S = (1.0, 3.0)
 # Retry-After where the model has yet to be loaded: the time until it is expected to be resident,
 # capped at ``RETRY_AFTER_ABSENT_MAX_S``, plus a spread of up to ``RETRY_AFTER_SPREAD_S``. A retry
 # before the model is resident is refused again, and most callers retry only once.
-COME_BACK_ABSENT_MAX_S = 8.0
-COME_BACK_SPREAD_S = 1.0
+RETRY_AFTER_ABSENT_MAX_S = 8.0
+RETRY_AFTER_SPREAD_S = 1.0
 # Where Retry-After has to be cut to the longest that callers honour, retries are spread over this
 # share of it.
-COME_BACK_APART = 0.25
+RETRY_AFTER_SPREAD_SHARE = 0.25
 # A model that was loaded for waiting callers is protected from eviction until they have retried,
 # for at most this long. Without that it may be evicted before any of them has used it.
-MODEL_KEPT_S = 4.0
+MODEL_KEEP_MAX_S = 4.0
 # Time from a request for a model that is not resident until its load starts: the load request
 # reaches the holder, a plan is made, replicas are unloaded to make room, and a report confirms it.
 SWAP_S = 1.0
@@ -142,13 +142,13 @@
 READY_SHARE = 0.8
 READY_MARGIN = 1.3
 # Callers honour a Retry-After of up to this share of the time left until their deadline.
-COME_BACK_SHARE = 1.0 / 3.0
+RETRY_AFTER_MAX_SHARE = 1.0 / 3.0
 # How long after the expected end of a load the model is assumed to be usable: the report that shows
 # the end has to be read and distributed, and loads take longer while many run. A caller that
 # retries too early is refused twice.
-COMING_TOLD_S = 1.0
+LOAD_REPORT_DELAY_S = 1.0
 # Requests no longer wait for a load that is overdue by more than this.
-COMING_LATE_S = 2.0
+LOAD_OVERDUE_S = 2.0
 # Weights in the even-load policy, as shares of the load of a full endpoint.
 REMOTE_LOAD = 0.02
 PREFIX_LOAD_BONUS = 0.06
@@ -162,9 +162,9 @@
 # Minimum interval between orders of two different holders, in seconds: the platform's lease-ms is
 # 3,000, and the rest allows for clock differences and transit. The holder is a box, so a box whose
 # process restarted continues with its lease without a gap.
-TURN_GAP_S = 3.3
+HANDOVER_GAP_S = 3.3
 # Interval of reading a runner's report while its state is unknown or an order is running.
-SURVEY_READ_S = 1.0
+REPORT_READ_INTERVAL_S = 1.0
 # An order without an answer may be carried out up to 12 s later (one of the faults that the users
 # describe), so the memory that it would take counts as allocated until then.
 LATE_ORDER_S = 12.5
@@ -173,20 +173,20 @@
 # When an order for a model is expected to be over, the runner's report is first read after this
 # delay, since reports lag behind the runner's state. Each read that was too early adds
 # ``ORDER_CHECK_STEP_S`` to the delay, up to ``ORDER_CHECK_MAX_S``.
-ORDER_LOOK_S = 0.15
-ORDER_LOOK_STEP_S = 0.05
-ORDER_LOOK_MAX_S = 0.6
+ORDER_CHECK_S = 0.15
+ORDER_CHECK_STEP_S = 0.05
+ORDER_CHECK_MAX_S = 0.6
 # An endpoint that reports an earlier start than is known is asked again after this.
-LIFE_LOOK_S = 0.5
+RESTART_CHECK_S = 0.5
 # A load request expires after this long; the request behind it has been refused by then.
-WANT_LIFE_S = 1.0
+LOAD_REQUEST_TTL_S = 1.0
 # For this many seconds after an adapter was attached, room at its endpoint is reserved for requests
 # that use it, since its callers were told to retry within that time. At most this share of the
 # slots, and this many of the prompt tokens that may be unread, are reserved for all adapters that
 # were attached recently.
-FIRST_CALL_S = 3.0
-FIRST_CALL_SHARE = 0.125
-FIRST_CALL_TOKENS = 1_024
+NEW_ADAPTER_RESERVE_S = 3.0
+NEW_ADAPTER_RESERVE_SHARE = 0.125
+NEW_ADAPTER_RESERVE_TOKENS = 1_024
 # Retry-After for requests whose adapter is attached nowhere: an estimate of the wait that this
 # share of past waits stayed below. Each wait moves the estimate by a step of ``ADAPTER_WAIT_STEP``
 # of its value, up to ``ADAPTER_WAIT_MOST_S`` seconds.
@@ -195,17 +195,17 @@
 ADAPTER_WAIT_MOST_S = 3.0
 # A load request that is no longer repeated keeps its place among the others for this long: longer
 # than the interval between retries of callers of one adapter.
-WANT_REMEMBERED_S = 20.0
+LOAD_REQUEST_KEPT_S = 20.0
 # An adapter that was attached for waiting requests is kept until the last of their callers has
 # retried, plus this: the heartbeat that informs the lease holder of its use comes every 0.4 s.
-PLACE_KEPT_S = 0.6
+KEEP_AFTER_RETRY_S = 0.6
 # Interval of the scan for adapters that are in use; nodes report them every 0.4 s.
-USED_NOTED_S = 0.2
+USE_SCAN_INTERVAL_S = 0.2
 # Idle adapters that are withdrawn in advance at a runner whose adapter places are all taken, if
 # another adapter was requested there within ``ADAPTER_PRESSURE_S`` seconds. This costs nothing,
 # since a withdrawal can be undone without an order.
-STANDBY = 2
-PRESSED_S = 5.0
+STANDBY_ADAPTERS = 2
+ADAPTER_PRESSURE_S = 5.0
 RELAY_PLACEMENT = "swap"
 # Time for an unload that makes room for a load, in addition to the load's own: its streams end
 # first, and a report has to show that it is gone. In seconds.
@@ -219,28 +219,28 @@
 IDLE_TOKENS_PER_S = 150.0
 # How long the demand of evicted replicas is assumed to go unserved, in seconds: the time to plan,
 # load and unload them again.
-LOST_COPY_S = 10.0
+EVICTED_REPLICA_S = 10.0
 # Replicas are evicted for a model only if the demand that they serve is less than this share of the
 # model's own or refused demand: while boxes are lost there is not room for all.
-GIVE_WAY_SHARE = 0.25
+EVICTION_SHARE = 0.25
 # Unserved demand for a model without a replica counts as if it were asked for again within this
 # many seconds. After three times this long the model can replace one with the same demand, so that
 # no model stays unreachable for long.
-CLAIM_GROWS_S = 2.5
+UNSERVED_DEMAND_S = 2.5
 # Weight of demand that can wait for its model, in the cost of an eviction: nearly all of it is
 # served in time after a reload, but the swap occupies the runner's orders.
-PATIENT_LOSS = 0.2
+DEFERRABLE_LOSS_SHARE = 0.2
 # Share of a model's urgent demand that justifies a second replica by itself: if the only replica is
 # lost, all urgent demand fails until another one is loaded.
-SINGLE_LOSS = 0.3
+SINGLE_REPLICA_LOSS_SHARE = 0.3
 # Gain of the moving average of the work of a request.
 WORK_GAIN = 0.02
 # Each shorter answer multiplies the time of the longest answer by this, so that it stays close to
 # the longest of about a hundred answers.
-LONGEST_KEPT = 0.99
+LONGEST_DECAY = 0.99
 # Time constant for demand that was refused for lack of room, in seconds. It is long enough that the
 # replica that ended the refusals is not evicted as soon as they end.
-MISSED_FALL_S = 15.0
+REFUSED_DEMAND_FALL_S = 15.0
 # A load that takes at most this long is quick; loads from memory or disk take 0.9 to 1.7 s.
 QUICK_LOAD_S = 3.0
 # A replica has to repay its load within this time, since demand shifts.
@@ -262,20 +262,20 @@
 # taken as less than ``PACE_LEAST`` of the slowest model's.
 PACE_TOKENS_MIN = 1_000
 PACE_SEEN_MIN = 3
-PACE_KEPT = 0.95
+PACE_DECAY = 0.95
 PACE_LOAD_MAX = 0.5
-PACE_FORGET = 1.001
+PACE_BASE_GROWTH = 1.001
 PACE_LEAST = 0.05
 # How many times its even share of the demand may be planned for a runner.
 EVEN_MARGIN = 1.2
 # Room that a runner is making for a model counts as the model's if it is free within this many
 # seconds: a runner that waited for its last streams delayed a second replica by 13 s.
-ON_WAY_S = 3.0
+ROOM_PENDING_S = 3.0
 # Adapters of one endpoint that may be withdrawn at the same time, waiting for their last requests
 # to end; and the time after a withdrawal until all nodes know of it and of each other's requests
 # for the adapter: a heartbeat interval of 0.4 s plus transit.
 WITHDRAWN_MAX = 3
-WITHDRAWN_TOLD_S = 0.6
+WITHDRAWN_PROPAGATION_S = 0.6
 # Time to attach an adapter; from the runner's own memory it takes somewhat less.
 ADAPTER_LOAD_S = 0.025
 # The lease of relay nodes: a holder that dies is replaced within some seven seconds, including
@@ -309,7 +309,7 @@
 # divided among the nodes.
 JOINING_SHARE = 1.3
 # Relay nodes that may take the lease; only a few, since each reads it once a second.
-SUCCESSORS = 4
+LEASE_CANDIDATES = 4
 # Resolution of the comparison of nodes' ages: all boxes of a deployment start within a second, and
 # a rolling restart takes some seconds a box.
 AGE_STEP_S = 5.0
@@ -329,15 +329,15 @@
 # start first, each rank later by ``WATCH_TAKEOVER_RELAY_S``; other nodes start after
 # ``WATCH_TAKEOVER_MIN_S``, spread over ``WATCH_TAKEOVER_PER_NODE_S`` a node, so that an outage does
 # not cause calls of all nodes at once.
-STEP_IN_RELAY_S = 0.1
-STEP_IN_LEAST_S = 0.6
-STEP_IN_PER_NODE_S = 0.02
+WATCH_TAKEOVER_RELAY_S = 0.1
+WATCH_TAKEOVER_MIN_S = 0.6
+WATCH_TAKEOVER_PER_NODE_S = 0.02
 # A node that has run for longer than this is preferred as a relay to those that have just started.
 RELAY_SETTLED_S = 5.0
 # Roles are computed again after each change of the nodes, and at this interval.
-RELAY_WORK_OUT_S = 2.0
+ROLES_RECOMPUTE_S = 2.0
 # A node with this capacity is as good a relay as one with more.
-RELAY_STRENGTH = 1.0
+RELAY_CAPACITY = 1.0
 # A node to which no link could be opened is left out for this long.
 UNREACHED_S = 5.0
 # Outside a mesh, a node that has found no node to follow for this long asks the seeds as well.
@@ -359,10 +359,10 @@
 # know of each other's use is up to 1.3 s old (a heartbeat to the relay, one between relays, half a
 # second to the followers): an organisation that surges to 7.5 times its usual rate from below a
 # quarter of its limit has reached 0.55 of it when the last node learns of it.
-TIGHT_SHARE = 0.25
+NEAR_LIMIT_SHARE = 0.25
 # A list of organisations near their limits is valid for this long; a node without a valid list asks
 # the owner about each request.
-TIGHT_TOLD_S = 3.0
+NEAR_LIMIT_TTL_S = 3.0
 # Time after which units that an owner granted are included in the sums of the other nodes, in
 # seconds.
 SPEND_LAG_S = 0.8
@@ -372,26 +372,26 @@
 # before all of them started. The value is up to 1.8 s old (a second between renewals of the lease,
 # the rest from node to node), and a surge to 7.5 times a quarter of the limit uses 0.4 of it in
 # that time, of which the tolerance covers 0.1.
-UNSEEN_MARGIN = 0.3
+RESTORED_USE_MARGIN = 0.3
 # An owner is at most two links away, with a millisecond each. A request without an answer after
 # this is refused: the owner is frozen or cut off, and another one is chosen within a second or two.
 OWNER_ANSWER_S = 0.25
 # Retry-After where this node can't verify that a key is still valid, or an organisation's owner
 # does not answer; another node is chosen within about that time.
-UNPROVED_BACK_S = 1.0
+RETRY_AFTER_UNPROVED_S = 1.0
 # A node that follows no other asks this many linked nodes for a proof of the configuration.
 PROOF_SOURCES_MAX = 2
 # A node reads the configuration itself if its last proof is older than this. Relays do so early,
 # since other nodes depend on them; the others are spread over ``PROOF_READ_SPREAD_S``, so that an
 # outage does not cause calls of all nodes at once.
-PROOF_STEP_IN_RELAY_S = 2.0
-PROOF_STEP_IN_S = 2.6
-PROOF_STEP_IN_SPREAD_S = 0.8
+PROOF_READ_RELAY_S = 2.0
+PROOF_READ_S = 2.6
+PROOF_READ_SPREAD_S = 0.8
 # Share of the tolerance of an allotment that an owner grants as well: requests within it are
 # allowed, so a refusal would gain nothing. The rest covers use that the owner has not learnt of.
 TOLERANCE_SHARE = 0.6
 # Smaller used shares of a limit are not written with the lease.
-RECALLED_SHARE_MIN = 0.05
+RESTORED_SHARE_MIN = 0.05
 # A node that has run for less than this owns an organisation only if there is no older node. It is
 # about the window of allotments, after which use before its start no longer counts.
 OWNER_AGE_S = 10.0
@@ -426,7 +426,7 @@
 SLOT_ANSWER_S = 0.06
 # Bounds of Retry-After for a request that was refused for lack of slots; the upper one is used
 # where the time of the next free slot is not known.
-SLOT_BACK_S = (0.5, 3.0)
+RETRY_AFTER_NO_SLOT_S = (0.5, 3.0)
 # Endpoints whose slots one node grants: 16 of 6 slots with runs of 60 ms make 1,600 requests a
 # second, which is the limit of a core with three messages of 50 us each.
 SLOT_ENDPOINTS_MAX = 16
@@ -435,12 +435,12 @@
 # three crashes, plus attempts that were already on their way. The evidence expires after
 # ``EVIDENCE_S`` seconds; callers' deadlines are at most 30 s, and an engine may be repaired within
 # minutes.
-ENDS_MAX = 3.0
+CRASHES_MAX = 3.0
 EVIDENCE_S = 600.0
 # A request with this many crashes is run alone and one at a time, no sooner than
 # ``SUSPECT_RETRY_S`` seconds after the last crash; a runner is back after some four.
-SUSPECT_ENDS = 2.0
-SUSPECT_BACK_S = 2.0
+SUSPECT_CRASHES = 2.0
+SUSPECT_RETRY_S = 2.0
 # A suspect that crashes its endpoint does so within this many seconds of its run; after that it is
 # likely to succeed.
 TRIAL_S = 2.0
@@ -454,8 +454,8 @@
 # A crash is detected within this many seconds of the connections' end: the endpoint's entry expires
 # after three heartbeats of 1.2 s. A request that its caller left may still run for
 # ``ABANDONED_RUN_S``.
-END_KNOWN_S = 5.0
-LEFT_RUNS_S = 0.3
+CRASH_DETECTION_S = 5.0
+ABANDONED_RUN_S = 0.3
 # Times from two nodes that differ by less than this many seconds denote the same moment.
 SAME_MOMENT_S = 1.0
 # Limits on the suspects that are kept, in all and for each organisation, and on the verdicts, which
@@ -467,12 +467,12 @@
 # Token bucket for an endpoint that reports how many requests a second it accepts: it holds this
 # many permits plus ``PERMIT_BURST_S`` seconds' worth of the rate, so that requests which arrive
 # unevenly get one.
-TURNS_IN_HAND = 2.0
-TURNS_IN_HAND_S = 0.25
+PERMIT_BURST = 2.0
+PERMIT_BURST_S = 0.25
 # For this long after a node has become the owner of a subject it grants no permits, since the
 # previous owner may still do so. Nodes drop a peer that has been silent for ``HOLDER_QUIET_S``, and
 # learn of each other's views with a heartbeat of 0.4 s.
-OWNER_SETTLES_S = 1.5
+OWNER_TAKEOVER_S = 1.5
 # A request is sent within this time of its slot's grant, or asks for another slot: a connection
 # takes at most 0.4 s.
 SLOT_SEND_S = 0.5
@@ -482,11 +482,11 @@
 # ``PERMIT_AVOID_SHARE``, its maximum, is multiplied by ``PERMIT_AVOID_FALL`` where permits are left
 # over and by ``PERMIT_AVOID_RISE`` with each request that finds none, and stays above
 # ``PERMIT_AVOID_LEAST``. The time is at most ``PERMIT_AVOID_MAX_S`` seconds.
-TURN_ASKERS_S = 5.0
-TURN_STAY_SHARE = 0.5
-TURN_STAY_LEAST = 0.05
-TURN_STAY_FALL = 0.7
-TURN_STAY_RISE = 1.05
-TURN_STAY_MOST_S = 30.0
+PERMIT_REQUESTERS_S = 5.0
+PERMIT_AVOID_SHARE = 0.5
+PERMIT_AVOID_LEAST = 0.05
+PERMIT_AVOID_FALL = 0.7
+PERMIT_AVOID_RISE = 1.05
+PERMIT_AVOID_MAX_S = 30.0
 # A request that was refused a permit asks again no sooner than after this many seconds.
-TURN_AGAIN_S = 0.05
+PERMIT_RETRY_S = 0.05
--- a/packages/rookspring-core/src/rookspring_core/effects.py
+++ b/packages/rookspring-core/src/rookspring_core/effects.py
@@ -4,13 +4,13 @@
 """
 
 import typing as t
-
 from .catalogue import Entry
 from .events import EndpointReported
 from .notices import Leaving
 from .request_rates import RateWord
 from .suspects import Evidence
 
+
 IntentRow = tuple[str, str, str, float]
 
 
@@ -28,7 +28,7 @@
     not_before: float = 0.0
 
 
-class Attach(t.NamedTuple):
+class AttachStream(t.NamedTuple):
     """Continue to read a stream that already runs at an endpoint.
 
     :param offset: tokens that the caller has received.
@@ -139,7 +139,7 @@
     memory_gb: float = 0.0
 
 
-class Want(t.NamedTuple):
+class RequestLoad(t.NamedTuple):
     """Ask the lease holder to load a model or adapter that is resident on no endpoint.
 
     :param latest_retry_s: when the caller will have retried at the latest if its request is
@@ -149,17 +149,17 @@
     service: str
     model: str
     adapter: str
-    back_s: float = 0.0
+    latest_retry_s: float = 0.0
 
 
-class WantDeclined(t.NamedTuple):
+class LoadRequestDeclined(t.NamedTuple):
     """Log why nothing is ordered at present for an adapter that requests wait for."""
 
     adapter: str
     why: str
 
 
-class WantEnded(t.NamedTuple):
+class LoadRequestEnded(t.NamedTuple):
     """Log the outcome for an adapter that requests waited for.
 
     :param outcome: ``attached``, or ``given up`` when no request has asked for it for a while.
@@ -196,7 +196,7 @@
     after_s: float
 
 
-class Remind(t.NamedTuple):
+class StartOrderTimer(t.NamedTuple):
     """Start the timer after which an order counts as done, though no report shows it.
 
     :param taken_before: how many orders the endpoint had taken before it.
@@ -218,7 +218,7 @@
     tokens: int
 
 
-class ShareComing(t.NamedTuple):
+class ShareLoading(t.NamedTuple):
     """Send every other node that a model is being loaded at an endpoint.
 
     :param in_s: time until it is expected to be resident, in seconds.
@@ -358,7 +358,7 @@
 
 Effect = (
     Dispatch
-    | Attach
+    | AttachStream
     | Refuse
     | Replay
     | Cancel
@@ -369,14 +369,14 @@
     | ReadHead
     | WriteIntent
     | SendOrder
-    | Want
-    | WantDeclined
-    | WantEnded
+    | RequestLoad
+    | LoadRequestDeclined
+    | LoadRequestEnded
     | AdapterLeft
     | ReadReport
-    | Remind
+    | StartOrderTimer
     | SharePrompts
-    | ShareComing
+    | ShareLoading
     | ShareDown
     | ShareEvidence
     | ShareLeaving
--- a/packages/rookspring-core/src/rookspring_core/endpoints.py
+++ b/packages/rookspring-core/src/rookspring_core/endpoints.py
@@ -5,12 +5,12 @@
 """
 
 import typing as t
-
 from . import defaults
 from . import notices
 from .events import EndpointReported
 
 
+
 class PeersWork:
     """The other nodes' requests in flight by endpoint, as their heartbeats give them.
 
@@ -207,7 +207,7 @@
             self._update_attached_at(self.report.adapters, report)
         self.report = report
         self.reported_at = made_at
-        self.load_told = report.running != defaults.LOAD_UNTOLD
+        self.load_told = report.running != defaults.LOAD_UNREPORTED
         self.resident = frozenset(model for model, _ in report.resident)
         # Leaving is sticky for one incarnation; only a restart clears it.
         self.leaving = self.leaving or report.leaving
@@ -227,7 +227,7 @@
 
     def first_calls(self, now: float) -> list[str]:
         """Return the adapters attached so recently that their callers may not have come yet."""
-        return [one for one, at in self.came.items() if now - at < defaults.FIRST_CALL_S]
+        return [one for one, at in self.came.items() if now - at < defaults.NEW_ADAPTER_RESERVE_S]
 
     def load(self, now: float) -> float:
         """Estimate the requests running or queued there, per slot (1.0 is full).
@@ -279,7 +279,7 @@
     def brings(self, model: str, now: float) -> float | None:
         """Return in how many seconds a model's load should end there; None if none is expected."""
         coming, at = self.coming
-        if coming != model or now - at > defaults.COMING_LATE_S:
+        if coming != model or now - at > defaults.LOAD_OVERDUE_S:
             return None
         return max(0.0, at - now)
 
--- a/packages/rookspring-core/src/rookspring_core/events.py
+++ b/packages/rookspring-core/src/rookspring_core/events.py
@@ -6,11 +6,12 @@
 
 from ._control_events import DesiredSeen as DesiredSeen
 from ._control_events import HeadSeen as HeadSeen
-from ._control_events import IntentsSeen as IntentsSeen
 from ._control_events import IntentWritten as IntentWritten
+from ._control_events import IntentsSeen as IntentsSeen
 from ._control_events import LeaseSeen as LeaseSeen
 from ._control_events import LeaseWritten as LeaseWritten
-from ._control_events import ModelWanted as ModelWanted
+from ._control_events import LoadRequested as LoadRequested
+from ._control_events import NearLimitReceived as NearLimitReceived
 from ._control_events import OrderAnswered as OrderAnswered
 from ._control_events import OrderDue as OrderDue
 from ._control_events import PlatformAnswered as PlatformAnswered
@@ -20,24 +21,23 @@
 from ._control_events import StoreEraBegan as StoreEraBegan
 from ._control_events import StoreRead as StoreRead
 from ._control_events import TableProved as TableProved
-from ._control_events import TightHeard as TightHeard
-from ._control_events import UseRecalled as UseRecalled
-from ._endpoint_events import BoxListCame as BoxListCame
+from ._control_events import UsageRestored as UsageRestored
+from ._endpoint_events import BoxListReceived as BoxListReceived
 from ._endpoint_events import BoxListed as BoxListed
-from ._endpoint_events import CacheEventsCame as CacheEventsCame
-from ._endpoint_events import ComingHeard as ComingHeard
-from ._endpoint_events import DownHeard as DownHeard
+from ._endpoint_events import CacheEventsReceived as CacheEventsReceived
+from ._endpoint_events import DownReceived as DownReceived
 from ._endpoint_events import EndpointReported as EndpointReported
-from ._endpoint_events import EndpointSaid as EndpointSaid
-from ._endpoint_events import EvidenceHeard as EvidenceHeard
-from ._endpoint_events import LeavingHeard as LeavingHeard
-from ._endpoint_events import PromptsHeard as PromptsHeard
-from ._endpoint_events import RatesHeard as RatesHeard
+from ._endpoint_events import EvidenceReceived as EvidenceReceived
+from ._endpoint_events import LeavingReceived as LeavingReceived
+from ._endpoint_events import LoadingReceived as LoadingReceived
+from ._endpoint_events import NoticeReceived as NoticeReceived
+from ._endpoint_events import PromptsReceived as PromptsReceived
+from ._endpoint_events import RatesReceived as RatesReceived
 from ._endpoint_events import ReportMissed as ReportMissed
-from ._endpoint_events import ShedHeard as ShedHeard
+from ._endpoint_events import ShedReceived as ShedReceived
 from ._node_events import DrainAsked as DrainAsked
-from ._node_events import MembersHeard as MembersHeard
-from ._node_events import PeerHeard as PeerHeard
+from ._node_events import HeartbeatReceived as HeartbeatReceived
+from ._node_events import MembersReceived as MembersReceived
 from ._node_events import PeerLost as PeerLost
 from ._node_events import PeerUnreached as PeerUnreached
 from ._node_events import Ticked as Ticked
@@ -61,30 +61,30 @@
     | AttemptProgressed
     | AttemptSucceeded
     | AttemptFailed
-    | EndpointSaid
-    | LeavingHeard
-    | RatesHeard
-    | ShedHeard
+    | NoticeReceived
+    | LeavingReceived
+    | RatesReceived
+    | ShedReceived
     | CallerLeft
-    | EvidenceHeard
+    | EvidenceReceived
     | EndpointReported
-    | CacheEventsCame
+    | CacheEventsReceived
     | ReportMissed
-    | BoxListCame
+    | BoxListReceived
     | RouteTableSeen
-    | PeerHeard
-    | MembersHeard
+    | HeartbeatReceived
+    | MembersReceived
     | PeerUnreached
     | StoreEraBegan
     | StoreRead
     | TableProved
-    | TightHeard
-    | UseRecalled
+    | NearLimitReceived
+    | UsageRestored
     | AllotmentAnswered
     | SlotAnswered
-    | PromptsHeard
-    | ComingHeard
-    | DownHeard
+    | PromptsReceived
+    | LoadingReceived
+    | DownReceived
     | PeerLost
     | PlatformAnswered
     | LeaseSeen
@@ -94,7 +94,7 @@
     | HeadSeen
     | Published
     | OrderAnswered
-    | ModelWanted
+    | LoadRequested
     | OrderDue
     | IntentWritten
     | IntentsSeen
--- a/packages/rookspring-core/src/rookspring_core/governing.py
+++ b/packages/rookspring-core/src/rookspring_core/governing.py
@@ -4,7 +4,6 @@
 """
 
 import typing as t
-
 from . import acceptance
 from . import defaults
 from . import ordering
@@ -27,6 +26,7 @@
 from .reducer import handles
 from .state import NodeState
 
+
 Effects = list[Effect]
 
 
@@ -69,8 +69,8 @@
     control.intents_known = False
     control.publication = type(control.publication)()
     control.forecast = type(control.forecast)(control.forecast.pace)
-    control.urgent.restart()
-    control.missed.restart()
+    control.urgent_demand.restart()
+    control.refused_demand.restart()
     control.ledgers = {}
     state.record("lease", f"epoch {lease.own_epoch}", "lease acquired")
     for name, view in state.endpoints.items():
@@ -139,8 +139,8 @@
     publication = state.control.publication
     if publication.in_flight:
         return []
-    rooms = acceptance.rooms_of(state.control.ledgers.values(), _engines(state))
-    if rooms != publication.judged_rooms and state.catalogue.rejected:
+    rooms = acceptance.list_runner_memory(state.control.ledgers.values(), _engines(state))
+    if rooms != publication.checked_memory and state.catalogue.rejected:
         # Resources that did not fit may fit now.
         publication.dirty = True
     if publication.desired is None or not publication.dirty or publication.head_version < 0:
@@ -150,12 +150,12 @@
     if state.catalogue.revision < publication.head_revision:
         # The entries of the published revision have not arrived at this node yet.
         return []
-    surveyed = state.now - state.control.acquired_at >= defaults.SURVEY_S
+    surveyed = state.now - state.control.acquired_at >= defaults.REPORTS_WAIT_S
     if not surveyed and (not rooms or len(rooms) < _runner_count(state)):
         # Nothing would fit without reports, so wait for those of all runners, up to SURVEY_S.
         return []
     publication.dirty = False
-    publication.judged_rooms = rooms
+    publication.checked_memory = rooms
     entries = acceptance.accept(publication.desired, state.control.entries, rooms)
     if entries == state.control.entries:
         return []
@@ -263,8 +263,8 @@
         rates for peer, rates in state.control.peer_demand.items() if peer in state.membership.peers
     )
     state.control.forecast.update(add_rates([state.control.meter.rates, *peer_rates]), passed)
-    state.control.urgent.sum_up(passed)
-    state.control.missed.sum_up(passed)
+    state.control.urgent_demand.sum_up(passed)
+    state.control.refused_demand.sum_up(passed)
 
 
 def resident_models(state: NodeState) -> t.Mapping[str, list[str]]:
--- a/packages/rookspring-core/src/rookspring_core/granting.py
+++ b/packages/rookspring-core/src/rookspring_core/granting.py
@@ -12,11 +12,11 @@
 from .effects import Effect
 from .effects import FreeSlot
 from .events import SlotAnswered
-from .mixing import mix
+from .hashing import stable_hash
 from .reducer import handles
 from .state import NodeState
+from .state import PermitRequest
 from .state import RequestState
-from .state import TurnAsked
 
 Effects = list[Effect]
 
@@ -30,18 +30,18 @@
             # The request has ended, or was placed without an answer.
             return [FreeSlot(event.request_id, event.queue, event.endpoint, 0.0, True)]
         return []
-    asked = state.turns_asked.get(event.request_id)
+    asked = state.permit_requests.get(event.request_id)
     if asked is not None:
         return _take_permit(state, request, asked, event)
     if event.after_s > 0.0:
-        if event.blind and routed.choose_among(state, request):
+        if event.no_known_endpoint and routed.choose_among(state, request):
             # This node knows endpoints that the owner does not; the owner may have just started.
             state.record(event.request_id, "placed without a slot", "its owner knows no endpoint")
             request.slot_asked_at = None
             return requests.pump(state)
         return _refuse_unslotted(state, request, event.after_s)
     if not event.endpoint:
-        request.slot_heard = True
+        request.slot_queued = True
         return []
     slotting.hold(request, event, state.now)
     fault = requests.find_fault(state, request)
@@ -55,18 +55,18 @@
 
 
 def _take_permit(
-    state: NodeState, request: RequestState, asked: TurnAsked, event: SlotAnswered
+    state: NodeState, request: RequestState, asked: PermitRequest, event: SlotAnswered
 ) -> Effects:
     """Send a request with its permit, let it wait for one, or look for another endpoint."""
     endpoint = state.endpoints.get(asked.endpoint)
     if endpoint is not None:
-        endpoint.turn_at = state.now + event.stay_s
+        endpoint.turn_at = state.now + event.avoid_s
     if event.after_s > 0.0:
         return _place_elsewhere(state, request, event.after_s)
     if not event.endpoint:
-        request.slot_heard = True
+        request.slot_queued = True
         return []
-    del state.turns_asked[event.request_id]
+    del state.permit_requests[event.request_id]
     slotting.hold(request, event, state.now)
     fault = requests.find_fault(state, request)
     view = slotting.usable(state, event)
@@ -83,9 +83,9 @@
 
     :param after_s: seconds until a permit may be available there.
     """
-    asked = state.turns_asked.pop(request.arrived.request_id)
+    asked = state.permit_requests.pop(request.arrived.request_id)
     request.slot_asked_at = None
-    request.turns_due[asked.endpoint] = state.now + after_s
+    request.permits_due[asked.endpoint] = state.now + after_s
     if routed.turnless(state, request):
         return requests.end_waiting(state, request)
     return _requeue(state, request, asked.until)
@@ -104,18 +104,18 @@
 def expire_turns(state: NodeState) -> Effects:
     """Place requests anew whose endpoint's owner does not answer: without it none may be sent."""
     effects: Effects = []
-    for identity, asked in list(state.turns_asked.items()):
+    for identity, asked in list(state.permit_requests.items()):
         request = state.requests.get(identity)
         if request is None or request.slot_asked_at is None:
             continue
-        latest = asked.until if request.slot_heard else request.slot_asked_at
+        latest = asked.until if request.slot_queued else request.slot_asked_at
         if state.now <= latest + defaults.OWNER_ANSWER_S:
             continue
         endpoint = state.endpoints.get(asked.endpoint)
         if endpoint is not None:
-            endpoint.turn_at = state.now + defaults.UNPROVED_BACK_S
+            endpoint.turn_at = state.now + defaults.RETRY_AFTER_UNPROVED_S
         state.record(identity, f"no permit at {asked.endpoint}", "its owner does not answer")
-        effects += _place_elsewhere(state, request, defaults.UNPROVED_BACK_S)
+        effects += _place_elsewhere(state, request, defaults.RETRY_AFTER_UNPROVED_S)
     return effects
 
 
@@ -125,7 +125,7 @@
     reason, text = routed.lacking(state, request.arrived)
     status = 502 if request.sent else 503
     # Jitter by request, so that callers refused together don't retry together.
-    jitter = mix("come back", request.arrived.request_id) % 1000 / 1000.0
+    jitter = stable_hash("come back", request.arrived.request_id) % 1000 / 1000.0
     left_s = request.arrived.deadline_at - state.now
-    after_s = min(after_s * (1.0 + jitter), left_s * defaults.COME_BACK_SHARE)
+    after_s = min(after_s * (1.0 + jitter), left_s * defaults.RETRY_AFTER_MAX_SHARE)
     return requests.give_up(state, request, status, reason, text, after_s)
--- a/packages/rookspring-core/src/rookspring_core/mixing.py
+++ b/packages/rookspring-core/src/rookspring_core/hashing.py
@@ -3,6 +3,6 @@
 import xxhash
 
 
-def mix(*parts: str) -> int:
+def stable_hash(*parts: str) -> int:
     """Hash strings to a 64-bit number that is the same on every node and in every run."""
     return xxhash.xxh64_intdigest("\x00".join(parts).encode())
--- a/packages/rookspring-core/src/rookspring_core/invariants.py
+++ b/packages/rookspring-core/src/rookspring_core/invariants.py
@@ -5,7 +5,6 @@
 """
 
 import typing as t
-
 from .effects import Dispatch
 from .effects import Effect
 from .effects import Forget
@@ -14,21 +13,22 @@
 from .effects import Stop
 from .events import AttemptFailed
 from .events import AttemptStarted
-from .events import EndpointSaid
+from .events import NoticeReceived
 from .exceptions import InvariantBroken
 
+
 if t.TYPE_CHECKING:
     from .state import NodeState
 
 Check = t.Callable[["NodeState", t.Any, list[Effect]], str]
-CHEAP: dict[type[t.Any], dict[str, Check]] = {}
-FULL: dict[str, Check] = {}
+EVENT_CHECKS: dict[type[t.Any], dict[str, Check]] = {}
+STATE_CHECKS: dict[str, Check] = {}
 
 
 # How long after an endpoint's notice the first byte of a request that was dispatched before may
 # still be sent, in seconds: a connection takes one at most, and a node that was suspended is
 # exempt. Endpoints tolerate 2 s.
-SAID_ON_WAY_S = 1.0
+LATE_SEND_MAX_S = 1.0
 
 
 def invariant(name: str, on: type[t.Any] | None = None) -> t.Callable[[Check], Check]:
@@ -40,9 +40,9 @@
 
     def register(function: Check) -> Check:
         if on is None:
-            FULL[name] = function
+            STATE_CHECKS[name] = function
         else:
-            CHEAP.setdefault(on, {})[name] = function
+            EVENT_CHECKS.setdefault(on, {})[name] = function
         return function
 
     return register
@@ -55,12 +55,12 @@
     """
     _record_sent(state, event)
     for kind in {type(event), *(type(effect) for effect in effects)}:
-        _run(CHEAP.get(kind, {}), state, event, effects)
+        _run(EVENT_CHECKS.get(kind, {}), state, event, effects)
     for effect in effects:
         if isinstance(effect, Forget):
-            state.witness.discard(effect.request_id)
+            state.sent_witness.discard(effect.request_id)
     if state.full_checks:
-        _run(FULL, state, event, effects)
+        _run(STATE_CHECKS, state, event, effects)
 
 
 def _run(checks: dict[str, Check], state: "NodeState", event: t.Any, effects: list[Effect]) -> None:
@@ -75,14 +75,14 @@
 
     The record is kept apart from the handlers' state, so that the checks do not depend on it.
     """
-    if isinstance(event, EndpointSaid):
-        state.told.note(event)
+    if isinstance(event, NoticeReceived):
+        state.notice_witness.note(event)
     if isinstance(event, AttemptStarted):
-        state.witness.add(event.request_id)
-    elif isinstance(event, AttemptFailed) and (event.said_not_run or not event.sent):
-        state.witness.discard(event.request_id)
+        state.sent_witness.add(event.request_id)
+    elif isinstance(event, AttemptFailed) and (event.reported_not_run or not event.sent):
+        state.sent_witness.discard(event.request_id)
     elif isinstance(event, AttemptFailed):
-        state.witness.add(event.request_id)
+        state.sent_witness.add(event.request_id)
 
 
 @invariant("memory", on=SendOrder)
@@ -148,7 +148,7 @@
     for effect in effects:
         if not isinstance(effect, Refuse) or effect.outcome != "not_run":
             continue
-        if effect.request_id in state.witness:
+        if effect.request_id in state.sent_witness:
             return f"{effect.request_id} may have reached an endpoint"
     return ""
 
@@ -160,7 +160,7 @@
         if not isinstance(effect, Dispatch):
             continue
         request = state.requests[effect.request_id]
-        if not request.arrived.repeatable and effect.request_id in state.witness:
+        if not request.arrived.repeatable and effect.request_id in state.sent_witness:
             return f"{effect.request_id} would be sent twice"
     return ""
 
@@ -187,7 +187,7 @@
 
 
 @invariant("said", on=Dispatch)
-def check_said(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
+def check_notices(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
     """Nothing is sent to a process that told this node that it is leaving, or to back off."""
     for effect in effects:
         if isinstance(effect, Dispatch) and (fault := _find_notice(state, effect.endpoint, 0.0)):
@@ -202,30 +202,30 @@
         if not isinstance(effect, Dispatch) or state.endpoints[effect.endpoint].rate is None:
             continue
         held = state.requests[effect.request_id].slot
-        if held is None or held.endpoint != effect.endpoint or not held.rated:
+        if held is None or held.endpoint != effect.endpoint or not held.counts_towards_rate:
             return f"{effect.request_id} would be sent to {effect.endpoint} without a permit"
     return ""
 
 
 @invariant("said-late", on=AttemptStarted)
-def check_said_late(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
+def check_late_sends(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
     """A request is not sent long after its endpoint announced that it leaves."""
     request = state.requests.get(event.request_id)
     if request is None or request.attempt != event.attempt:
         return ""
-    return _find_notice(state, request.endpoint, SAID_ON_WAY_S)
+    return _find_notice(state, request.endpoint, LATE_SEND_MAX_S)
 
 
 def _find_notice(state: "NodeState", endpoint: str, late_s: float) -> str:
     view = state.endpoints.get(endpoint)
     if view is None:
         return ""
-    born = view.report.born if view.report is not None else view.born
-    return state.told.find_fault(endpoint, born, state.now, late_s)
+    born = view.report.started_ms if view.report is not None else view.born
+    return state.notice_witness.find_fault(endpoint, born, state.now, late_s)
 
 
 @invariant("uncut", on=Stop)
-def check_uncut(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
+def check_drained(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
     """A planned stop ends only after the last request has ended."""
     if state.stopped and state.requests and not state.hurry:
         return f"{len(state.requests)} requests in flight at the stop"
--- a/packages/rookspring-core/src/rookspring_core/leases.py
+++ b/packages/rookspring-core/src/rookspring_core/leases.py
@@ -14,12 +14,12 @@
 """
 
 import typing as t
-
 from . import defaults
 from .events import LeaseSeen
 from .events import LeaseWritten
 
 
+
 class LeaseWish(t.NamedTuple):
     """A lease write that is due.
 
@@ -59,7 +59,7 @@
     defaults.RELAY_LEASE_TTL_S,
     defaults.RELAY_LEASE_RENEW_S,
     defaults.RELAY_LEASE_MARGIN_S,
-    defaults.TURN_GAP_S,
+    defaults.HANDOVER_GAP_S,
     resumable=True,
 )
 
--- a/packages/rookspring-core/src/rookspring_core/lives.py
+++ b/packages/rookspring-core/src/rookspring_core/lives.py
@@ -15,7 +15,6 @@
 """
 
 import typing as t
-
 from . import defaults
 from .effects import Effect
 from .effects import ReadReport
@@ -24,6 +23,7 @@
 from .rooms import Room
 from .state import NodeState
 
+
 Life = t.Literal["same", "new", "old"]
 
 
@@ -32,9 +32,14 @@
 
     A report without a start time counts as one of the known process.
     """
-    if known is None or not known.born or not event.born or known.born == event.born:
+    if (
+        known is None
+        or not known.started_ms
+        or not event.started_ms
+        or known.started_ms == event.started_ms
+    ):
         return "same"
-    if event.sure or event.born > known.born:
+    if event.start_confirmed or event.started_ms > known.started_ms:
         return "new"
     return "old"
 
@@ -50,26 +55,28 @@
     :return: the report, with ``sure`` set if it is verified, and the reads to make.
     """
     room = state.residency.rooms.get(view.name)
-    if event.own and view.doubted_born == event.born:
-        return event._replace(sure=True), []
-    if event.own:
-        view.doubted_born = event.born
+    if event.polled and view.doubted_born == event.started_ms:
+        return event._replace(start_confirmed=True), []
+    if event.polled:
+        view.doubted_born = event.started_ms
     since_asked_s = state.now - room.asked_at if room is not None else 0.0
-    if room is None or not (event.own or since_asked_s >= defaults.LIFE_LOOK_S):
+    if room is None or not (event.polled or since_asked_s >= defaults.RESTART_CHECK_S):
         return event, []
     room.asked_at = state.now
-    return event, [ReadReport(view.name, defaults.LIFE_LOOK_S if event.own else 0.0)]
+    return event, [ReadReport(view.name, defaults.RESTART_CHECK_S if event.polled else 0.0)]
 
 
 def begin(state: NodeState, view: EndpointView, event: EndpointReported) -> None:
     """Drop everything known of an endpoint's earlier process."""
     view.begin_life(state.now)
-    state.notices.begin(view.name, event.born, event.sure)
-    state.rates.begin(view.name, event.born, event.sure)
+    state.notices.begin(view.name, event.started_ms, event.start_confirmed)
+    state.rates.begin(view.name, event.started_ms, event.start_confirmed)
     room = state.residency.rooms.get(view.name)
     if room is not None:
         state.residency.rooms[view.name] = _begin_room(room)
-    state.record(view.name, f"restarted at {event.born}", "it was restarted under its name")
+    state.record(
+        view.name, f"restarted at {event.started_ms}", "it was restarted under its name"
+    )
 
 
 def _begin_room(previous: Room) -> Room:
--- a/packages/rookspring-core/src/rookspring_core/membership.py
+++ b/packages/rookspring-core/src/rookspring_core/membership.py
@@ -5,12 +5,12 @@
 """
 
 import typing as t
-
 from . import defaults
 from .events import BoxListed
-from .events import MembersHeard
-from .events import PeerHeard
-from .routing import mix
+from .events import HeartbeatReceived
+from .events import MembersReceived
+from .routing import stable_hash
+
 
 
 class Peer:
@@ -23,7 +23,7 @@
 
     __slots__ = ("heard", "heard_at", "orphaned_at", "sources")
 
-    def __init__(self, heard: PeerHeard, heard_at: float) -> None:
+    def __init__(self, heard: HeartbeatReceived, heard_at: float) -> None:
         self.heard = heard
         self.heard_at = heard_at
         self.sources: set[str] = set()
@@ -41,7 +41,7 @@
 
     def age_s(self, now: float) -> float:
         """Return how long the node has run, in seconds."""
-        return self.heard.up_s + now - self.heard.at
+        return self.heard.uptime_s + now - self.heard.at
 
 
 class Membership:
@@ -93,7 +93,7 @@
         """Return how many other nodes are live."""
         return len(self.peers)
 
-    def hear(self, event: PeerHeard) -> bool:
+    def hear(self, event: HeartbeatReceived) -> bool:
         """Apply a heartbeat.
 
         :return: whether the node is new or restarted as another incarnation.
@@ -119,7 +119,7 @@
         self.changes.add(event.name)
         return fresh
 
-    def hear_rows(self, event: MembersHeard) -> list[str]:
+    def hear_rows(self, event: MembersReceived) -> list[str]:
         """Apply a linked node's rows, and add it to the sources of the nodes in them.
 
         :return: the nodes that were removed, since they have no source and no link left.
@@ -129,8 +129,8 @@
             if row.name != self.name:
                 self._take_row(row, event)
         row_names = {row.name for row in event.rows}
-        dropped = set(event.gone)
-        if event.whole:
+        dropped = set(event.removed)
+        if event.complete:
             dropped |= {
                 name
                 for name, peer in self.peers.items()
@@ -146,7 +146,7 @@
                 lost.append(name)
         return lost
 
-    def _take_row(self, row: PeerHeard, event: MembersHeard) -> None:
+    def _take_row(self, row: HeartbeatReceived, event: MembersReceived) -> None:
         known = self.peers.get(row.name)
         if known is None:
             known = self.peers[row.name] = Peer(row, -1e9)
@@ -236,12 +236,12 @@
     def poller_of(self, endpoint: str, data_centre: str) -> str:
         """Return the node that polls an endpoint, one of its data centre if there is any."""
         names = self._staying_in(data_centre, False) or self.staying()
-        return max(names, key=lambda name: mix(name, endpoint))
+        return max(names, key=lambda name: stable_hash(name, endpoint))
 
     def relays(self, data_centre: str, self_leaving: bool = False) -> list[str]:
         """Return the nodes of a data centre that watch the platform for the others."""
         names = self._staying_in(data_centre, self_leaving)
-        ranked = sorted(names, key=lambda name: mix("relay", name))
+        ranked = sorted(names, key=lambda name: stable_hash("relay", name))
         return ranked[: defaults.RELAYS_PER_DATA_CENTRE]
 
     def data_centres(self) -> set[str]:
@@ -264,8 +264,8 @@
             if peer is not None and not peer.heard.leaving:
                 ages[name] = peer.age_s(now)
         names = [name for name, age_s in ages.items() if age_s >= defaults.SETTLED_S]
-        names.sort(key=lambda name: (ages[name] // defaults.AGE_STEP_S, mix("lease", name)))
-        return names[: defaults.SUCCESSORS]
+        names.sort(key=lambda name: (ages[name] // defaults.AGE_STEP_S, stable_hash("lease", name)))
+        return names[: defaults.LEASE_CANDIDATES]
 
     def is_relay(self) -> bool:
         """Return whether this node watches the platform for its data centre."""
@@ -289,7 +289,9 @@
         if self.small():
             return rows
         own = [row for row in rows if row.data_centre == self.data_centre]
-        ring = sorted([*(row.name for row in own), self.name], key=lambda name: mix("ring", name))
+        ring = sorted(
+            [*(row.name for row in own), self.name], key=lambda name: stable_hash("ring", name)
+        )
         index = ring.index(self.name)
         reach = defaults.MESH_LIMIT // 4
         group = {ring[(index + step) % len(ring)] for step in range(-reach, reach + 1)}
@@ -302,7 +304,7 @@
             by_data_centre.setdefault(row.data_centre, []).append(row.name)
         wanted: set[str] = set()
         for names in by_data_centre.values():
-            ranked = sorted(names, key=lambda name: mix("relay", name))
+            ranked = sorted(names, key=lambda name: stable_hash("relay", name))
             wanted.update(ranked[: defaults.RELAYS_PER_DATA_CENTRE])
         return wanted
 
@@ -338,7 +340,7 @@
         return list(dict.fromkeys(self._names[position - self._dropped :]))
 
 
-def _shared_fields(heard: PeerHeard) -> tuple[t.Any, ...]:
+def _shared_fields(heard: HeartbeatReceived) -> tuple[t.Any, ...]:
     """Return the fields of a node whose change is sent to other nodes at once."""
     return (
         heard.incarnation,
@@ -350,15 +352,15 @@
         heard.lease_epoch,
         heard.lease_ended,
         heard.relay,
-        heard.strength,
+        heard.capacity,
     )
 
 
-def _is_older_incarnation(row: PeerHeard, known: PeerHeard) -> bool:
+def _is_older_incarnation(row: HeartbeatReceived, known: HeartbeatReceived) -> bool:
     """Return whether a row is of an earlier incarnation of its node than the known one."""
     if row.incarnation == known.incarnation:
         return False
-    started, known_started = row.at - row.up_s, known.at - known.up_s
+    started, known_started = row.at - row.uptime_s, known.at - known.uptime_s
     return started < known_started - defaults.SAME_START_S
 
 
--- a/packages/rookspring-core/src/rookspring_core/notices.py
+++ b/packages/rookspring-core/src/rookspring_core/notices.py
@@ -10,9 +10,9 @@
 """
 
 import typing as t
-
 from . import defaults
-from .mixing import mix
+from .hashing import stable_hash
+
 
 # How long a leaving process is remembered after it was last listed. A leaving process ends within
 # seconds, at most about a minute; its entry may reappear late, once the store is available again.
@@ -192,7 +192,7 @@
         if self._digest is None:
             combined = 0
             for one in self.whole(now):
-                combined ^= mix("leaving", f"{one.endpoint}/{one.born}")
+                combined ^= stable_hash("leaving", f"{one.endpoint}/{one.born}")
             self._digest = combined
         return self._digest
 
--- a/packages/rookspring-core/src/rookspring_core/noticing.py
+++ b/packages/rookspring-core/src/rookspring_core/noticing.py
@@ -11,10 +11,10 @@
 from .effects import ShareRates
 from .effects import ShareShed
 from .endpoints import EndpointView
-from .events import EndpointSaid
-from .events import LeavingHeard
-from .events import RatesHeard
-from .events import ShedHeard
+from .events import LeavingReceived
+from .events import NoticeReceived
+from .events import RatesReceived
+from .events import ShedReceived
 from .notices import Leaving
 from .notices import Notice
 from .reducer import handles
@@ -24,15 +24,15 @@
 Effects = list[Effect]
 
 
-@handles(EndpointSaid)
-def take_notice(state: NodeState, event: EndpointSaid) -> Effects:
+@handles(NoticeReceived)
+def take_notice(state: NodeState, event: NoticeReceived) -> Effects:
     """Apply the notice in a response's headers."""
     notice = event.notice
     if notice.life and notice.life != event.endpoint:
         return _take_other(state, event)
     effects: Effects = []
     if notice.leaving:
-        effects += _note_leaving(state, event.endpoint, event.born)
+        effects += _note_leaving(state, event.endpoint, event.started_ms)
     if notice.asked_rest_s() > 0.0:
         effects += _note_rest(state, event, notice)
     effects += _note_rate(state, event)
@@ -41,7 +41,7 @@
     return effects + requests.end_hopeless(state) + requests.pump(state)
 
 
-def _take_other(state: NodeState, event: EndpointSaid) -> Effects:
+def _take_other(state: NodeState, event: NoticeReceived) -> Effects:
     """Handle a notice from another process than the endpoint that the request was sent to.
 
     The notice is about that process. The endpoint has lost its address to it, unless the list has
@@ -58,7 +58,7 @@
 
 def born_of(view: EndpointView) -> int:
     """Return the start time of the process known at an endpoint; 0 if unknown."""
-    return view.report.born if view.report is not None else view.born
+    return view.report.started_ms if view.report is not None else view.born
 
 
 def _note_leaving(state: NodeState, endpoint: str, born: int) -> Effects:
@@ -82,9 +82,9 @@
         view.leaving = True
 
 
-def _note_rest(state: NodeState, event: EndpointSaid, notice: Notice) -> Effects:
+def _note_rest(state: NodeState, event: NoticeReceived, notice: Notice) -> Effects:
     backoff_s = notice.asked_rest_s()
-    state.notices.take_rest(event.endpoint, event.born, state.now + backoff_s)
+    state.notices.take_rest(event.endpoint, event.started_ms, state.now + backoff_s)
     _restore_view(state, event.endpoint)
     given = "no time given" if notice.rest_s is None else f"{notice.rest_s:g} s requested"
     state.record(event.endpoint, f"back-off of {backoff_s:.2f} s", f"it refused a request; {given}")
@@ -100,14 +100,14 @@
     return not notice.says_nothing() or (view is not None and view.rate is not None)
 
 
-def _note_rate(state: NodeState, event: EndpointSaid) -> Effects:
+def _note_rate(state: NodeState, event: NoticeReceived) -> Effects:
     notice = event.notice
     rates = state.rates
     added: tuple[RateWord, ...] = ()
     if notice.rate is not None:
-        added = rates.name(event.endpoint, event.born, notice.rate, event.asked_at, state.now)
+        added = rates.name(event.endpoint, event.started_ms, notice.rate, event.asked_at, state.now)
     elif not notice.names_rate:
-        added = rates.cease(event.endpoint, event.born, event.asked_at)
+        added = rates.cease(event.endpoint, event.started_ms, event.asked_at)
     _mark_rates(state, added, "stated in a response")
     return _share_rates(added, "")
 
@@ -124,8 +124,8 @@
         state.record(one.endpoint, change, why)
 
 
-@handles(RatesHeard)
-def hear_rates(state: NodeState, event: RatesHeard) -> Effects:
+@handles(RatesReceived)
+def hear_rates(state: NodeState, event: RatesReceived) -> Effects:
     """Merge endpoints' rates from another node, and forward those that are new here."""
     merged = state.rates.merge(event.rows, state.now)
     _mark_rates(state, merged.news, f"{event.source} reported it")
@@ -147,10 +147,10 @@
     return [ShareShed(endpoint, for_s)]
 
 
-def _note_missing_target(state: NodeState, event: EndpointSaid) -> None:
+def _note_missing_target(state: NodeState, event: NoticeReceived) -> None:
     """Remove a target from the view of an endpoint that has just stated that it lacks it."""
     view = state.endpoints.get(event.endpoint)
-    if view is None or not event.target or not notices.same_life(event.born, born_of(view)):
+    if view is None or not event.target or not notices.same_life(event.started_ms, born_of(view)):
         return
     before = view.targets()
     view.lacks(event.target, event.adapter)
@@ -173,8 +173,8 @@
         view.rest_until = until
 
 
-@handles(ShedHeard)
-def hear_shed(state: NodeState, event: ShedHeard) -> Effects:
+@handles(ShedReceived)
+def hear_shed(state: NodeState, event: ShedReceived) -> Effects:
     """Add to the load estimate of an endpoint that refused another node's request.
 
     The back-off binds only that node, so this one may still send requests there.
@@ -185,8 +185,8 @@
     return []
 
 
-@handles(LeavingHeard)
-def hear_leaving(state: NodeState, event: LeavingHeard) -> Effects:
+@handles(LeavingReceived)
+def hear_leaving(state: NodeState, event: LeavingReceived) -> Effects:
     """Merge leaving processes from another node, and forward those that are new here."""
     added = state.notices.take_leaving(event.rows, state.now)
     if not added:
--- a/packages/rookspring-core/src/rookspring_core/ordering.py
+++ b/packages/rookspring-core/src/rookspring_core/ordering.py
@@ -8,8 +8,8 @@
 from .effects import Effect
 from .effects import SendOrder
 from .effects import WriteIntent
-from .events import IntentsSeen
 from .events import IntentWritten
+from .events import IntentsSeen
 from .events import OrderAnswered
 from .memory import Doubt
 from .memory import Ledger
@@ -75,7 +75,7 @@
 def inherit_intents(state: NodeState, event: IntentsSeen) -> Effects:
     """Count the intents of earlier holders as orders that may still arrive."""
     state.control.intents_known = True
-    state.control.inherited = dict(event.intents)
+    state.control.inherited_intents = dict(event.intents)
     for ledger in state.control.ledgers.values():
         inherit_doubts(state, ledger)
     return []
@@ -83,7 +83,7 @@
 
 def inherit_doubts(state: NodeState, ledger: Ledger) -> None:
     """Add the orders that earlier holders recorded for one endpoint to its ledger."""
-    for action, model, version, gb in state.control.inherited.get(ledger.endpoint, ()):
+    for action, model, version, gb in state.control.inherited_intents.get(ledger.endpoint, ()):
         until = state.now + defaults.LATE_ORDER_BOUND_S
         ledger.doubts.append(Doubt(action, (model, version), gb, until))
 
@@ -173,13 +173,13 @@
     """Run the placement policy and order those of its moves that are allowed now."""
     control = state.control
     policy = state.catalogue.policy
-    control.store.refill(state.now, policy.loads_per_s)
+    control.store_limiter.refill(state.now, policy.loads_per_s)
     # The cost of a plan grows with the runners; fewer plans keep its share of a core constant.
     interval_s = max(defaults.PLAN_INTERVAL_S, len(control.ledgers) / defaults.PLANNED_PER_S)
     if state.now - control.planned_at < interval_s:
         return []
     control.planned_at = state.now
-    if state.now - control.acquired_at < defaults.SURVEY_S:
+    if state.now - control.acquired_at < defaults.REPORTS_WAIT_S:
         return []
     plan_input = PlanInput(
         state.catalogue.models, _snapshot_runners(state), dict(control.forecast.levels), policy
@@ -233,7 +233,10 @@
     if move.action == "load":
         if ledger.free() < move.gb:
             return []
-        if loading_now(state) >= state.catalogue.policy.loads_at_once or not control.store.take():
+        if (
+            loading_now(state) >= state.catalogue.policy.loads_at_once
+            or not control.store_limiter.take()
+        ):
             return []
         control.loads += 1
     elif not _other_resident(state, move.key, move.endpoint):
--- a/packages/rookspring-core/src/rookspring_core/orders.py
+++ b/packages/rookspring-core/src/rookspring_core/orders.py
@@ -85,7 +85,7 @@
     before = view.targets()
     # It takes precedence over a report that arrived at the same time.
     at = max(state.now, view.reported_at + defaults.CLOCK_STEP_S)
-    view.take_report(report._replace(at=at, age_s=0.0, own=False))
+    view.take_report(report._replace(at=at, age_s=0.0, polled=False))
     state.index(view, before, view.targets())
     assert view.report is not None
     return ShareReport(view.report)
--- a/packages/rookspring-core/src/rookspring_core/owners.py
+++ b/packages/rookspring-core/src/rookspring_core/owners.py
@@ -10,9 +10,9 @@
 
 import collections
 import typing as t
-
 from . import defaults
-from .mixing import mix
+from .hashing import stable_hash
+
 
 
 def choose_owner(subject: str, nodes: t.Iterable[str]) -> str:
@@ -20,7 +20,7 @@
 
     Rendezvous hashing: when a node goes, only its own subjects move to other nodes.
     """
-    return max(nodes, key=lambda node: mix("allotment", subject, node), default="")
+    return max(nodes, key=lambda node: stable_hash("allotment", subject, node), default="")
 
 
 class _Tenure:
--- a/packages/rookspring-core/src/rookspring_core/paces.py
+++ b/packages/rookspring-core/src/rookspring_core/paces.py
@@ -27,8 +27,8 @@
 
     def add(self, tokens: int, seconds: float) -> None:
         """Add one measurement."""
-        self.tokens = self.tokens * defaults.PACE_KEPT + tokens
-        self.seconds = self.seconds * defaults.PACE_KEPT + seconds
+        self.tokens = self.tokens * defaults.PACE_DECAY + tokens
+        self.seconds = self.seconds * defaults.PACE_DECAY + seconds
         self.seen += 1
 
 
@@ -55,7 +55,7 @@
 
     def note_whole(self, took_s: float) -> None:
         """Update the decaying maximum with the time of a whole answer, in seconds."""
-        self.longest_s = max(took_s, self.longest_s * defaults.LONGEST_KEPT)
+        self.longest_s = max(took_s, self.longest_s * defaults.LONGEST_DECAY)
 
     def note(self, model: str, tokens: int, took_s: float) -> None:
         """Add a measured time to the first event; short prompts update only the overhead.
@@ -65,7 +65,7 @@
         """
         if took_s <= 0:
             return
-        self.base_s = min(took_s, self.base_s * defaults.PACE_FORGET)
+        self.base_s = min(took_s, self.base_s * defaults.PACE_BASE_GROWTH)
         if tokens < defaults.PACE_TOKENS_MIN:
             return
         sums = self._sums.setdefault(model, PromptSums())
--- a/packages/rookspring-core/src/rookspring_core/placement.py
+++ b/packages/rookspring-core/src/rookspring_core/placement.py
@@ -9,13 +9,13 @@
 import math
 import types
 import typing as t
-
 from . import defaults
 from .exceptions import UnknownPolicy
-from .policy_names import NAMES
+from .policy_names import REGISTERED
 from .resources import ModelSpec
 from .resources import PolicySpec
-from .routing import mix
+from .routing import stable_hash
+
 
 Weights = tuple[str, str]
 
@@ -103,7 +103,7 @@
         The demand of a rarely requested model falls to nothing between two requests, so by
         demand alone it could never replace another rarely requested one. Its deficit stays.
         """
-        return self.asked_for(model) + self.owed.get(model, 0.0) / defaults.CLAIM_GROWS_S
+        return self.asked_for(model) + self.owed.get(model, 0.0) / defaults.UNSERVED_DEMAND_S
 
     def asked_for(self, model: str) -> float:
         """Return what callers request of a model, in tokens a second."""
@@ -122,7 +122,7 @@
 
     def register(function: Planner) -> Planner:
         PLACEMENT[name] = function
-        NAMES["placement"].append(name)
+        REGISTERED["placement"].append(name)
         return function
 
     return register
@@ -196,7 +196,9 @@
         open_runners = [
             runner for runner in self.open_to(model) if self.free[runner.name] >= need_gb
         ]
-        return sorted(open_runners, key=lambda one: (-self.free[one.name], mix(model, one.name)))
+        return sorted(
+            open_runners, key=lambda one: (-self.free[one.name], stable_hash(model, one.name))
+        )
 
     def spread(self, model: str, runners: list[RunnerRoom]) -> list[RunnerRoom]:
         """Sort runners in data centres without the model first."""
--- a/packages/rookspring-core/src/rookspring_core/planning.py
+++ b/packages/rookspring-core/src/rookspring_core/planning.py
@@ -6,13 +6,12 @@
 
 import math
 import typing as t
-
 from . import attaching
 from . import defaults
 from . import placement
 from . import swapping as swapping
 from .effects import Effect
-from .effects import WantDeclined
+from .effects import LoadRequestDeclined
 from .endpoints import EndpointView
 from .orders import adapters_at
 from .orders import give_order
@@ -32,6 +31,7 @@
 from .routes import EngineSize
 from .state import NodeState
 
+
 Effects = list[Effect]
 
 
@@ -68,7 +68,7 @@
         for view in views
     )
     policy = PolicySpec(loads_per_s=max(0.1, engine.loads_per_s))
-    store = state.control.store
+    store = state.control.store_limiter
     store.refill(state.now, engine.loads_per_s * defaults.STORE_RATE_SHARE)
     # A fast model is less work for a token, but its callers lose as much without it.
     requested = {name: level / state.paces.relative(name) for name, level in levels.items()}
@@ -78,8 +78,8 @@
         levels,
         policy,
         requested,
-        urgent=state.control.urgent.forecast.levels,
-        missed=state.control.missed.forecast.levels,
+        urgent=state.control.urgent_demand.forecast.levels,
+        missed=state.control.refused_demand.forecast.levels,
         longest_s=state.paces.longest_s,
         owed=_update_deficits(state, requested, snapshots),
         declined={},
@@ -99,7 +99,7 @@
         why = declined.get(model, "")
         if why and logged.get(model, "") != why:
             effects.append(
-                WantDeclined(model, f"{why}; {plan_input.claim(model):.0f} tokens/s of aged demand")
+                LoadRequestDeclined(model, f"{why}; {plan_input.claim(model):.0f} tokens/s of aged demand")
             )
         logged[model] = why
     return effects
@@ -232,7 +232,7 @@
                 view.name, f"cannot load {model}", "an unanswered order may still take its memory"
             )
             return []
-        if from_store(size, view.report) and not state.control.store.take():
+        if from_store(size, view.report) and not state.control.store_limiter.take():
             return []
         state.record(view.name, f"load {model}", move.why)
         account.room_for = ""
--- a/packages/rookspring-core/src/rookspring_core/policy_names.py
+++ b/packages/rookspring-core/src/rookspring_core/policy_names.py
@@ -4,4 +4,4 @@
 imported by the module that defines them.
 """
 
-NAMES: dict[str, list[str]] = {"routing": [], "placement": []}
+REGISTERED: dict[str, list[str]] = {"routing": [], "placement": []}
--- a/packages/rookspring-core/src/rookspring_core/rate_buckets.py
+++ b/packages/rookspring-core/src/rookspring_core/rate_buckets.py
@@ -11,7 +11,7 @@
 
 def in_hand(rate: float) -> float:
     """Return the most permits that an endpoint's bucket may hold."""
-    return defaults.TURNS_IN_HAND + rate * defaults.TURNS_IN_HAND_S
+    return defaults.PERMIT_BURST + rate * defaults.PERMIT_BURST_S
 
 
 class RateBucket:
--- a/packages/rookspring-core/src/rookspring_core/recovering.py
+++ b/packages/rookspring-core/src/rookspring_core/recovering.py
@@ -11,7 +11,7 @@
 from . import routed
 from . import slotting
 from . import suspecting
-from .effects import Attach
+from .effects import AttachStream
 from .effects import Effect
 from .effects import ShareDown
 from .events import AttemptFailed
@@ -54,7 +54,7 @@
         failed = AttemptFailed(event.at, event.request_id, 1, True, False, "endpoint is gone")
         return recover_request(state, failed)
     endpoint.begin(event.request_id, event.at)
-    return [Attach(event.request_id, 1, event.endpoint, event.offset)]
+    return [AttachStream(event.request_id, 1, event.endpoint, event.offset)]
 
 
 @handles(AttemptFailed)
@@ -64,9 +64,9 @@
     if request is None:
         return []
     # Once any attempt may have run, a later "not run" from another endpoint does not undo it.
-    request.maybe_ran = request.maybe_ran or (event.sent and not event.said_not_run)
+    request.maybe_ran = request.maybe_ran or (event.sent and not event.reported_not_run)
     request.sent = request.maybe_ran
-    request.not_run_said = event.said_not_run
+    request.attempt_not_run = event.reported_not_run
     effects = routed.end_prompt(state, request)
     effects += slotting.free(state, request, failed=True, unsent=not event.sent)
     effects += suspecting.note_broken(state, request, event)
@@ -79,7 +79,9 @@
     if terms is not None and request.sent and request.arrived.deadline_at <= state.now:
         status = 504
     text = f"endpoint failed: {event.reason}"
-    after_s = max(defaults.FAILED_BACK_S, comebacks.rest_back_s(state, request) if terms else 0.0)
+    after_s = max(
+        defaults.RETRY_AFTER_FAILURE_S, comebacks.rest_back_s(state, request) if terms else 0.0
+    )
     ended = requests.give_up(state, request, status, "endpoint_failed", text, after_s)
     return effects + ended + requests.pump(state)
 
@@ -92,10 +94,10 @@
     if request.dispatched_at < endpoint.began_at:
         # The attempt ended with an earlier process, so it does not count against this one.
         return []
-    if event.withheld or (event.said_not_run and endpoint.leaving):
+    if event.withheld or (event.reported_not_run and endpoint.leaving):
         # The endpoint's own notice was processed before this event; see :mod:`noticing`.
         return []
-    if event.said_not_run:
+    if event.reported_not_run:
         endpoint.heard_at = state.now
     else:
         endpoint.fail(state.now)
@@ -115,15 +117,15 @@
     if request.delivered > 0:
         # A stream that has begun is continued outside the retry budget; only consecutive
         # attempts without a token are limited.
-        request.barren += 1
-        return request.barren <= defaults.BARREN_ATTEMPTS_MAX
+        request.attempts_without_token += 1
+        return request.attempts_without_token <= defaults.ATTEMPTS_WITHOUT_TOKEN_MAX
     if request.attempt >= defaults.ATTEMPTS_MAX:
         return False
     endpoint = state.endpoints.get(request.endpoint)
-    if event.said_not_run and endpoint is not None and endpoint.leaving:
+    if event.reported_not_run and endpoint is not None and endpoint.leaving:
         # Refusing costs a leaving endpoint nothing, so this retry is not charged to the budget.
         return True
-    return state.budget.spend()
+    return state.retry_budget.spend()
 
 
 def _requeue(state: NodeState, request: RequestState) -> Effects:
--- a/packages/rookspring-core/src/rookspring_core/request_rates.py
+++ b/packages/rookspring-core/src/rookspring_core/request_rates.py
@@ -12,13 +12,13 @@
 """
 
 import typing as t
-
 from . import defaults
-from .mixing import mix
+from .hashing import stable_hash
 from .notices import LEAVING_KEPT_S
 from .notices import NOTICES_MAX
 from .notices import same_life
 
+
 # Lower limits are raised to this: an endpoint that accepts none gets one request in 10 s, whose
 # answer shows when it accepts more.
 RATE_LEAST_PER_S = 0.1
@@ -180,7 +180,7 @@
         if self._digest is None:
             found = 0
             for one in self.whole():
-                found ^= mix("rate", f"{one.endpoint}/{one.born}/{one.version}/{one.rate}")
+                found ^= stable_hash("rate", f"{one.endpoint}/{one.born}/{one.version}/{one.rate}")
             self._digest = found
         return self._digest
 
--- a/packages/rookspring-core/src/rookspring_core/requests.py
+++ b/packages/rookspring-core/src/rookspring_core/requests.py
@@ -2,7 +2,6 @@
 
 import heapq
 import typing as t
-
 from . import admission
 from . import allotting
 from . import comebacks
@@ -29,6 +28,7 @@
 from .state import NodeState
 from .state import RequestState
 
+
 Effects = list[Effect]
 
 
@@ -119,7 +119,7 @@
     arrived = request.arrived
     fault = keys.find_fault(state, arrived)
     if fault is not None:
-        after_s = defaults.UNPROVED_BACK_S if fault.status == 503 else 0.0
+        after_s = defaults.RETRY_AFTER_UNPROVED_S if fault.status == 503 else 0.0
         return suspecting.Barred(fault.status, fault.reason, fault.text, after_s)
     return suspecting.find_bar(state, arrived)
 
@@ -194,11 +194,11 @@
     request.tried.add(endpoint.name)
     request.running = True
     request.dispatched_at = state.now
-    request.turns_due = {}
-    request.born = suspecting.life_of(endpoint).born
-    request.first_at = None
+    request.permits_due = {}
+    request.endpoint_started_ms = suspecting.life_of(endpoint).born
+    request.first_event_at = None
     idle = endpoint.load(state.now) <= defaults.PACE_LOAD_MAX
-    request.alone = idle and endpoint.unread() == 0
+    request.endpoint_was_idle = idle and endpoint.unread() == 0
     identity = request.arrived.request_id
     endpoint.begin(identity, state.now)
     if request.arrived.prefix:
@@ -206,9 +206,9 @@
     wait_s = 0.0
     if request.arrived.route is not None:
         routed.count(state, request)
-    elif request.attempt > 1 and (request.delivered == 0 or request.barren > 1):
-        failed = request.barren or request.attempt - 1
-        wait_s = retries.back_off(failed, routing.mix(identity))
+    elif request.attempt > 1 and (request.delivered == 0 or request.attempts_without_token > 1):
+        failed = request.attempts_without_token or request.attempt - 1
+        wait_s = retries.back_off(failed, routing.stable_hash(identity))
     effects = suspecting.begin_trial(state, request)
     sent = Dispatch(identity, request.attempt, endpoint.name, request.delivered, state.now + wait_s)
     return [*effects, sent]
@@ -241,12 +241,14 @@
     request = current(state, event.request_id, event.attempt)
     if request is not None:
         request.delivered += event.tokens
-        request.barren = 0
-        request.first_at = state.now if request.first_at is None else request.first_at
+        request.attempts_without_token = 0
+        request.first_event_at = (
+            state.now if request.first_event_at is None else request.first_event_at
+        )
         if (endpoint := state.endpoints.get(request.endpoint)) is not None:
             endpoint.heard_at = state.now
             endpoint.answered(request.dispatched_at)
-        if request.delivered == event.tokens and request.alone:
+        if request.delivered == event.tokens and request.endpoint_was_idle:
             took_s = state.now - request.dispatched_at
             state.paces.note(request.arrived.target, request.arrived.prompt_tokens, took_s)
         if request.arrived.route is not None:
@@ -269,7 +271,7 @@
         endpoint.answered(request.dispatched_at)
     if not request.arrived.service:
         state.paces.note_whole(state.now - request.dispatched_at)
-    state.budget.earn()
+    state.retry_budget.earn()
     effects = suspecting.note_well(state, request)
     key = request.arrived.once_key
     if key is not None:
@@ -346,7 +348,7 @@
     identity = request.arrived.request_id
     effects = routed.end_prompt(state, request)
     effects += slotting.free(state, request, failed=False, unsent=not request.running)
-    state.turns_asked.pop(identity, None)
+    state.permit_requests.pop(identity, None)
     endpoint = state.endpoints.get(request.endpoint)
     if endpoint is not None:
         endpoint.end(identity, state.now)
--- a/packages/rookspring-core/src/rookspring_core/residency.py
+++ b/packages/rookspring-core/src/rookspring_core/residency.py
@@ -7,22 +7,21 @@
 """
 
 import math
-
 from . import attaching
 from . import defaults
 from . import governing
 from . import ordering
 from . import planning
 from . import requests
-from .control import StoreBudget
+from .control import WeightStoreLimiter
 from .effects import Effect
 from .effects import ReadReport
-from .effects import Remind
 from .effects import SendOrder
-from .effects import ShareComing
+from .effects import ShareLoading
+from .effects import StartOrderTimer
 from .endpoints import EndpointView
 from .events import EndpointReported
-from .events import ModelWanted
+from .events import LoadRequested
 from .events import OrderAnswered
 from .events import OrderDue
 from .orders import engine_of
@@ -41,24 +40,25 @@
 from .rooms import without
 from .state import NodeState
 
+
 Effects = list[Effect]
 
 
-@handles(ModelWanted)
-def take_want(state: NodeState, event: ModelWanted) -> Effects:
+@handles(LoadRequested)
+def take_want(state: NodeState, event: LoadRequested) -> Effects:
     """Record that a node has a request for a model or adapter that is resident nowhere."""
     if not governing.holding(state):
         return []
     key = (event.service, event.model, event.adapter)
     known = state.residency.wanted.get(key) or OpenWant(event.at, event.at, times=0)
-    state.residency.wanted[key] = known.ask_again(event.at, event.back_s)
+    state.residency.wanted[key] = known.ask_again(event.at, event.latest_retry_s)
     return attaching.serve_wants(state)
 
 
 def steer(state: NodeState, passed: float) -> Effects:
     """Do the control work that is due at a tick: the lease, then reports and orders."""
     control = state.control
-    for meter in (control.meter, control.urgent.meter, control.missed.meter):
+    for meter in (control.meter, control.urgent_demand.meter, control.refused_demand.meter):
         meter.roll(passed)
     governing.forfeit_lapsed(state)
     effects: Effects = [] if state.leaving else governing.lease_due(state)
@@ -84,8 +84,10 @@
         residency.epoch = state.control.acting_epoch
         residency.rooms = {}
         residency.wanted = {}
-        state.control.store = StoreBudget(defaults.STORE_BURST, defaults.RELAY_PLAN_INTERVAL_S)
-        state.control.store.begin(state.now)
+        state.control.store_limiter = WeightStoreLimiter(
+            defaults.STORE_BURST, defaults.RELAY_PLAN_INTERVAL_S
+        )
+        state.control.store_limiter.start_empty(state.now)
     effects: Effects = []
     for name, view in state.endpoints.items():
         if view.role != "runner" or view.gone or view.leaving:
@@ -115,7 +117,7 @@
     loading = view.report is not None and bool(view.report.loading)
     due = not account.trusted or order is not None or loading or not settled(state)
     # A runner that counts as down is read until its entry lapses, in case it still answers.
-    return (due or view.down) and asked_s >= defaults.SURVEY_READ_S
+    return (due or view.down) and asked_s >= defaults.REPORT_READ_INTERVAL_S
 
 
 def note_report(state: NodeState, event: EndpointReported) -> None:
@@ -123,10 +125,10 @@
     account = state.residency.rooms.get(event.endpoint)
     if account is None or not governing.holding(state):
         return
-    if event.own:
+    if event.polled:
         _forget_unloaded(account, event)
     order = account.order
-    if order is None or not event.own:
+    if order is None or not event.polled:
         return
     if event.order_token[1] > order.taken_before:
         if not event.loading and not still_there(order, event):
@@ -145,7 +147,7 @@
     from the account, and its memory would be promised twice.
     """
     account = state.residency.rooms.get(event.endpoint)
-    if account is not None and event.own and governing.holding(state):
+    if account is not None and event.polled and governing.holding(state):
         account.trusted = True
 
 
@@ -183,8 +185,8 @@
     """Return the time until which a loaded model is protected: its callers have retried then."""
     wants = state.residency.wanted.items()
     back_at = max((want.back_at for key, want in wants if key[1] == model), default=-math.inf)
-    most = state.now + defaults.MODEL_KEPT_S
-    return min(most, max(state.now, back_at) + defaults.PLACE_KEPT_S)
+    most = state.now + defaults.MODEL_KEEP_MAX_S
+    return min(most, max(state.now, back_at) + defaults.KEEP_AFTER_RETRY_S)
 
 
 def _withdrawn_with(account: Room, model: str) -> set[str]:
@@ -268,9 +270,9 @@
         return _share_loading(state, event.endpoint, order)
     if order.action == "unload" and event.reason != "done":
         # The adapter is still in use, and takes its slot until a report shows it gone.
-        return [ReadReport(event.endpoint, defaults.SURVEY_READ_S)]
+        return [ReadReport(event.endpoint, defaults.REPORT_READ_INTERVAL_S)]
     pause_s = defaults.ADAPTER_LOAD_S if order.action == "load" else 0.0
-    return [Remind(event.endpoint, order.taken_before, pause_s)]
+    return [StartOrderTimer(event.endpoint, order.taken_before, pause_s)]
 
 
 def _handle_unanswered(
@@ -292,7 +294,7 @@
         return [resend_order(state, view, order)]
     account.order = order._replace(lost=True)
     account.asked_at = state.now
-    return [ReadReport(event.endpoint, defaults.ORDER_LOOK_S)]
+    return [ReadReport(event.endpoint, defaults.ORDER_CHECK_S)]
 
 
 def _share_loading(state: NodeState, endpoint: str, order: Order) -> Effects:
@@ -301,7 +303,7 @@
     if order.action != "load" or view is None:
         return []
     view.coming = (order.model, order.ends_at())
-    return [ShareComing(endpoint, order.model, max(0.0, order.ends_at() - state.now))]
+    return [ShareLoading(endpoint, order.model, max(0.0, order.ends_at() - state.now))]
 
 
 @handles(OrderDue)
@@ -320,7 +322,7 @@
     report = without(view.report, order.model, order.adapter)
     if order.action == "load":
         report = report._replace(adapters=(*report.adapters, order.adapter))
-        kept_until = max(state.now, order.back_at) + defaults.PLACE_KEPT_S
+        kept_until = max(state.now, order.back_at) + defaults.KEEP_AFTER_RETRY_S
         account.stays[order.adapter] = Stay(state.now, kept_until, wanted_at=order.wanted_at)
     report = report._replace(order_token=(0, order.taken_before + 1))
     effects: Effects = [put_report(state, view, report)]
--- a/packages/rookspring-core/src/rookspring_core/resources.py
+++ b/packages/rookspring-core/src/rookspring_core/resources.py
@@ -8,12 +8,12 @@
 
 import re
 import typing as t
-
 from .exceptions import ResourceInvalid
-from .policy_names import NAMES
+from .policy_names import REGISTERED
+
 
 
-class Check:
+class FieldBounds:
     """Bounds of a field, by pydantic's names for them.
 
     Used in annotations, so that they don't need pydantic. A relay node checks no documents; without
@@ -33,8 +33,8 @@
         return {**handler(source), **self.bounds}
 
 
-Name = t.Annotated[str, Check(pattern=r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")]
-Positive = t.Annotated[float, Check(gt=0, allow_inf_nan=False)]
+Name = t.Annotated[str, FieldBounds(pattern=r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")]
+Positive = t.Annotated[float, FieldBounds(gt=0, allow_inf_nan=False)]
 Priority = t.Literal["casual", "normal", "ranked", "ledger"]
 
 Spec = t.TypeVar("Spec", bound=type[t.Any])
@@ -60,13 +60,13 @@
 class ModelSpec(t.NamedTuple):
     """A model that has to stay reachable; memory in gigabytes of one runner's accelerators."""
 
-    version: t.Annotated[str, Check(min_length=1, max_length=64)]
+    version: t.Annotated[str, FieldBounds(min_length=1, max_length=64)]
     memory_gb: Positive
     engine: Name = "pitwall-llm"
     priority: Priority = "normal"
-    replicas_min: t.Annotated[int, Check(ge=1, le=1000)] = 1
-    replicas_max: t.Annotated[int, Check(ge=1, le=10000)] = 1000
-    deadline_s: t.Annotated[float, Check(gt=0, le=600)] = 60.0
+    replicas_min: t.Annotated[int, FieldBounds(ge=1, le=1000)] = 1
+    replicas_max: t.Annotated[int, FieldBounds(ge=1, le=10000)] = 1000
+    deadline_s: t.Annotated[float, FieldBounds(gt=0, le=600)] = 60.0
 
 
 @kind("Adapter")
@@ -81,19 +81,19 @@
 class ServiceSpec(t.NamedTuple):
     """A plain service; ``unrepeatable`` lists path prefixes that run at most once."""
 
-    unrepeatable: tuple[t.Annotated[str, Check(max_length=256)], ...] = ()
+    unrepeatable: tuple[t.Annotated[str, FieldBounds(max_length=256)], ...] = ()
     priority: Priority = "normal"
-    deadline_s: t.Annotated[float, Check(gt=0, le=600)] = 10.0
-    concurrency: t.Annotated[int, Check(ge=1, le=100000)] = 64
+    deadline_s: t.Annotated[float, FieldBounds(gt=0, le=600)] = 10.0
+    concurrency: t.Annotated[int, FieldBounds(ge=1, le=100000)] = 64
 
 
 @kind("Team")
 class TeamSpec(t.NamedTuple):
     """Callers that share keys and limits; keys are stored as SHA-256 digests."""
 
-    key_sha256: tuple[t.Annotated[str, Check(pattern=r"^[0-9a-f]{64}$")], ...]
+    key_sha256: tuple[t.Annotated[str, FieldBounds(pattern=r"^[0-9a-f]{64}$")], ...]
     requests_per_s: Positive = 1e6
-    concurrency: t.Annotated[int, Check(ge=1)] = 1_000_000
+    concurrency: t.Annotated[int, FieldBounds(ge=1)] = 1_000_000
     operator: bool = False
 
 
@@ -101,11 +101,11 @@
 class PolicySpec(t.NamedTuple):
     """The weight of moves against demand, the policies, and the limits of the weight store."""
 
-    move_weight: t.Annotated[float, Check(ge=0, le=1e6, allow_inf_nan=False)] = 1.0
+    move_weight: t.Annotated[float, FieldBounds(ge=0, le=1e6, allow_inf_nan=False)] = 1.0
     placement: Name = "gain"
     routing: Name = "least-finish"
     loads_per_s: Positive = 1.5
-    loads_at_once: t.Annotated[int, Check(ge=1, le=10000)] = 10
+    loads_at_once: t.Annotated[int, FieldBounds(ge=1, le=10000)] = 10
 
 
 class Resource(t.NamedTuple):
@@ -147,7 +147,7 @@
     """Check that the named policies are registered, since every request needs them."""
     faults = [
         f"spec.{field}: one of {', '.join(names)} was expected"
-        for field, names in NAMES.items()
+        for field, names in REGISTERED.items()
         if getattr(policy, field) not in names
     ]
     if faults:
--- a/packages/rookspring-core/src/rookspring_core/rooms.py
+++ b/packages/rookspring-core/src/rookspring_core/rooms.py
@@ -2,13 +2,13 @@
 
 import math
 import typing as t
-
 from . import defaults
 from .events import EndpointReported
 from .routes import EngineSize
 from .routes import ModelSize
 
 
+
 class Order(t.NamedTuple):
     """An order that was sent to an endpoint and has not ended.
 
@@ -66,7 +66,7 @@
 
     def live(self, now: float) -> bool:
         """Tell whether a caller waits for it or is expected to retry."""
-        return now <= max(self.asked_at + defaults.WANT_LIFE_S, self.back_at)
+        return now <= max(self.asked_at + defaults.LOAD_REQUEST_TTL_S, self.back_at)
 
 
 class Stay(t.NamedTuple):
@@ -172,11 +172,11 @@
         self.declined: dict[str, str] = {}
         self.summed_at = -1e9
         # Delay until endpoints' reports show the end of an order, learnt so far, in seconds.
-        self.look_s = defaults.ORDER_LOOK_S
+        self.look_s = defaults.ORDER_CHECK_S
 
     def note_lag(self) -> None:
         """Read reports later from now on, as one was too early to show an order's end."""
-        self.look_s = min(defaults.ORDER_LOOK_MAX_S, self.look_s + defaults.ORDER_LOOK_STEP_S)
+        self.look_s = min(defaults.ORDER_CHECK_MAX_S, self.look_s + defaults.ORDER_CHECK_STEP_S)
 
 
 def still_there(order: Order, report: EndpointReported) -> bool:
--- a/packages/rookspring-core/src/rookspring_core/routed.py
+++ b/packages/rookspring-core/src/rookspring_core/routed.py
@@ -5,7 +5,6 @@
 """
 
 import math
-
 from . import admission
 from . import defaults
 from .effects import Effect
@@ -20,6 +19,7 @@
 from .state import NodeState
 from .state import RequestState
 
+
 POLICY = "even-load"
 
 
@@ -27,12 +27,12 @@
     """Refuse a request that this node cannot serve; None where it may be admitted."""
     if state.stopped:
         text = "this node has stopped; ask for addresses"
-        return Refuse(event.request_id, 503, "stopping", "not_run", text, defaults.COME_BACK_S)
+        return Refuse(event.request_id, 503, "stopping", "not_run", text, defaults.RETRY_AFTER_S)
     since = state.draining_since
     if since is not None and event.at - since > state.drain_serve_s:
         # Its answer could not be complete before the process ends.
         text = "this node is leaving; ask for addresses"
-        return Refuse(event.request_id, 503, "leaving", "not_run", text, defaults.COME_BACK_S)
+        return Refuse(event.request_id, 503, "leaving", "not_run", text, defaults.RETRY_AFTER_S)
     return None
 
 
@@ -48,7 +48,7 @@
     assert arrived.route is not None
     rank = arrived.route.rank
     sort_key = arrived.at + rank * defaults.RANK_HEADSTART_S
-    patience_s = arrived.route.patience_s
+    patience_s = arrived.route.max_wait_s
     if not arrived.service and not stands(state, arrived):
         patience_s = _wait_for_model_s(state, arrived)
     if slot_asked:
@@ -72,7 +72,7 @@
         return
     ready_s = defaults.SWAP_S + (size.disk_s or size.load_s)
     if ready_s > arrived.route.objective_s * defaults.READY_SHARE:
-        state.control.urgent.meter.add(arrived.target, work)
+        state.control.urgent_demand.meter.add(arrived.target, work)
 
 
 def note_missed(state: NodeState, arrived: RequestArrived, reason: str) -> None:
@@ -87,7 +87,7 @@
     lacks_room = reason in ("no_room", "no_turn", "resting")
     if (lacks_room or lacks_place) and not arrived.service:
         work = arrived.tokens * state.paces.relative(arrived.target)
-        state.control.missed.meter.add(arrived.target, work)
+        state.control.refused_demand.meter.add(arrived.target, work)
 
 
 def _model_size(state: NodeState, service: str, model: str) -> ModelSize | None:
@@ -107,7 +107,7 @@
     assert terms is not None
     wait_s = ready_in_s(state, terms.service, arrived.target) * defaults.READY_MARGIN
     in_time = wait_s <= terms.objective_s * defaults.READY_SHARE
-    return max(terms.patience_s, wait_s) if in_time else 0.0
+    return max(terms.max_wait_s, wait_s) if in_time else 0.0
 
 
 def ready_in_s(state: NodeState, service: str, model: str) -> float:
@@ -118,7 +118,7 @@
         if view.service == service and (in_s := view.brings(model, state.now)) is not None
     ]
     if coming:
-        return min(coming) + defaults.COMING_TOLD_S
+        return min(coming) + defaults.LOAD_REPORT_DELAY_S
     size = _model_size(state, service, model)
     if size is None:
         return math.inf
@@ -137,8 +137,8 @@
     since nodes that this one cannot reach now may be using their parts.
     """
     nodes = math.ceil(state.membership.most_nodes * defaults.JOINING_SHARE)
-    terms = state.window_terms._replace(nodes=max(state.window_terms.nodes, nodes))
-    resends = state.windows.setdefault(service, RetryWindow(terms))
+    terms = state.retry_window_terms._replace(nodes=max(state.retry_window_terms.nodes, nodes))
+    resends = state.retry_windows.setdefault(service, RetryWindow(terms))
     resends.terms = terms
     return resends
 
@@ -182,7 +182,7 @@
     adapters = endpoint.first_calls(state.now)
     if not adapters or arrived.adapter in adapters:
         return 0
-    return min(len(adapters), int(endpoint.slots() * defaults.FIRST_CALL_SHARE))
+    return min(len(adapters), int(endpoint.slots() * defaults.NEW_ADAPTER_RESERVE_SHARE))
 
 
 def _is_usable(state: NodeState, endpoint: EndpointView) -> bool:
@@ -214,7 +214,7 @@
     if request.arrived.service:
         return [view for view in ready if view.rate is None]
     if all_rated(state, request.arrived):
-        return [view for view in ready if view.rate is None or view.name not in request.turns_due]
+        return [view for view in ready if view.rate is None or view.name not in request.permits_due]
     return [view for view in ready if view.rate is None or view.turn_at <= state.now]
 
 
@@ -239,7 +239,7 @@
 def turnless(state: NodeState, request: RequestState) -> bool:
     """Return whether all endpoints that may serve a request have no permit for it in time."""
     hosts = _rated_hosts(state, request.arrived)
-    return bool(hosts) and all(view.name in request.turns_due for view in hosts)
+    return bool(hosts) and all(view.name in request.permits_due for view in hosts)
 
 
 def rest_left_s(state: NodeState, arrived: RequestArrived) -> float:
@@ -277,7 +277,7 @@
     :param others_first: part of the limit is reserved for just attached adapters.
     """
     unread = endpoint.unread()
-    most = defaults.UNREAD_TOKENS_MAX - (defaults.FIRST_CALL_TOKENS if others_first else 0)
+    most = defaults.UNREAD_TOKENS_MAX - (defaults.NEW_ADAPTER_RESERVE_TOKENS if others_first else 0)
     return unread == 0 or unread + tokens <= most
 
 
@@ -320,7 +320,7 @@
     if not event.sent:
         return request.attempt <= defaults.UNSENT_TRIES_MAX and _resend_is_safe(request)
     request.sends += 1
-    if not arrived.repeatable and not event.said_not_run:
+    if not arrived.repeatable and not event.reported_not_run:
         return False
     if request.sends >= terms.attempts:
         return False
@@ -329,7 +329,7 @@
 
 def _resend_is_safe(request: RequestState) -> bool:
     """Return whether a request may be sent again after an attempt that sent nothing."""
-    return request.arrived.repeatable or request.sends == 0 or request.not_run_said
+    return request.arrived.repeatable or request.sends == 0 or request.attempt_not_run
 
 
 def lacking(state: NodeState, arrived: RequestArrived) -> tuple[str, str]:
--- a/packages/rookspring-core/src/rookspring_core/routes.py
+++ b/packages/rookspring-core/src/rookspring_core/routes.py
@@ -6,11 +6,11 @@
 """
 
 import typing as t
-
-from .mixing import mix
+from .hashing import stable_hash
 from .organisations import Directory
 
 
+
 class Split(t.NamedTuple):
     """One service of a route with its share of the requests, as a weight."""
 
@@ -124,7 +124,7 @@
 def pick_service(route: Route, request_id: str) -> str:
     """Pick one of a route's services by weight, the same one each time for one request."""
     total = sum(split.weight for split in route.splits)
-    point = mix("split", route.name, request_id) % 1_000_000 / 1_000_000 * total
+    point = stable_hash("split", route.name, request_id) % 1_000_000 / 1_000_000 * total
     for split in route.splits:
         point -= split.weight
         if point < 0:
--- a/packages/rookspring-core/src/rookspring_core/routing.py
+++ b/packages/rookspring-core/src/rookspring_core/routing.py
@@ -6,12 +6,12 @@
 """
 
 import typing as t
-
 from . import defaults
 from .endpoints import EndpointView
 from .exceptions import UnknownPolicy
-from .mixing import mix as mix
-from .policy_names import NAMES
+from .hashing import stable_hash as stable_hash
+from .policy_names import REGISTERED
+
 
 
 class RouteQuery(t.NamedTuple):
@@ -38,7 +38,7 @@
 
     def register(function: Route) -> Route:
         ROUTING[name] = function
-        NAMES["routing"].append(name)
+        REGISTERED["routing"].append(name)
         return function
 
     return register
@@ -76,7 +76,7 @@
 @routing("least-finish")
 def route_least_finish(query: RouteQuery, endpoints: list[EndpointView]) -> EndpointView:
     """Choose the earliest predicted finish, with a bounded preference for a cached prefix."""
-    candidates = sorted(endpoints, key=lambda view: mix(query.request_id, view.name))
+    candidates = sorted(endpoints, key=lambda view: stable_hash(query.request_id, view.name))
     holders = [
         view for view in endpoints if query.prefix and view.may_hold(query.prefix, query.now)
     ]
@@ -107,16 +107,18 @@
             load += defaults.REMOTE_LOAD
         return load
 
-    return min(endpoints, key=lambda view: (score(view), mix(query.request_id, view.name)))
+    return min(endpoints, key=lambda view: (score(view), stable_hash(query.request_id, view.name)))
 
 
 @routing("least-inflight")
 def route_least_inflight(query: RouteQuery, endpoints: list[EndpointView]) -> EndpointView:
     """Choose the endpoint with the fewest of this node's own requests (a baseline)."""
-    return min(endpoints, key=lambda view: (len(view.inflight), mix(query.request_id, view.name)))
+    return min(
+        endpoints, key=lambda view: (len(view.inflight), stable_hash(query.request_id, view.name))
+    )
 
 
 @routing("round-robin")
 def route_round_robin(query: RouteQuery, endpoints: list[EndpointView]) -> EndpointView:
     """Choose by hash alone, which spreads requests evenly whatever the load (a baseline)."""
-    return min(endpoints, key=lambda view: mix(query.request_id, view.name))
+    return min(endpoints, key=lambda view: stable_hash(query.request_id, view.name))
