--- a/packages/rookspring-core/src/rookspring_core/slot_queues.py
+++ b/packages/rookspring-core/src/rookspring_core/slot_queues.py
@@ -19,12 +19,12 @@
 import heapq
 import itertools
 import typing as t
-
 from . import defaults
 from .rate_buckets import RateBucket
 from .witness import RateWitness
 
 
+
 class SlotAsk(t.NamedTuple):
     """A request that needs a slot.
 
@@ -154,7 +154,7 @@
 
     def __init__(self) -> None:
         self._requested_at: dict[str, float] = {}
-        self._share = defaults.TURN_STAY_SHARE
+        self._share = defaults.PERMIT_AVOID_SHARE
 
     def avoid_s(self, origin: str, rate: float, permits: float, now: float) -> float:
         """Return the seconds for which a node should prefer other endpoints.
@@ -162,16 +162,16 @@
         :param permits: how many were available when it asked.
         """
         if permits < 1.0:
-            self._share = min(defaults.TURN_STAY_SHARE, self._share * defaults.TURN_STAY_RISE)
-        elif permits >= defaults.TURNS_IN_HAND:
-            self._share = max(defaults.TURN_STAY_LEAST, self._share * defaults.TURN_STAY_FALL)
+            self._share = min(defaults.PERMIT_AVOID_SHARE, self._share * defaults.PERMIT_AVOID_RISE)
+        elif permits >= defaults.PERMIT_BURST:
+            self._share = max(defaults.PERMIT_AVOID_LEAST, self._share * defaults.PERMIT_AVOID_FALL)
         self._requested_at.pop(origin, None)
         self._requested_at[origin] = now
-        kept_s = max(defaults.TURN_ASKERS_S, 2.0 * len(self._requested_at) / rate)
+        kept_s = max(defaults.PERMIT_REQUESTERS_S, 2.0 * len(self._requested_at) / rate)
         while now - next(iter(self._requested_at.values())) > kept_s:
             del self._requested_at[next(iter(self._requested_at))]
         share_s = len(self._requested_at) / rate * self._share
-        return min(defaults.TURN_STAY_MOST_S, share_s)
+        return min(defaults.PERMIT_AVOID_MAX_S, share_s)
 
 
 class SlotQueue:
@@ -218,7 +218,7 @@
         for one in endpoints:
             self._open[one.name] = limit_of(one.slots)
             slots = self._endpoints.setdefault(one.name, _EndpointSlots())
-            slots.set_rate(one.rate, since + defaults.OWNER_SETTLES_S, now)
+            slots.set_rate(one.rate, since + defaults.OWNER_TAKEOVER_S, now)
         for name in set(self._endpoints) - set(self._open):
             if not self._endpoints[name].grants:
                 del self._endpoints[name]
@@ -272,12 +272,12 @@
         return [*self._grant(now), *self._refuse_late(now)]
 
     def _refuse(self, request: SlotAsk, wait_s: float, now: float) -> SlotAnswer:
-        least, most = defaults.SLOT_BACK_S
+        least, most = defaults.RETRY_AFTER_NO_SLOT_S
         if request.rate is None:
             after_s = min(most, max(least, wait_s))
             return SlotAnswer(request.origin, request.key, "", after_s, blind=not self._open)
         avoid_s = self._requesters.avoid_s(request.origin, request.rate, 0.0, now)
-        after_s = max(defaults.TURN_AGAIN_S, wait_s)
+        after_s = max(defaults.PERMIT_RETRY_S, wait_s)
         if request.wait_s > 0.0:
             # Each refused caller gets a later retry time, one permit interval apart: with the
             # same time, all would retry for the same permit.
--- a/packages/rookspring-core/src/rookspring_core/slotting.py
+++ b/packages/rookspring-core/src/rookspring_core/slotting.py
@@ -8,7 +8,6 @@
 """
 
 import math
-
 from . import defaults
 from .effects import AskSlot
 from .effects import Effect
@@ -16,13 +15,14 @@
 from .endpoints import EndpointView
 from .events import RequestArrived
 from .events import SlotAnswered
-from .mixing import mix
+from .hashing import stable_hash
 from .slot_queues import SlotEndpoint
 from .slot_queues import SlotQueue
 from .state import NodeState
+from .state import PermitRequest
 from .state import RequestState
 from .state import SlotHeld
-from .state import TurnAsked
+
 
 # Prefix of the name of a queue for one endpoint; names of services don't begin with it.
 ENDPOINT_MARK = "@"
@@ -52,7 +52,7 @@
     arrived = request.arrived
     assert arrived.route is not None
     queue = _start_question(state, request, ENDPOINT_MARK + view.name)
-    state.turns_asked[arrived.request_id] = TurnAsked(view.name, until)
+    state.permit_requests[arrived.request_id] = PermitRequest(view.name, until)
     wait_s = max(0.0, until - state.now)
     rank = arrived.route.rank
     return [AskSlot(arrived.request_id, queue, rank, arrived.team, wait_s, "", view.rate)]
@@ -60,7 +60,7 @@
 
 def _start_question(state: NodeState, request: RequestState, queue: str) -> str:
     request.slot_asked_at = state.now
-    request.slot_heard = False
+    request.slot_queued = False
     request.slot_queue = queue
     return queue
 
@@ -70,7 +70,7 @@
     asked_at = request.slot_asked_at
     if asked_at is None:
         return False
-    return request.slot_heard or state.now - asked_at < defaults.SLOT_ANSWER_S
+    return request.slot_queued or state.now - asked_at < defaults.SLOT_ANSWER_S
 
 
 def answers(state: NodeState, request: RequestState | None, event: SlotAnswered) -> bool:
@@ -82,14 +82,14 @@
         return False
     if event.queue != request.slot_queue:
         return False
-    asked = state.turns_asked.get(event.request_id)
+    asked = state.permit_requests.get(event.request_id)
     latest = max(request.slot_asked_at, asked.until) if asked else math.inf
     return state.now <= latest + defaults.OWNER_ANSWER_S
 
 
 def hold(request: RequestState, event: SlotAnswered, now: float) -> None:
     """Record that a request holds a slot."""
-    request.slot = SlotHeld(request.slot_queue, event.endpoint, now, event.rated)
+    request.slot = SlotHeld(request.slot_queue, event.endpoint, now, event.counts_towards_rate)
     request.slot_asked_at = None
 
 
@@ -118,7 +118,7 @@
     view = state.endpoints.get(event.endpoint)
     if view is None or view.leaving or view.gone or view.rests(state.now):
         return None
-    if view.rate is not None and not event.rated:
+    if view.rate is not None and not event.counts_towards_rate:
         # It was granted by an owner that did not know of the rate limit yet.
         return None
     if not view.listens(state.now):
@@ -137,7 +137,7 @@
     if view is None or view.rate is None or request is None:
         return ""
     held = request.slot
-    if held is None or held.endpoint != endpoint or not held.rated:
+    if held is None or held.endpoint != endpoint or not held.counts_towards_rate:
         return f"it takes {view.rate:g} requests a second, and this one has no turn"
     if state.now - held.at > defaults.SLOT_SEND_S:
         return f"its turn is {state.now - held.at:.2f} s old"
@@ -156,7 +156,7 @@
     assert arrived.route is not None
     service = arrived.route.service
     count = _partition_count(len(state.hosts.get(arrived.target, {})))
-    return f"{service}/{mix('part', arrived.request_id) % count}" if count > 1 else service
+    return f"{service}/{stable_hash('part', arrived.request_id) % count}" if count > 1 else service
 
 
 def _partition_count(endpoints: int) -> int:
--- a/packages/rookspring-core/src/rookspring_core/state.py
+++ b/packages/rookspring-core/src/rookspring_core/state.py
@@ -1,7 +1,6 @@
 """The complete state of a node. Only the reducer's handlers change it."""
 
 import typing as t
-
 from . import defaults
 from .adapter_waits import AdapterWaits
 from .admission import AdmissionQueue
@@ -32,6 +31,7 @@
 from .witness import ToldWitness
 
 
+
 class Identity(t.NamedTuple):
     """Identifies a node; its incarnation is new at each start."""
 
@@ -50,7 +50,7 @@
 
     organisation: str
     units: float
-    asked: bool
+    granted_by_owner: bool
 
 
 class Parked(t.NamedTuple):
@@ -75,10 +75,10 @@
     queue: str
     endpoint: str
     at: float
-    rated: bool = False
+    counts_towards_rate: bool = False
 
 
-class TurnAsked(t.NamedTuple):
+class PermitRequest(t.NamedTuple):
     """A request that waits for a permit of an endpoint's rate limiter.
 
     :param until: when the wait ends, by this node's clock.
@@ -92,28 +92,28 @@
     """A request on its entry node, from its arrival to its end."""
 
     __slots__ = (
-        "alone",
+        "endpoint_was_idle",
         "arrived",
         "attempt",
-        "barren",
-        "born",
+        "attempts_without_token",
+        "endpoint_started_ms",
         "charge",
         "delivered",
         "dispatched_at",
         "endpoint",
-        "first_at",
+        "first_event_at",
         "limited",
         "maybe_ran",
-        "not_run_said",
+        "attempt_not_run",
         "running",
         "sends",
         "sent",
         "slot",
         "slot_asked_at",
-        "slot_heard",
+        "slot_queued",
         "slot_queue",
         "tried",
-        "turns_due",
+        "permits_due",
     )
 
     def __init__(self, arrived: RequestArrived) -> None:
@@ -124,7 +124,7 @@
         # Whether a byte may have reached an endpoint that has not reported "not run".
         self.sent = False
         # Whether the endpoint of the last failed attempt reported that it did not run it.
-        self.not_run_said = False
+        self.attempt_not_run = False
         self.maybe_ran = False
         # Attempts of which a byte may have left; a route limits their number.
         self.sends = 0
@@ -134,22 +134,22 @@
         # owner has confirmed that the request waits in its queue.
         self.slot: SlotHeld | None = None
         self.slot_asked_at: float | None = None
-        self.slot_heard = False
+        self.slot_queued = False
         self.slot_queue = ""
         # Endpoints whose rate limiter refused a permit, with the time when one is expected.
-        self.turns_due: dict[str, float] = {}
+        self.permits_due: dict[str, float] = {}
         self.running = False
         # Whether its endpoint had no unread prompt and a low load when the request was sent, so
         # that the time to the first event measures this prompt alone.
-        self.alone = False
+        self.endpoint_was_idle = False
         self.delivered = 0
         # Consecutive attempts that delivered no token.
-        self.barren = 0
+        self.attempts_without_token = 0
         self.dispatched_at = 0.0
         # When its endpoint's process started (ms, by that box's clock), and when the first event
         # of this attempt came from it (by this node's clock).
-        self.born = 0
-        self.first_at: float | None = None
+        self.endpoint_started_ms = 0
+        self.first_event_at: float | None = None
 
 
 class Decision(t.NamedTuple):
@@ -175,8 +175,8 @@
         self.relaying = False
         self.table: RouteTable | None = None
         self.residency = Residency()
-        self.windows: dict[str, RetryWindow] = {}
-        self.window_terms = WindowTerms()
+        self.retry_windows: dict[str, RetryWindow] = {}
+        self.retry_window_terms = WindowTerms()
         self.endpoints: dict[str, EndpointView] = {}
         self.hosts: dict[str, dict[str, EndpointView]] = {}
         self.peers_work = PeersWork()
@@ -196,22 +196,22 @@
         self.parked: dict[str, Parked] = {}
         # Requests that wait for a permit of an endpoint's rate limiter. Meanwhile they are in
         # none of this node's queues.
-        self.turns_asked: dict[str, TurnAsked] = {}
+        self.permit_requests: dict[str, PermitRequest] = {}
         # Whether owner nodes grant the slots of plain services, and the slot queues that this
         # node owns.
         self.slots_by_owner = False
         self.slot_queues: dict[str, SlotQueue] = {}
-        self.budget = RetryBudget()
+        self.retry_budget = RetryBudget()
         self.once = OnceTable()
         self.membership = Membership(identity.name, identity.data_centre)
         self.topology = Topology(self.membership)
         # What this node can carry, in cores with the link for them; see ``HeartbeatReceived``.
-        self.strength = 0.0
+        self.capacity = 0.0
         self.control = ControlState()
         # How often the platform's store has been restored from an older copy, as far as this node
         # knows.
         self.store_era = 0
-        self.platform_at = started_at
+        self.platform_answered_at = started_at
         self.platform_reachable = False
         self.draining_since: float | None = None
         # How long a leaving node continues to serve, in seconds, since callers may have its
@@ -219,8 +219,8 @@
         self.drain_serve_s = defaults.ADDRESS_TTL_S + defaults.DRAIN_MARGIN_S
         self.hurry = False
         self.stopped = False
-        self.witness: set[str] = set()
-        self.told = ToldWitness()
+        self.sent_witness: set[str] = set()
+        self.notice_witness = ToldWitness()
         self.decisions: list[Decision] = []
         self.full_checks = False
         self.admission_on = True
--- a/packages/rookspring-core/src/rookspring_core/suspecting.py
+++ b/packages/rookspring-core/src/rookspring_core/suspecting.py
@@ -5,7 +5,6 @@
 """
 
 import typing as t
-
 from . import defaults
 from .effects import Effect
 from .effects import Refuse
@@ -13,9 +12,9 @@
 from .effects import VerdictFound
 from .endpoints import EndpointView
 from .events import AttemptFailed
-from .events import EvidenceHeard
+from .events import EvidenceReceived
 from .events import RequestArrived
-from .mixing import mix
+from .hashing import stable_hash
 from .reducer import handles
 from .state import NodeState
 from .state import RequestState
@@ -25,6 +24,7 @@
 from .suspects import Sighting
 from .suspects import Trial
 
+
 Effects = list[Effect]
 
 # Start times are in milliseconds of a clock; a hash used instead of one is below any of them.
@@ -46,7 +46,7 @@
 def find_bar(state: NodeState, arrived: RequestArrived) -> Barred | None:
     """Return why a request may not be sent now; None if it may.
 
-    A request whose evidence has reached ``ENDS_MAX`` crashes is refused until its verdict expires,
+    A request whose evidence has reached ``CRASHES_MAX`` crashes is refused until its verdict expires,
     since it would crash the next endpoint too. From ``SUSPECT_ENDS`` crashes on, a request is run
     at most once at a time, and no sooner than ``SUSPECT_BACK_S`` after the last crash, so that a
     further crash is clear evidence against it and costs few other requests.
@@ -62,9 +62,9 @@
             f"be run again for {left_s:.0f} s"
         )
         return Barred(503, "ends_endpoints", text)
-    if table.ends(arrived.fingerprint) < defaults.SUSPECT_ENDS:
+    if table.ends(arrived.fingerprint) < defaults.SUSPECT_CRASHES:
         return None
-    free_at = table.last_at(arrived.fingerprint) + defaults.SUSPECT_BACK_S
+    free_at = table.last_at(arrived.fingerprint) + defaults.SUSPECT_RETRY_S
     free_at = max(free_at, table.tried_until(arrived.fingerprint))
     if free_at <= state.now:
         return None
@@ -91,7 +91,7 @@
 
 def come_back(arrived: RequestArrived, quarantine: Barred) -> float:
     """Return when a refused suspect may be retried, spread by request; 0 if it should not be."""
-    spread = mix("suspected", arrived.request_id) % 1000 / 1000.0
+    spread = stable_hash("suspected", arrived.request_id) % 1000 / 1000.0
     return quarantine.after_s * (1.0 + spread)
 
 
@@ -100,7 +100,7 @@
 
     Such a request is run where a crash would lose the fewest others.
     """
-    return state.suspects.ends(request.arrived.fingerprint) >= defaults.SUSPECT_ENDS
+    return state.suspects.ends(request.arrived.fingerprint) >= defaults.SUSPECT_CRASHES
 
 
 def begin_trial(state: NodeState, request: RequestState) -> Effects:
@@ -120,13 +120,13 @@
     """
     endpoint = state.endpoints.get(request.endpoint)
     fingerprint = request.arrived.fingerprint
-    if not event.sent or event.said_not_run:
+    if not event.sent or event.reported_not_run:
         # The request hasn't run, so this node may try another endpoint at once. Otherwise a
         # suspect that was sent to an ended endpoint waited another 2 s each time.
         state.suspects.end_trial(fingerprint)
     if endpoint is None or endpoint.leaving or endpoint.gone:
         return []
-    process = Life(request.endpoint, request.born)
+    process = Life(request.endpoint, request.endpoint_started_ms)
     effects: Effects = []
     if event.broken and fingerprint:
         record = _sight(state, request, process)
@@ -139,13 +139,13 @@
 def note_left(state: NodeState, request: RequestState) -> None:
     """Record a running request whose caller left, since its endpoint may be about to crash."""
     if request.arrived.fingerprint and request.running and request.sent:
-        process = Life(request.endpoint, request.born)
+        process = Life(request.endpoint, request.endpoint_started_ms)
         state.suspects.note_left(_sight(state, request, process))
 
 
 def _sight(state: NodeState, request: RequestState, process: Life) -> Sighting:
     arrived = request.arrived
-    answered_s = state.now - request.first_at if request.first_at is not None else 0.0
+    answered_s = state.now - request.first_event_at if request.first_event_at is not None else 0.0
     early = answered_s < defaults.LONG_RUN_S
     return Sighting(arrived.fingerprint, arrived.team, process, state.now, early)
 
@@ -162,7 +162,7 @@
     report = view.report
     if report is None:
         return Life(view.name, 0)
-    return Life(view.name, report.born or mix("life", report.incarnation) % BORN_MAX)
+    return Life(view.name, report.started_ms or stable_hash("life", report.incarnation) % BORN_MAX)
 
 
 def _end(state: NodeState, process: Life) -> Effects:
@@ -196,8 +196,8 @@
     return new_verdicts if added.empty() else [*new_verdicts, ShareEvidence(added, source)]
 
 
-@handles(EvidenceHeard)
-def hear_evidence(state: NodeState, event: EvidenceHeard) -> Effects:
+@handles(EvidenceReceived)
+def hear_evidence(state: NodeState, event: EvidenceReceived) -> Effects:
     """Merge another node's evidence, and forward what was not known yet.
 
     Requests of this node that broke at the processes in it are added as evidence.
--- a/packages/rookspring-core/src/rookspring_core/suspects.py
+++ b/packages/rookspring-core/src/rookspring_core/suspects.py
@@ -11,9 +11,9 @@
 """
 
 import typing as t
-
 from . import defaults
-from .mixing import mix
+from .hashing import stable_hash
+
 
 
 class Life(t.NamedTuple):
@@ -76,7 +76,7 @@
         return not any(self)
 
 
-# Weighs the crash records of one request; at a weight of ``ENDS_MAX`` there is a verdict.
+# Weighs the crash records of one request; at a weight of ``CRASHES_MAX`` there is a verdict.
 Weigh = t.Callable[[t.Iterable[Sighting]], float]
 WEIGHTS: dict[str, Weigh] = {}
 WeighFunction = t.TypeVar("WeighFunction", bound=Weigh)
@@ -144,14 +144,16 @@
 
     def note_left(self, record: Sighting) -> None:
         """Record a request whose caller left; its endpoint may run it for ``LEFT_RUNS_S`` more."""
-        backdated = record._replace(at=record.at - defaults.END_KNOWN_S + defaults.LEFT_RUNS_S)
+        backdated = record._replace(
+            at=record.at - defaults.CRASH_DETECTION_S + defaults.ABANDONED_RUN_S
+        )
         self._pending.setdefault(record.life, {}).setdefault(record.fingerprint, backdated)
 
     def note_ended(self, process: Life, now: float) -> list[Sighting]:
         """Record that a process has ended, and return what broke there within ``END_KNOWN_S``."""
         self._ended.setdefault(process, now)
         pending = self._pending.pop(process, {}).values()
-        return [one for one in pending if now - one.at <= defaults.END_KNOWN_S]
+        return [one for one in pending if now - one.at <= defaults.CRASH_DETECTION_S]
 
     # Merging.
 
@@ -187,7 +189,7 @@
             return False
         rows[record.life] = record
         self._trials.pop(fingerprint, None)
-        if self._weigh(rows.values()) >= defaults.ENDS_MAX:
+        if self._weigh(rows.values()) >= defaults.CRASHES_MAX:
             until = record.at + defaults.EVIDENCE_S
             self._merge_verdict(Verdict(fingerprint, record.organisation, until), now)
         self._bound(record.organisation)
@@ -245,7 +247,7 @@
         self._cleared = {name: at for name, at in self._cleared.items() if at > oldest}
         self._trials = {name: until for name, until in self._trials.items() if until > now}
         self._ended = {process: at for process, at in self._ended.items() if at > oldest}
-        oldest_pending = now - defaults.END_KNOWN_S
+        oldest_pending = now - defaults.CRASH_DETECTION_S
         for process, pending in list(self._pending.items()):
             if all(one.at < oldest_pending for one in pending.values()):
                 del self._pending[process]
@@ -301,9 +303,9 @@
             for fingerprint, rows in self._records.items():
                 if fingerprint not in self._verdicts:
                     for process in rows:
-                        combined ^= mix(fingerprint, f"{process.endpoint}/{process.born}")
+                        combined ^= stable_hash(fingerprint, f"{process.endpoint}/{process.born}")
             for fingerprint in self._verdicts:
-                combined ^= mix(fingerprint, "verdict")
+                combined ^= stable_hash(fingerprint, "verdict")
             self._digest = combined
         return self._digest
 
--- a/packages/rookspring-core/src/rookspring_core/swapping.py
+++ b/packages/rookspring-core/src/rookspring_core/swapping.py
@@ -9,7 +9,6 @@
 
 import math
 import typing as t
-
 from . import defaults
 from .placement import Board
 from .placement import Move
@@ -20,6 +19,7 @@
 from .placement import serve_split
 
 
+
 class Bounds(t.NamedTuple):
     """Limits on the loss that an eviction may cause, in tokens a second.
 
@@ -79,7 +79,7 @@
         self.on_way = {
             runner.room_for
             for runner in plan_input.runners
-            if runner.busy and runner.free_in_s <= defaults.ON_WAY_S
+            if runner.busy and runner.free_in_s <= defaults.ROOM_PENDING_S
         }
 
     def share_out(self) -> None:
@@ -92,7 +92,9 @@
             missed = max(self.unserved.get(model, 0.0), plan_input.missed.get(model, 0.0))
             known = self.ready.get(model) or model in self.coming
             if known and len(self.hosts[model]) == 1:
-                missed = max(missed, defaults.SINGLE_LOSS * plan_input.urgent.get(model, 0.0))
+                missed = max(
+                    missed, defaults.SINGLE_REPLICA_LOSS_SHARE * plan_input.urgent.get(model, 0.0)
+                )
             self.unserved[model] = missed
 
     def urgent(self, model: str) -> float:
@@ -119,14 +121,14 @@
         others = self.ready[model] - {runner}
         if not others:
             urgent = self.urgent(model)
-            return urgent + defaults.PATIENT_LOSS * (requested - urgent)
+            return urgent + defaults.DEFERRABLE_LOSS_SHARE * (requested - urgent)
         spare = sum(
             max(0.0, self.runners[other].token_rate - self.load_of[other]) for other in others
         )
         over = self.share.get((model, runner), 0.0) - spare
         missed = max(0.0, over, plan_input.missed.get(model, 0.0))
         if value_redundancy and len(others) == 1:
-            missed = max(missed, defaults.SINGLE_LOSS * plan_input.urgent.get(model, 0.0))
+            missed = max(missed, defaults.SINGLE_REPLICA_LOSS_SHARE * plan_input.urgent.get(model, 0.0))
         return requested / demand * missed
 
 
@@ -179,7 +181,7 @@
     Redundancy of other models counts for nothing here: a first replica of one model goes
     before a second of another.
     """
-    share = board.given.claim(model) * defaults.GIVE_WAY_SHARE
+    share = board.given.claim(model) * defaults.EVICTION_SHARE
     most = max(defaults.IDLE_TOKENS_PER_S, share)
     return Bounds(spare=most, last=most, urgent=most, value_redundancy=False)
 
@@ -194,7 +196,7 @@
     """
     demand = board.given.demand.get(model, 0.0)
     tokens = missed * board.given.asked_for(model) / demand if demand > 0.0 else 0.0
-    share = tokens * defaults.GIVE_WAY_SHARE
+    share = tokens * defaults.EVICTION_SHARE
     last = min(share, defaults.IDLE_TOKENS_PER_S)
     return Bounds(spare=share, last=last, urgent=last)
 
@@ -292,7 +294,7 @@
     # Lost and delayed tokens become seconds by the requested rate of the model to load.
     requested = max(board.given.asked_for(model), defaults.IDLE_TOKENS_PER_S)
     delayed_tokens = runner.awaited * time_s
-    cost_s += (defaults.LOST_COPY_S * lost + delayed_tokens) / requested
+    cost_s += (defaults.EVICTED_REPLICA_S * lost + delayed_tokens) / requested
     return Option(cost_s, time_s, lost, runner.name, evictions, delayed_tokens)
 
 
@@ -392,7 +394,7 @@
         if option is None or spare <= 0:
             continue
         gain = min(missed, spare) * tokens * (defaults.SWAP_HORIZON_S - option.time_s)
-        gain -= option.lost * defaults.LOST_COPY_S + option.delayed_tokens
+        gain -= option.lost * defaults.EVICTED_REPLICA_S + option.delayed_tokens
         gain -= plan_input.policy.move_weight * defaults.IDLE_TOKENS_PER_S * option.time_s
         options.append((gain, option))
     return options
--- a/packages/rookspring-core/src/rookspring_core/topology.py
+++ b/packages/rookspring-core/src/rookspring_core/topology.py
@@ -8,12 +8,12 @@
 """
 
 import typing as t
-
 from . import defaults
 from .events import BoxListed
-from .events import PeerHeard
+from .events import HeartbeatReceived
+from .hashing import stable_hash
 from .membership import Membership
-from .mixing import mix
+
 
 
 class Standing(t.NamedTuple):
@@ -62,7 +62,7 @@
     def work_out(self, now: float, standing: Standing) -> None:
         """Update roles and links after a change, or once ``RELAY_WORK_OUT_S`` has passed."""
         position = self._members.changes.end()
-        stale = now - self._updated_at >= defaults.RELAY_WORK_OUT_S
+        stale = now - self._updated_at >= defaults.ROLES_RECOMPUTE_S
         changed = position != self._change_position or standing.holding != self._local.holding
         if changed or stale:
             self._change_position = position
@@ -108,13 +108,13 @@
         return rankings
 
     def _relay_rank(self, one: "_Candidate") -> tuple[t.Any, ...]:
-        strength = int(4 * min(one.strength, defaults.RELAY_STRENGTH))
+        strength = int(4 * min(one.strength, defaults.RELAY_CAPACITY))
         return (not one.settled, -strength, not one.relay, self._hash("relay", one.name))
 
     def _hash(self, job: str, name: str) -> int:
         found = self._hashes.get((job, name))
         if found is None:
-            found = self._hashes[(job, name)] = mix(job, name)
+            found = self._hashes[(job, name)] = stable_hash(job, name)
         return found
 
     def _candidates(self, now: float) -> t.Iterator["_Candidate"]:
@@ -129,12 +129,12 @@
             if heard.leaving or self._is_excluded(name, now):
                 continue
             settled = peer.age_s(now) >= defaults.RELAY_SETTLED_S
-            yield _Candidate(name, heard.data_centre, heard.strength, settled, heard.relay)
+            yield _Candidate(name, heard.data_centre, heard.capacity, settled, heard.relay)
         for name, row in members.listed.items():
             if name in members.peers or name == members.name or self._is_excluded(name, now):
                 continue
             if name not in members.gone:
-                yield _Candidate(name, row.data_centre, row.strength, False, False)
+                yield _Candidate(name, row.data_centre, row.capacity, False, False)
 
     def _is_excluded(self, name: str, now: float) -> bool:
         at = self._unreached.get(name)
@@ -149,7 +149,7 @@
         return {one.name for one in rows[: defaults.WATCHERS]}
 
     def _watch_rank(self, one: "_Candidate") -> tuple[t.Any, ...]:
-        strength = int(4 * min(one.strength, defaults.RELAY_STRENGTH))
+        strength = int(4 * min(one.strength, defaults.RELAY_CAPACITY))
         return (not one.settled, -strength, self._hash("watch", one.name))
 
     def dialled(self) -> dict[str, str]:
@@ -204,14 +204,14 @@
         ]
         return min(rows, default=((), ""))[1]
 
-    def _may_follow(self, heard: PeerHeard) -> bool:
+    def _may_follow(self, heard: HeartbeatReceived) -> bool:
         if heard.follows or heard.leaving:
             return False
         if self.relay:
             return heard.watches or heard.store_age_s < defaults.STORE_STALE_S
         return heard.relay
 
-    def _follow_rank(self, name: str, heard: PeerHeard, now: float) -> tuple[t.Any, ...]:
+    def _follow_rank(self, name: str, heard: HeartbeatReceived, now: float) -> tuple[t.Any, ...]:
         stale = self._peer_store_age_s(name, now) > defaults.STORE_STALE_S
         # A relay prefers a node that watches the store; for a leaf any relay will do.
         indirect = self.relay and not heard.watches
@@ -260,9 +260,12 @@
         """
         name = self._members.name
         if self.relay:
-            return defaults.STEP_IN_RELAY_S * self._watch_order.get(name, 0)
+            return defaults.WATCH_TAKEOVER_RELAY_S * self._watch_order.get(name, 0)
         spread = self._hash("step in", name) % 1000 / 1000.0
-        return defaults.STEP_IN_LEAST_S + defaults.STEP_IN_PER_NODE_S * self._nodes * spread
+        return (
+            defaults.WATCH_TAKEOVER_MIN_S
+            + defaults.WATCH_TAKEOVER_PER_NODE_S * self._nodes * spread
+        )
 
     def proves(self) -> bool:
         """Return whether this node is one of the two that read the configuration for all.
--- a/packages/rookspring-core/src/rookspring_core/wants.py
+++ b/packages/rookspring-core/src/rookspring_core/wants.py
@@ -2,7 +2,7 @@
 
 from . import comebacks
 from .effects import Effect
-from .effects import Want
+from .effects import RequestLoad
 from .events import RequestArrived
 from .state import NodeState
 
@@ -21,5 +21,5 @@
     request = state.requests[event.request_id]
     if event.adapter:
         state.adapter_waits.begin(event.adapter, state.now)
-    back_s = terms.patience_s + comebacks.come_back(state, request)
-    return [Want(terms.service, event.target, event.adapter, back_s)]
+    back_s = terms.max_wait_s + comebacks.come_back(state, request)
+    return [RequestLoad(terms.service, event.target, event.adapter, back_s)]
--- a/packages/rookspring-core/src/rookspring_core/witness.py
+++ b/packages/rookspring-core/src/rookspring_core/witness.py
@@ -2,13 +2,13 @@
 
 import collections
 import typing as t
-
 from . import defaults
 from . import notices
 from .exceptions import InvariantBroken
 
+
 if t.TYPE_CHECKING:
-    from .events import EndpointSaid
+    from .events import NoticeReceived
 
 # Shorter than the handlers keep notices, so that a notice they have dropped is no violation.
 REMEMBERED_S = notices.LEAVING_KEPT_S / 2.0
@@ -23,11 +23,11 @@
         self._leaving: dict[Life, float] = {}
         self._rests: dict[Life, float] = {}
 
-    def note(self, event: "EndpointSaid") -> None:
+    def note(self, event: "NoticeReceived") -> None:
         """Record an endpoint's notice about itself."""
         if event.notice.life not in ("", event.endpoint):
             return
-        process = (event.endpoint, event.born)
+        process = (event.endpoint, event.started_ms)
         if event.notice.leaving:
             self._leaving.setdefault(process, event.at)
         rest_s = event.notice.rest_s
@@ -77,7 +77,7 @@
             self._granted.popleft()
         highest = max(one for _, one in self._granted)
         allowed_turns = (
-            highest * (RATE_WINDOW_S + defaults.TURNS_IN_HAND_S) + defaults.TURNS_IN_HAND
+            highest * (RATE_WINDOW_S + defaults.PERMIT_BURST_S) + defaults.PERMIT_BURST
         )
         if len(self._granted) > allowed_turns + 1e-6:
             text = (
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -11,11 +11,17 @@
 import functools
 import heapq
 import itertools
-import typing as t
-from unittest import mock
-
 import msgpack
-
+import typing as t
+from .fleet_node import FleetLink
+from .fleet_node import FleetNode
+from .fleet_node import write_table
+from .fleet_runners import FleetRunners
+from .fleet_store import ENDPOINTS
+from .fleet_store import FleetCopy
+from .fleet_store import FleetStore
+from .fleet_store import NODES
+from .fleet_store import TABLE
 from rookspring import clock
 from rookspring import defaults
 from rookspring import relay_beats
@@ -36,16 +42,10 @@
 from rookspring_core.events import Ticked
 from rookspring_core.freshness import NEVER
 from rookspring_core.organisations import Directory
+from unittest import mock
+
+
 
-from .fleet_node import FleetLink
-from .fleet_node import FleetNode
-from .fleet_node import write_table
-from .fleet_runners import FleetRunners
-from .fleet_store import ENDPOINTS
-from .fleet_store import NODES
-from .fleet_store import TABLE
-from .fleet_store import FleetCopy
-from .fleet_store import FleetStore
 
 # The way between two nodes, in seconds.
 WAY_S = 0.001
@@ -202,7 +202,7 @@
         """Have a node read the store's list of nodes, in which those that ended stand yet."""
         listed = (self.nodes[row.name] for row in self.store.rows(NODES))
         node.peers.learn(
-            (one.name, f"at-{one.name}", one.place, one.state.strength) for one in listed
+            (one.name, f"at-{one.name}", one.place, one.state.capacity) for one in listed
         )
         if not node.written:
             node.written = True
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -2,7 +2,8 @@
 
 import asyncio
 import typing as t
-
+from .fleet_lease import FleetLease
+from .fleet_store import NODES
 from rookspring import defaults
 from rookspring import relay_allotments
 from rookspring import relay_beats
@@ -40,9 +41,9 @@
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
 from rookspring_core.events import Event
-from rookspring_core.events import EvidenceHeard
+from rookspring_core.events import EvidenceReceived
 from rookspring_core.events import StoreRead
-from rookspring_core.events import UseRecalled
+from rookspring_core.events import UsageRestored
 from rookspring_core.freshness import ProofTerms
 from rookspring_core.leases import RELAY_TERMS
 from rookspring_core.organisations import Allotment
@@ -53,8 +54,7 @@
 from rookspring_core.routes import CallerLimits
 from rookspring_core.routes import RouteTable
 
-from .fleet_lease import FleetLease
-from .fleet_store import NODES
+
 
 if t.TYPE_CHECKING:
     from .fleet import Fleet
@@ -137,7 +137,9 @@
     def read_endpoint(self, row: Stored, now: float) -> tuple[BoxListed, EndpointReported]:
         """Read an endpoint's entry."""
         state, model, born = row.value
-        listed = BoxListed(row.name, f"at-{row.name}", "z0", "runner", state, "llm", born=born)
+        listed = BoxListed(
+            row.name, f"at-{row.name}", "z0", "runner", state, "llm", started_ms=born
+        )
         report = EndpointReported(
             now,
             row.name,
@@ -152,7 +154,7 @@
             resident=((model, "1"),),
             leaving=state == "leaving",
             order_token=(0, -1),
-            born=born,
+            started_ms=born,
         )
         return listed, report
 
@@ -176,11 +178,11 @@
         self.state = NodeState(identity, fleet.now)
         self.state.relaying = True
         # One in ten is strong, so that relays are chosen by strength.
-        self.state.strength = 2.0 if number % 10 == 0 else 0.5
+        self.state.capacity = 2.0 if number % 10 == 0 else 0.5
         self.state.control.lease.terms = RELAY_TERMS
         self.state.proof_terms = ProofTerms(fleet.plan.proof_s)
         self.state.allotments = Allotments(fleet.plan.allotments, fleet.now)
-        self.state.window_terms = WindowTerms(
+        self.state.retry_window_terms = WindowTerms(
             0.2, fleet.plan.retry_slack, 10.0, defaults.RELAY_NODES_MIN
         )
         self.settings = _settings(self.name, place)
@@ -311,9 +313,9 @@
         if not self._looked and self.fleet.reaches_store(self.name):
             self._looked = True
             kept = relay_suspects.read_verdicts(self.fleet.verdicts, now)
-            self.submit(EvidenceHeard(now, kept, "the lease"))
+            self.submit(EvidenceReceived(now, kept, "the lease"))
         if self.state.allotments.wants_recall(now) and self.fleet.reaches_store(self.name):
-            self.submit(UseRecalled(now, tuple(self.fleet.used.items())))
+            self.submit(UsageRestored(now, tuple(self.fleet.used.items())))
 
     def read_store(self) -> None:
         """Read the store where this node watches it and is due."""
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
@@ -6,17 +6,17 @@
 """
 
 import typing as t
-
 from rookspring_core import noticing
 from rookspring_core.effects import Dispatch
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import EndpointSaid
 from rookspring_core.events import Event
+from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
+
 if t.TYPE_CHECKING:
     from .fleet import Fleet
     from .fleet_node import FleetNode
@@ -188,7 +188,7 @@
         if view is None or not noticing.says_anything(node.state, effect.endpoint, notice):
             return
         born = noticing.born_of(view)
-        said = EndpointSaid(0.0, effect.endpoint, born, notice, view.address, asked_at=asked_at)
+        said = NoticeReceived(0.0, effect.endpoint, born, notice, view.address, asked_at=asked_at)
         start = self._starts.get(effect.endpoint, 0)
         fleet = self._fleet
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/loops.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/loops.py
@@ -1,20 +1,20 @@
 """What each node of the world does over and over: ticks, reads, heartbeats, polls."""
 
 import typing as t
-
+from .carrying import performs
+from .carrying import unpack
+from .request_effects import report_of
 from rookspring_core.cluster import inflight_rows
 from rookspring_core.effects import Announce
-from rookspring_core.events import BoxListCame
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import LeaseSeen
-from rookspring_core.events import PeerHeard
 from rookspring_core.events import PlatformAnswered
 from rookspring_core.events import ReportMissed
 from rookspring_core.events import RevisionSeen
 from rookspring_core.events import Ticked
 
-from .carrying import performs
-from .carrying import unpack
-from .request_effects import report_of
+
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -38,7 +38,7 @@
     ok = _call_platform(world, node)
     if ok:
         rows = tuple(world.boxes.values())
-        world.clock.call(world.list_lag_s * 0.5, node.submit, BoxListCame(0.0, rows))
+        world.clock.call(world.list_lag_s * 0.5, node.submit, BoxListReceived(0.0, rows))
     period = 1.0 if ok else 2.0
     _again(world, node, period * (0.8 + 0.4 * world.random.random()), _read_boxes)
 
@@ -89,7 +89,7 @@
 def send_beat(world: "World", node: "VirtualNode") -> None:
     """Send a node's heartbeat to all that it reaches."""
     state = node.state
-    beat = PeerHeard(
+    beat = HeartbeatReceived(
         at=0.0,
         name=node.name,
         incarnation=state.identity.incarnation,
@@ -107,12 +107,14 @@
             world.clock.call(world.latency_s, _hear, world, other, node, beat)
 
 
-def _hear(world: "World", node: "VirtualNode", sender: "VirtualNode", beat: PeerHeard) -> None:
+def _hear(
+    world: "World", node: "VirtualNode", sender: "VirtualNode", beat: HeartbeatReceived
+) -> None:
     node.submit(beat)
     if not node.state.endpoints and sender.alive and sender.state.endpoints:
         # Relays pass the box list on to a node that starts in an outage.
         rows = tuple(world.boxes.values())
-        world.clock.call(2 * world.latency_s, node.submit, BoxListCame(0.0, rows))
+        world.clock.call(2 * world.latency_s, node.submit, BoxListReceived(0.0, rows))
     if node.alive and beat.revision > node.state.catalogue.revision and sender.alive:
         entries = sender.state.control.entries
         event = RevisionSeen(0.0, sender.state.catalogue.revision, 0, entries)
--- a/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
@@ -1,8 +1,11 @@
 """How the world carries out requests at runners and services, and makes reports."""
 
 import typing as t
-
-from rookspring_core.effects import Attach
+from .carrying import performs
+from .engine import Engine
+from .engine import Generation
+from .engine import NotRun
+from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
 from rookspring_core.effects import Dispatch
 from rookspring_core.effects import Refuse
@@ -15,15 +18,12 @@
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
 from rookspring_core.events import EndpointReported
-from rookspring_core.events import EndpointSaid
-from rookspring_core.events import EvidenceHeard
-from rookspring_core.events import LeavingHeard
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-from .carrying import performs
-from .engine import Engine
-from .engine import Generation
-from .engine import NotRun
+
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -59,7 +59,7 @@
     world: "World", node: "VirtualNode", effect: t.Any, reason: str, not_run: bool = False
 ) -> None:
     if reason == "leaving":
-        said = EndpointSaid(0.0, effect.endpoint, 0, Notice(leaving=True))
+        said = NoticeReceived(0.0, effect.endpoint, 0, Notice(leaving=True))
         world.clock.call(world.latency_s, node.submit, said)
     failed = AttemptFailed(0.0, effect.request_id, effect.attempt, True, not_run, reason)
     world.clock.call(world.latency_s, node.submit, failed)
@@ -174,7 +174,7 @@
 def _share_leaving(world: "World", node: "VirtualNode", effect: ShareLeaving) -> None:
     for other in world.nodes.values():
         if other is not node and other.alive and world.reachable(node.name, other.name):
-            heard = LeavingHeard(0.0, effect.rows, node.name)
+            heard = LeavingReceived(0.0, effect.rows, node.name)
             world.clock.call(world.latency_s, other.submit, heard)
 
 
@@ -182,7 +182,7 @@
 def _share_evidence(world: "World", node: "VirtualNode", effect: ShareEvidence) -> None:
     for other in world.nodes.values():
         if other is not node and other.alive and world.reachable(node.name, other.name):
-            heard = EvidenceHeard(0.0, effect.evidence, node.name)
+            heard = EvidenceReceived(0.0, effect.evidence, node.name)
             world.clock.call(world.latency_s, other.submit, heard)
 
 
@@ -206,8 +206,8 @@
     world.clock.call(service.work_s, _succeed, world, node, effect.request_id, effect.attempt)
 
 
-@performs(Attach)
-def _attach(world: "World", node: "VirtualNode", effect: Attach) -> None:
+@performs(AttachStream)
+def _attach(world: "World", node: "VirtualNode", effect: AttachStream) -> None:
     _fail(world, node, effect, "no such stream")
 
 
--- a/packages/rookspring/src/rookspring/attempts.py
+++ b/packages/rookspring/src/rookspring/attempts.py
@@ -2,17 +2,6 @@
 
 import asyncio
 import typing as t
-
-from rookspring_core import noticing
-from rookspring_core.effects import Attach
-from rookspring_core.effects import Dispatch
-from rookspring_core.events import AttemptFailed
-from rookspring_core.events import AttemptProgressed
-from rookspring_core.events import AttemptStarted
-from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import EndpointSaid
-from rookspring_core.notices import Notice
-
 from . import clock
 from . import defaults
 from .connections import refuses
@@ -23,6 +12,17 @@
 from .exchanges import ChatExchange
 from .exchanges import ServiceExchange
 from .node_context import NodeContext
+from rookspring_core import noticing
+from rookspring_core.effects import AttachStream
+from rookspring_core.effects import Dispatch
+from rookspring_core.events import AttemptFailed
+from rookspring_core.events import AttemptProgressed
+from rookspring_core.events import AttemptStarted
+from rookspring_core.events import AttemptSucceeded
+from rookspring_core.events import NoticeReceived
+from rookspring_core.notices import Notice
+
+
 
 
 async def run_attempt(node: NodeContext, effect: Dispatch) -> None:
@@ -64,7 +64,7 @@
         error.down = await refuses(address)
 
 
-def _fail(node: NodeContext, effect: Dispatch | Attach, error: EndpointError) -> None:
+def _fail(node: NodeContext, effect: Dispatch | AttachStream, error: EndpointError) -> None:
     node.metrics.attempts.inc({"end": "not_run" if error.said_not_run else "failed"})
     if error.leaving:
         _tell_leaving(node, effect.endpoint)
@@ -87,7 +87,7 @@
     """Tell what an endpoint said of itself, ahead of what became of the request."""
     view = node.state.endpoints.get(endpoint)
     if view is not None:
-        said = EndpointSaid(clock.now(), endpoint, noticing.born_of(view), Notice(leaving=True))
+        said = NoticeReceived(clock.now(), endpoint, noticing.born_of(view), Notice(leaving=True))
         node.submit(said)
 
 
@@ -111,7 +111,7 @@
     await _relay(node, effect, exchange, node.endpoints.generate(address, asked, traceparent))
 
 
-async def run_attach(node: NodeContext, effect: Attach) -> None:
+async def run_attach(node: NodeContext, effect: AttachStream) -> None:
     """Read on from a stream that runs already, for a caller that came back."""
     exchange = node.exchanges.get(effect.request_id)
     view = node.state.endpoints.get(effect.endpoint)
@@ -133,7 +133,7 @@
 
 async def _relay(
     node: NodeContext,
-    effect: Dispatch | Attach,
+    effect: Dispatch | AttachStream,
     exchange: ChatExchange,
     chunks: t.AsyncGenerator[Chunk, None],
 ) -> None:
@@ -171,7 +171,9 @@
         await chunks.aclose()
 
 
-async def _conclude(node: NodeContext, effect: Dispatch | Attach, exchange: ChatExchange) -> None:
+async def _conclude(
+    node: NodeContext, effect: Dispatch | AttachStream, exchange: ChatExchange
+) -> None:
     answer = exchange.whole()
     node.metrics.attempts.inc({"end": "whole"})
     # The outcome is settled first: if the caller's connection breaks on the last
--- a/packages/rookspring/src/rookspring/following.py
+++ b/packages/rookspring/src/rookspring/following.py
@@ -8,20 +8,6 @@
 import asyncio
 import random
 import typing as t
-
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-
-from rookspring_core import Resource
-from rookspring_core import governing
-from rookspring_core.events import BoxListCame
-from rookspring_core.events import DesiredSeen
-from rookspring_core.events import HeadSeen
-from rookspring_core.events import IntentsSeen
-from rookspring_core.events import LeaseSeen
-from rookspring_core.events import PlatformAnswered
-
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -33,9 +19,23 @@
 from .node_context import NodeContext
 from .platform import Stored
 from .published import HEAD
-from .published import KIND
 from .published import Head
+from .published import KIND
 from .published import parse_head
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+from rookspring_core import Resource
+from rookspring_core import governing
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import DesiredSeen
+from rookspring_core.events import HeadSeen
+from rookspring_core.events import IntentsSeen
+from rookspring_core.events import LeaseSeen
+from rookspring_core.events import PlatformAnswered
+
+
+
 
 A = t.TypeVar("A")
 
@@ -212,6 +212,6 @@
         await back_off.pause()
 
 
-def listed(node: NodeContext, rows: t.Any) -> BoxListCame:
+def listed(node: NodeContext, rows: t.Any) -> BoxListReceived:
     """Make the event of a box list."""
-    return BoxListCame(clock.now(), tuple(rows))
+    return BoxListReceived(clock.now(), tuple(rows))
--- a/packages/rookspring/src/rookspring/gossip.py
+++ b/packages/rookspring/src/rookspring/gossip.py
@@ -2,20 +2,6 @@
 
 import asyncio
 import typing as t
-
-from rookspring_core import Entry
-from rookspring_core import cluster
-from rookspring_core.events import BoxListed
-from rookspring_core.events import CacheEventsCame
-from rookspring_core.events import DownHeard
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import EvidenceHeard
-from rookspring_core.events import LeavingHeard
-from rookspring_core.events import PeerHeard
-from rookspring_core.events import PeerLost
-from rookspring_core.events import RevisionSeen
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from . import forwarding
@@ -44,6 +30,20 @@
 from .reports import decode_report as decode_report
 from .reports import digest_of as digest_of
 from .reports import encode_report as encode_report
+from rookspring_core import Entry
+from rookspring_core import cluster
+from rookspring_core.events import BoxListed
+from rookspring_core.events import CacheEventsReceived
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import PeerLost
+from rookspring_core.events import RevisionSeen
+from rookspring_core.state import NodeState
+
+
 
 Receiver = t.Callable[[NodeContext, Link, t.Any], None]
 RECEIVERS: dict[type[t.Any], Receiver] = {}
@@ -108,7 +108,7 @@
 def hear_beat(node: NodeContext, link: Link, beat: Heartbeat) -> None:
     """Take a heartbeat, and ask for the revision if it is newer."""
     node.submit(
-        PeerHeard(
+        HeartbeatReceived(
             at=clock.now(),
             name=beat.name,
             incarnation=beat.incarnation,
@@ -160,20 +160,20 @@
 def take_leaving(node: NodeContext, link: Link, told: LeavingTold) -> None:
     """Take what another node knows of endpoints that leave."""
     now = clock.now()
-    node.submit(LeavingHeard(now, decode_leaving(told, now), link.name))
+    node.submit(LeavingReceived(now, decode_leaving(told, now), link.name))
 
 
 @receives(EvidenceTold)
 def take_evidence(node: NodeContext, link: Link, told: EvidenceTold) -> None:
     """Take what another node knows of requests under which endpoints ended."""
     now = clock.now()
-    node.submit(EvidenceHeard(now, decode_evidence(told, now), link.name))
+    node.submit(EvidenceReceived(now, decode_evidence(told, now), link.name))
 
 
 @receives(Down)
 def take_down(node: NodeContext, link: Link, down: Down) -> None:
     """Take another node's word that nothing listens at an endpoint."""
-    node.submit(DownHeard(clock.now(), down.endpoint))
+    node.submit(DownReceived(clock.now(), down.endpoint))
 
 
 @receives(WantRevision)
@@ -268,7 +268,7 @@
     """Take cache events that another node read."""
     now = clock.now()
     for endpoint, prefixes in hints.rows:
-        node.submit(CacheEventsCame(now, endpoint, tuple(prefixes)))
+        node.submit(CacheEventsReceived(now, endpoint, tuple(prefixes)))
 
 
 @receives(Boxes)
--- a/packages/rookspring/src/rookspring/messages.py
+++ b/packages/rookspring/src/rookspring/messages.py
@@ -1,10 +1,10 @@
 """Messages between nodes: ``NamedTuple`` classes in a registry, by their tags on the wire."""
 
+import msgpack
 import typing as t
+from .exceptions import PeerError
 
-import msgpack
 
-from .exceptions import PeerError
 
 M = t.TypeVar("M", bound=type[t.Any])
 MESSAGES: dict[str, type[t.Any]] = {}
@@ -48,7 +48,7 @@
     requests use, as rows of endpoint and name. ``urgent`` and ``missed`` are parts of
     ``demand``: what cannot wait for its model, and what was refused for want of room.
 
-    The last six tell of its part among the nodes, as in ``PeerHeard``: how much it can
+    The last six tell of its part among the nodes, as in ``HeartbeatReceived``: how much it can
     carry; whether it passes on what its data centre tells, asks the store itself, and
     follows the receiver; whether its figures come within another node's; and how old
     what it knows of the store is, in seconds. ``prompts`` are tokens that endpoints are
--- a/packages/rookspring/src/rookspring/node.py
+++ b/packages/rookspring/src/rookspring/node.py
@@ -6,24 +6,6 @@
 import secrets
 import ssl
 import typing as t
-
-from rookspring_core import Identity
-from rookspring_core import InvariantBroken
-from rookspring_core import NodeState
-from rookspring_core import defaults as core_defaults
-from rookspring_core import governing
-from rookspring_core import reduce
-from rookspring_core.events import BoxListed
-from rookspring_core.events import CacheEventsCame
-from rookspring_core.events import CallerLeft
-from rookspring_core.events import DrainAsked
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import Event
-from rookspring_core.events import ReportMissed
-from rookspring_core.events import RequestArrived
-from rookspring_core.events import ResumeAsked
-from rookspring_core.events import Ticked
-
 from . import clock
 from . import defaults
 from . import following
@@ -49,6 +31,24 @@
 from .settings import Settings
 from .telemetry import Telemetry
 from .tokens import Signer
+from rookspring_core import Identity
+from rookspring_core import InvariantBroken
+from rookspring_core import NodeState
+from rookspring_core import defaults as core_defaults
+from rookspring_core import governing
+from rookspring_core import reduce
+from rookspring_core.events import BoxListed
+from rookspring_core.events import CacheEventsReceived
+from rookspring_core.events import CallerLeft
+from rookspring_core.events import DrainAsked
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import Event
+from rookspring_core.events import ReportMissed
+from rookspring_core.events import RequestArrived
+from rookspring_core.events import ResumeAsked
+from rookspring_core.events import Ticked
+
+
 
 
 class Node:
@@ -254,7 +254,7 @@
         after, prefixes = await self.endpoints.cache_events(address, since)
         self._cache_positions[name] = after
         if prefixes:
-            self.submit(CacheEventsCame(clock.now(), name, prefixes))
+            self.submit(CacheEventsReceived(clock.now(), name, prefixes))
             item = Hints([[name, list(prefixes)]])
             for link in list(self.peers.links.values()):
                 link.send(item)
--- a/packages/rookspring/src/rookspring/performers.py
+++ b/packages/rookspring/src/rookspring/performers.py
@@ -2,12 +2,23 @@
 
 import asyncio
 import typing as t
-
+from . import attempts
+from . import clock
+from . import defaults
+from . import following
+from .evidence import encode_evidence
+from .evidence import tell_verdict
+from .exceptions import PlatformConflict
+from .exchanges import ChatExchange
+from .exchanges import error_body
+from .leavings import encode_leaving
+from .logs import log
+from .messages import Down
+from .node_context import NodeContext
 from returns.result import Failure
 from returns.result import Success
-
 from rookspring_core.effects import Announce
-from rookspring_core.effects import Attach
+from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
 from rookspring_core.effects import Dispatch
 from rookspring_core.effects import Forget
@@ -30,19 +41,8 @@
 from rookspring_core.events import Published
 from rookspring_core.events import RevisionSeen
 
-from . import attempts
-from . import clock
-from . import defaults
-from . import following
-from .evidence import encode_evidence
-from .evidence import tell_verdict
-from .exceptions import PlatformConflict
-from .exchanges import ChatExchange
-from .exchanges import error_body
-from .leavings import encode_leaving
-from .logs import log
-from .messages import Down
-from .node_context import NodeContext
+
+
 
 Performer = t.Callable[[NodeContext, t.Any], None]
 PERFORMERS: dict[type[t.Any], Performer] = {}
@@ -70,8 +70,8 @@
         exchange.task = task
 
 
-@performs(Attach)
-def attach(node: NodeContext, effect: Attach) -> None:
+@performs(AttachStream)
+def attach(node: NodeContext, effect: AttachStream) -> None:
     """Start to read on from a running stream."""
     exchange = node.exchanges.get(effect.request_id)
     task = node.spawn(attempts.run_attach(node, effect))
--- a/packages/rookspring/src/rookspring/relay.py
+++ b/packages/rookspring/src/rookspring/relay.py
@@ -7,7 +7,13 @@
 import asyncio
 import itertools
 import typing as t
-
+from . import clock
+from . import defaults
+from .dialect import Ask
+from .exceptions import CallerError
+from .http_messages import HttpRequest
+from .http_server import ServerConnection
+from .logs import log
 from rookspring_core import defaults as core_defaults
 from rookspring_core import keys
 from rookspring_core.events import CallerLeft
@@ -20,13 +26,7 @@
 from rookspring_core.routes import RouteTable
 from rookspring_core.routes import pick_service
 
-from . import clock
-from . import defaults
-from .dialect import Ask
-from .exceptions import CallerError
-from .http_messages import HttpRequest
-from .http_server import ServerConnection
-from .logs import log
+
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
@@ -128,7 +128,7 @@
     if route is None:
         # Without a configuration nothing is known to be missing.
         status = 404 if table else 503
-        after_s = 0.0 if table else core_defaults.COME_BACK_S
+        after_s = 0.0 if table else core_defaults.RETRY_AFTER_S
         log("route_missing", id=ask.request_id, host=ask.host, path=ask.path, status=status)
         headers = context.dialect.refusal_headers(ask.request_id, after_s)
         connection.answer(status, headers, b"")
@@ -168,7 +168,7 @@
     verdict: KeyVerdict,
 ) -> None:
     state = context.state
-    after_s = core_defaults.UNPROVED_BACK_S if verdict.status == 503 else 0.0
+    after_s = core_defaults.RETRY_AFTER_UNPROVED_S if verdict.status == 503 else 0.0
     context.metrics.refusals.inc({"reason": verdict.reason, "outcome": "not_run"})
     log(
         "key_refused",
@@ -226,11 +226,11 @@
             table.version,
             exchange.rank,
             route.attempts,
-            route.objective_s * core_defaults.PATIENCE_SHARE,
+            route.objective_s * core_defaults.MAX_WAIT_SHARE,
             route.objective_s,
         ),
         key=ask.key if exchange.organisation else "",
-        told_tokens=ask.told_tokens,
+        declared_tokens=ask.told_tokens,
         fingerprint=exchange.fingerprint,
     )
 
--- a/packages/rookspring/src/rookspring/relay_beats.py
+++ b/packages/rookspring/src/rookspring/relay_beats.py
@@ -7,13 +7,6 @@
 
 import asyncio
 import typing as t
-
-from rookspring_core import attaching
-from rookspring_core import cluster
-from rookspring_core.demand import add_rates
-from rookspring_core.events import PeerHeard
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from . import relay_merged
@@ -24,6 +17,13 @@
 from .relay_members import send_members
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core import attaching
+from rookspring_core import cluster
+from rookspring_core.demand import add_rates
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.state import NodeState
+
+
 
 
 def greet(peers: RelayPeers, link: Link) -> None:
@@ -114,7 +114,7 @@
         inflight=None,
         up_s=now - state.started_at,
         lease_ended=state.control.lease.ended,
-        strength=state.strength,
+        strength=state.capacity,
         relay=state.topology.relay,
         relay_s=round(state.topology.gathers_s(now), 1),
         watches=state.topology.watching and now - state.topology.read_at < defaults.READ_LATELY_S,
@@ -132,8 +132,8 @@
         demand=_write_rates(state.control.meter.rates),
         inflight=[list(row) for row in cluster.inflight_rows(state)],
         used=[list(row) for row in attaching.used_rows(state)],
-        urgent=_write_rates(state.control.urgent.meter.rates),
-        missed=_write_rates(state.control.missed.meter.rates),
+        urgent=_write_rates(state.control.urgent_demand.meter.rates),
+        missed=_write_rates(state.control.refused_demand.meter.rates),
         prompts=own_prompts(state, _read_at(state)),
         summed=False,
     )
@@ -157,8 +157,8 @@
         demand=_write_rates(demand),
         inflight=_write_counts(inflight),
         used=[list(row) for row in used],
-        urgent=_write_rates(control.urgent.sum_of(group)),
-        missed=_write_rates(control.missed.sum_of(group)),
+        urgent=_write_rates(control.urgent_demand.sum_of(group)),
+        missed=_write_rates(control.refused_demand.sum_of(group)),
         prompts=group_prompts(peers, _read_at(state)),
         summed=False,
     )
@@ -240,7 +240,7 @@
     else:
         peers.followers.discard(beat.name)
     peers.context.submit(
-        PeerHeard(
+        HeartbeatReceived(
             at=clock.now(),
             name=beat.name,
             incarnation=beat.incarnation,
@@ -254,16 +254,16 @@
             lease_epoch=beat.lease_epoch,
             inflight=_read_counts(beat.inflight),
             prompts=_read_counts(beat.prompts),
-            up_s=float(beat.up_s),
+            uptime_s=float(beat.up_s),
             lease_ended=int(beat.lease_ended),
             used=tuple((str(one[0]), str(one[1])) for one in beat.used or ()),
-            urgent=_read_rates(beat.urgent),
-            missed=_read_rates(beat.missed),
-            strength=float(beat.strength),
+            urgent_demand=_read_rates(beat.urgent),
+            refused_demand=_read_rates(beat.missed),
+            capacity=float(beat.strength),
             relay=bool(beat.relay),
             watches=bool(beat.watches),
             follows=follows,
-            summed=bool(beat.summed),
+            aggregated=bool(beat.summed),
             store_age_s=float(beat.store_age_s),
             spent=None if beat.spent is None else _read_rates(beat.spent),
             relay_s=float(beat.relay_s),
--- a/packages/rookspring/src/rookspring/relay_context.py
+++ b/packages/rookspring/src/rookspring/relay_context.py
@@ -6,32 +6,32 @@
 
 import asyncio
 import typing as t
-
+from . import clock
+from . import defaults
+from .dialect import Dialect
+from .http_client import ConnectionPool
+from .logs import log
+from .metrics import Metrics
+from .peers import Link
+from .platform import PlatformClient
+from .platform import Stored
+from .relay import RelayExchange
+from .relay_settings import RelaySettings
 from rookspring_core import NodeState
 from rookspring_core import reduce
 from rookspring_core.effects import AskAllotment
 from rookspring_core.effects import AskSlot
 from rookspring_core.effects import Effect
 from rookspring_core.effects import FreeSlot
+from rookspring_core.effects import RequestLoad
 from rookspring_core.effects import ReturnAllotment
-from rookspring_core.effects import Want
 from rookspring_core.events import EndpointReported
 from rookspring_core.events import Event
 from rookspring_core.notices import Leaving
 from rookspring_core.request_rates import RateWord
 from rookspring_core.suspects import Evidence
 
-from . import clock
-from . import defaults
-from .dialect import Dialect
-from .http_client import ConnectionPool
-from .logs import log
-from .metrics import Metrics
-from .peers import Link
-from .platform import PlatformClient
-from .platform import Stored
-from .relay import RelayExchange
-from .relay_settings import RelaySettings
+
 
 if t.TYPE_CHECKING:
     from .store_eras import StoreEras
@@ -98,7 +98,7 @@
         self.ask_proof: t.Callable[[], None] = lambda: None
         # Requests that wait for a newer configuration, which may know their key.
         self.key_waits = 0
-        self.tell_holder: t.Callable[[Want], None] = lambda want: None
+        self.tell_holder: t.Callable[[RequestLoad], None] = lambda want: None
         self.stop: t.Callable[[], None] = lambda: None
         self.tasks: set[asyncio.Task[None]] = set()
 
--- a/packages/rookspring/src/rookspring/relay_following.py
+++ b/packages/rookspring/src/rookspring/relay_following.py
@@ -7,19 +7,6 @@
 import asyncio
 import contextlib
 import typing as t
-
-from returns.result import Failure
-from returns.result import Success
-
-from rookspring_core import governing
-from rookspring_core.events import EvidenceHeard
-from rookspring_core.events import LeaseSeen
-from rookspring_core.events import StoreRead
-from rookspring_core.events import TableProved
-from rookspring_core.events import UseRecalled
-from rookspring_core.mixing import mix
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from . import relay_suspects
@@ -32,6 +19,19 @@
 from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
+from returns.result import Failure
+from returns.result import Success
+from rookspring_core import governing
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.events import LeaseSeen
+from rookspring_core.events import StoreRead
+from rookspring_core.events import TableProved
+from rookspring_core.events import UsageRestored
+from rookspring_core.hashing import stable_hash
+from rookspring_core.state import NodeState
+
+
+
 
 # Kinds of this project's own in the store.
 NODE_KIND = "rookspring-nodes"
@@ -195,9 +195,9 @@
 def _recall(context: RelayContext, value: t.Any) -> None:
     """Take what the lease tells besides its holder: organisations' use, and verdicts."""
     now = clock.now()
-    context.submit(UseRecalled(now, tuple(value.get("used", {}).items())))
+    context.submit(UsageRestored(now, tuple(value.get("used", {}).items())))
     kept = relay_suspects.read_verdicts(value.get("verdicts", ()), now)
-    context.submit(EvidenceHeard(now, kept, "the lease"))
+    context.submit(EvidenceReceived(now, kept, "the lease"))
 
 
 async def _recall_before(context: RelayContext, era: int, looked: bool) -> None:
@@ -208,7 +208,7 @@
         if rows:
             _recall(context, max(rows, key=lambda row: int(row.value["epoch"])).value)
             return
-    context.submit(UseRecalled(clock.now(), ()))
+    context.submit(UsageRestored(clock.now(), ()))
 
 
 def _recalls(context: RelayContext) -> bool:
@@ -270,7 +270,7 @@
     row = {
         "address": identity.address,
         "zone": identity.data_centre,
-        "strength": context.state.strength,
+        "strength": context.state.capacity,
     }
     if rows.get(identity.name) == row:
         return True
@@ -300,7 +300,7 @@
 
     All nodes do, so they are spread out: the store takes so many calls a second from them all.
     """
-    share = mix("row", state.identity.name) % 1000 / 1000.0
+    share = stable_hash("row", state.identity.name) % 1000 / 1000.0
     return defaults.ROW_AGAIN_PER_NODE_S * state.membership.count() * share
 
 
--- a/packages/rookspring/src/rookspring/relay_lists.py
+++ b/packages/rookspring/src/rookspring/relay_lists.py
@@ -2,11 +2,6 @@
 
 import asyncio
 import typing as t
-
-from rookspring_core.events import BoxListCame
-from rookspring_core.events import BoxListed
-from rookspring_core.events import EndpointReported
-
 from . import clock
 from . import defaults
 from .logs import log
@@ -17,6 +12,11 @@
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import BoxListed
+from rookspring_core.events import EndpointReported
+
+
 
 
 class Missing(t.NamedTuple):
@@ -170,19 +170,23 @@
         self._malformed.pop(row.name, None)
         self._missing.pop(row.name, None)
         # That a life leaves is true whenever it was written.
-        if listed and not report.leaving and self._may_be_copied(row, report.born, now):
+        if listed and not report.leaving and self._may_be_copied(row, report.started_ms, now):
             return None
-        if report.born and report.born < self._born.get(row.name, 0):
+        if report.started_ms and report.started_ms < self._born.get(row.name, 0):
             if not judged and self._doubt(row, now, defaults.LATE_ROW_S):
                 return None
-            report = report._replace(sure=True)
+            report = report._replace(start_confirmed=True)
         self._doubted.pop(row.name, None)
         before = self._rows.get(row.name)
-        if before is not None and before.state == "leaving" and before.born == report.born:
+        if (
+            before is not None
+            and before.state == "leaving"
+            and before.started_ms == report.started_ms
+        ):
             # A life that leaves does not stay after all, whatever its entry says later.
             found = found._replace(state="leaving")
             report = report._replace(leaving=True)
-        self._born[row.name] = report.born
+        self._born[row.name] = report.started_ms
         if before != found:
             log(
                 "endpoint_listed",
@@ -255,7 +259,7 @@
             if now >= until and self._reach.lost_at is None:
                 self._drop(name)
                 log("endpoint_gone", endpoint=name, late_s=now - until)
-        self._context.submit(BoxListCame(now, tuple(self._rows.values())))
+        self._context.submit(BoxListReceived(now, tuple(self._rows.values())))
 
     async def settle_loop(self) -> None:
         """Look after entries that are missing."""
--- a/packages/rookspring/src/rookspring/relay_members.py
+++ b/packages/rookspring/src/rookspring/relay_members.py
@@ -7,17 +7,17 @@
 """
 
 import typing as t
-
-from rookspring_core.events import MembersHeard
-from rookspring_core.events import PeerHeard
-from rookspring_core.membership import Peer
-
 from . import clock
 from .messages import Members
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import Told
 from .relay_peers import receives
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import MembersReceived
+from rookspring_core.membership import Peer
+
+
 
 
 def send_members(peers: RelayPeers) -> None:
@@ -82,14 +82,14 @@
         heard.lease_epoch,
         heard.lease_ended,
         heard.relay,
-        heard.strength,
+        heard.capacity,
     ]
 
 
-def _read(row: list[t.Any], now: float) -> PeerHeard:
+def _read(row: list[t.Any], now: float) -> HeartbeatReceived:
     name, incarnation, address, caller_address, data_centre, revision, leaving = row[:7]
     up_s, lease_epoch, lease_ended, relay, strength = row[7:]
-    return PeerHeard(
+    return HeartbeatReceived(
         at=now,
         name=str(name),
         incarnation=str(incarnation),
@@ -101,10 +101,10 @@
         lease_epoch=int(lease_epoch),
         lease_ended=int(lease_ended),
         inflight=None,
-        up_s=float(up_s),
-        strength=float(strength),
+        uptime_s=float(up_s),
+        capacity=float(strength),
         relay=bool(relay),
-        summed=True,
+        aggregated=True,
     )
 
 
@@ -114,8 +114,8 @@
     now = clock.now()
     rows = tuple(_read(row, now) for row in members.rows)
     gone = tuple(str(name) for name in members.gone)
-    peers.context.submit(MembersHeard(now, link.name, rows, gone, bool(members.whole)))
+    peers.context.submit(MembersReceived(now, link.name, rows, gone, bool(members.whole)))
     ended = peers.context.state.control.lease.epoch
     if any(row.leaving or row.lease_ended == ended > 0 for row in rows):
         peers.context.lease_news.set()
-    peers.learn((row.name, row.address, row.data_centre, row.strength) for row in rows)
+    peers.learn((row.name, row.address, row.data_centre, row.capacity) for row in rows)
--- a/packages/rookspring/src/rookspring/relay_news.py
+++ b/packages/rookspring/src/rookspring/relay_news.py
@@ -1,13 +1,5 @@
 """What relay nodes tell each other at once: endpoints' states, unread prompts, wants."""
 
-from rookspring_core.effects import Want
-from rookspring_core.events import ComingHeard
-from rookspring_core.events import DownHeard
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import ModelWanted
-from rookspring_core.events import PromptsHeard
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from .messages import Coming
@@ -24,6 +16,14 @@
 from .relay_peers import receives
 from .reports import decode_report
 from .reports import encode_report
+from rookspring_core.effects import RequestLoad
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import LoadRequested
+from rookspring_core.events import LoadingReceived
+from rookspring_core.events import PromptsReceived
+from rookspring_core.state import NodeState
+
 
 
 class PromptSums:
@@ -81,7 +81,7 @@
 
 def share_report(peers: RelayPeers, report: EndpointReported) -> None:
     """Tell all nodes what is true of an endpoint."""
-    peers.spread(Reports([encode_report(report._replace(own=False), clock.now())]))
+    peers.spread(Reports([encode_report(report._replace(polled=False), clock.now())]))
 
 
 def share_coming(peers: RelayPeers, endpoint: str, model: str, in_s: float) -> None:
@@ -94,9 +94,9 @@
     peers.spread(Down(endpoint))
 
 
-def send_want(peers: RelayPeers, want: Want) -> None:
+def send_want(peers: RelayPeers, want: RequestLoad) -> None:
     """Send a want to the lease holder, or on the way there: two links at most."""
-    item = WantModel(want.service, want.model, want.adapter, want.back_s)
+    item = WantModel(want.service, want.model, want.adapter, want.latest_retry_s)
     holder = peers.find_holder()
     link = peers.server.links.get(holder)
     if link is None:
@@ -118,7 +118,7 @@
     """Take what endpoints are to read of other nodes' prompts."""
     rows = tuple((str(row[0]), int(row[1])) for row in prompts.rows)
     state = peers.context.state
-    peers.context.submit(PromptsHeard(clock.now(), link.name, rows))
+    peers.context.submit(PromptsReceived(clock.now(), link.name, rows))
     if state.topology.relay:
         known = state.membership.peers.get(link.name)
         far = known is None or known.heard.relay
@@ -129,7 +129,7 @@
 @receives(Coming)
 def take_coming(peers: RelayPeers, link: Link, coming: Coming) -> None:
     """Take what the lease holder has loaded."""
-    heard = ComingHeard(clock.now(), coming.endpoint, coming.model, float(coming.in_s))
+    heard = LoadingReceived(clock.now(), coming.endpoint, coming.model, float(coming.in_s))
     peers.context.submit(heard)
     peers.spread(coming, link.name)
 
@@ -137,7 +137,7 @@
 @receives(Down)
 def take_down(peers: RelayPeers, link: Link, down: Down) -> None:
     """Take another node's word that nothing listens at an endpoint."""
-    peers.context.submit(DownHeard(clock.now(), down.endpoint))
+    peers.context.submit(DownReceived(clock.now(), down.endpoint))
     peers.spread(down, link.name)
 
 
@@ -148,10 +148,10 @@
     state = peers.context.state
     if state.control.holding(now):
         back_s = float(want.back_s)
-        wanted = ModelWanted(now, want.service, want.model, want.adapter, back_s)
+        wanted = LoadRequested(now, want.service, want.model, want.adapter, back_s)
         peers.context.submit(wanted)
     elif _passes_wants(state, link.name):
-        send_want(peers, Want(want.service, want.model, want.adapter, float(want.back_s)))
+        send_want(peers, RequestLoad(want.service, want.model, want.adapter, float(want.back_s)))
 
 
 def _passes_wants(state: NodeState, sender: str) -> bool:
--- a/packages/rookspring/src/rookspring/relay_node.py
+++ b/packages/rookspring/src/rookspring/relay_node.py
@@ -7,29 +7,7 @@
 import signal
 import sys
 import typing as t
-
 import uvloop
-from returns.result import Failure
-from returns.result import Success
-
-from rookspring_core import Identity
-from rookspring_core import NodeState
-from rookspring_core import allotting
-from rookspring_core import cluster
-from rookspring_core import defaults as core_defaults
-from rookspring_core import demand
-from rookspring_core.allotments import Allotments
-from rookspring_core.effects import ReadDesired
-from rookspring_core.effects import ReadHead
-from rookspring_core.effects import Stop
-from rookspring_core.effects import WriteLease
-from rookspring_core.events import DrainAsked
-from rookspring_core.events import LeaseWritten
-from rookspring_core.events import Ticked
-from rookspring_core.freshness import ProofTerms
-from rookspring_core.leases import RELAY_TERMS
-from rookspring_core.retries import WindowTerms
-
 from . import clock
 from . import defaults
 from . import logs
@@ -64,6 +42,28 @@
 from .relay_proofs import ProofKeeper
 from .relay_settings import RelaySettings
 from .store_eras import StoreEras
+from returns.result import Failure
+from returns.result import Success
+from rookspring_core import Identity
+from rookspring_core import NodeState
+from rookspring_core import allotting
+from rookspring_core import cluster
+from rookspring_core import defaults as core_defaults
+from rookspring_core import demand
+from rookspring_core.allotments import Allotments
+from rookspring_core.effects import ReadDesired
+from rookspring_core.effects import ReadHead
+from rookspring_core.effects import Stop
+from rookspring_core.effects import WriteLease
+from rookspring_core.events import DrainAsked
+from rookspring_core.events import LeaseWritten
+from rookspring_core.events import Ticked
+from rookspring_core.freshness import ProofTerms
+from rookspring_core.leases import RELAY_TERMS
+from rookspring_core.retries import WindowTerms
+
+
+
 
 Reload = t.Callable[[], RelaySettings]
 
@@ -116,7 +116,7 @@
         state = NodeState(identity, clock.now())
         state.relaying = True
         state.slots_by_owner = True
-        state.strength = min(settings.cores, settings.link_mbps / defaults.LINK_MBPS_A_CORE)
+        state.capacity = min(settings.cores, settings.link_mbps / defaults.LINK_MBPS_A_CORE)
         state.control.lease.terms = RELAY_TERMS
         pace = demand.Pace(
             core_defaults.RELAY_DEMAND_RISE_S,
@@ -125,8 +125,10 @@
         )
         state.control.meter.pace = pace
         state.control.forecast.pace = pace
-        state.control.urgent.use_pace(pace)
-        state.control.missed.use_pace(pace._replace(fall_s=core_defaults.MISSED_FALL_S))
+        state.control.urgent_demand.use_pace(pace)
+        state.control.refused_demand.use_pace(
+            pace._replace(fall_s=core_defaults.REFUSED_DEMAND_FALL_S)
+        )
         metrics = Metrics(settings.name)
         address = f"{settings.store_scheme}://{settings.store}"
         platform = open_platform(address, _counter(metrics))
@@ -173,7 +175,7 @@
 
     def _take_terms(self, settings: RelaySettings) -> None:
         state = self.context.state
-        state.window_terms = WindowTerms(
+        state.retry_window_terms = WindowTerms(
             settings.retry_share,
             settings.retry_slack,
             settings.retry_window_s,
--- a/packages/rookspring/src/rookspring/relay_notices.py
+++ b/packages/rookspring/src/rookspring/relay_notices.py
@@ -5,18 +5,6 @@
 """
 
 import typing as t
-
-from rookspring_core import noticing
-from rookspring_core.effects import ShareLeaving
-from rookspring_core.effects import ShareRates
-from rookspring_core.effects import ShareShed
-from rookspring_core.events import EndpointSaid
-from rookspring_core.events import LeavingHeard
-from rookspring_core.events import RatesHeard
-from rookspring_core.events import ShedHeard
-from rookspring_core.notices import Leaving
-from rookspring_core.request_rates import RateWord
-
 from . import clock
 from .http_client import Hear
 from .http_messages import HttpHead
@@ -32,6 +20,18 @@
 from .relay_merged import merges
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core import noticing
+from rookspring_core.effects import ShareLeaving
+from rookspring_core.effects import ShareRates
+from rookspring_core.effects import ShareShed
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import NoticeReceived
+from rookspring_core.events import RatesReceived
+from rookspring_core.events import ShedReceived
+from rookspring_core.notices import Leaving
+from rookspring_core.request_rates import RateWord
+
+
 
 
 class Asked(t.NamedTuple):
@@ -77,7 +77,7 @@
             rate=-1 if notice.rate is None else notice.rate,
             malformed=notice.malformed,
         )
-        said = EndpointSaid(
+        said = NoticeReceived(
             clock.now(),
             endpoint,
             born,
@@ -110,7 +110,7 @@
 def take_leaving(peers: RelayPeers, link: Link, told: LeavingTold) -> None:
     """Take what another node knows of endpoints that leave."""
     now = clock.now()
-    peers.context.submit(LeavingHeard(now, decode_leaving(told, now), link.name))
+    peers.context.submit(LeavingReceived(now, decode_leaving(told, now), link.name))
 
 
 def share_rates(peers: RelayPeers, rows: tuple[RateWord, ...], source: str) -> None:
@@ -133,7 +133,7 @@
         RateWord(str(row[0]), int(row[1]), int(row[2]), None if row[3] is None else float(row[3]))
         for row in told.rows
     )
-    peers.context.submit(RatesHeard(clock.now(), rows, link.name))
+    peers.context.submit(RatesReceived(clock.now(), rows, link.name))
 
 
 @relay_performs(ShareRates)
@@ -162,5 +162,5 @@
 @receives(ShedTold)
 def take_shed(peers: RelayPeers, link: Link, told: ShedTold) -> None:
     """Take another node's word that an endpoint turns requests away."""
-    peers.context.submit(ShedHeard(clock.now(), told.endpoint, float(told.for_s)))
+    peers.context.submit(ShedReceived(clock.now(), told.endpoint, float(told.for_s)))
     peers.spread(told, link.name)
--- a/packages/rookspring/src/rookspring/relay_orders.py
+++ b/packages/rookspring/src/rookspring/relay_orders.py
@@ -1,39 +1,39 @@
 """Orders to endpoints, their reports, and what nodes tell the lease holder."""
 
 import asyncio
-
+from . import clock
+from . import defaults
+from . import http_client
+from .dialect import OrderAsked
+from .dialect import OrderReply
+from .exceptions import EndpointError
+from .logs import log
+from .relay_context import RelayContext
+from .relay_context import relay_performs
+from .relay_notices import Asked
+from .relay_notices import hear_at
 from rookspring_core import noticing
-from rookspring_core.defaults import LOAD_UNTOLD
+from rookspring_core.defaults import LOAD_UNREPORTED
 from rookspring_core.effects import AdapterLeft
 from rookspring_core.effects import AskAllotment
 from rookspring_core.effects import AskSlot
 from rookspring_core.effects import FreeSlot
+from rookspring_core.effects import LoadRequestDeclined
+from rookspring_core.effects import LoadRequestEnded
 from rookspring_core.effects import ReadReport
-from rookspring_core.effects import Remind
+from rookspring_core.effects import RequestLoad
 from rookspring_core.effects import ReturnAllotment
 from rookspring_core.effects import SendOrder
-from rookspring_core.effects import ShareComing
 from rookspring_core.effects import ShareDown
+from rookspring_core.effects import ShareLoading
 from rookspring_core.effects import SharePrompts
 from rookspring_core.effects import ShareReport
-from rookspring_core.effects import Want
-from rookspring_core.effects import WantDeclined
-from rookspring_core.effects import WantEnded
-from rookspring_core.events import ModelWanted
+from rookspring_core.effects import StartOrderTimer
+from rookspring_core.events import LoadRequested
 from rookspring_core.events import OrderAnswered
 from rookspring_core.events import OrderDue
 
-from . import clock
-from . import defaults
-from . import http_client
-from .dialect import OrderAsked
-from .dialect import OrderReply
-from .exceptions import EndpointError
-from .logs import log
-from .relay_context import RelayContext
-from .relay_context import relay_performs
-from .relay_notices import Asked
-from .relay_notices import hear_at
+
 
 
 @relay_performs(SendOrder)
@@ -117,7 +117,7 @@
         log("report_failed", "WARNING", endpoint=effect.endpoint, reason="malformed")
         return
     # Its load is as old as the next one would be, so it is left to what nodes tell.
-    context.submit(report._replace(own=True, running=LOAD_UNTOLD, queued=0))
+    context.submit(report._replace(polled=True, running=LOAD_UNREPORTED, queued=0))
 
 
 @relay_performs(ShareReport)
@@ -126,8 +126,8 @@
     context.share(effect.report)
 
 
-@relay_performs(ShareComing)
-def share_coming(context: RelayContext, effect: ShareComing) -> None:
+@relay_performs(ShareLoading)
+def share_coming(context: RelayContext, effect: ShareLoading) -> None:
     """Tell every other node when a model that is being loaded can be there."""
     context.share_coming(effect.endpoint, effect.model, effect.in_s)
 
@@ -144,8 +144,8 @@
     context.share_prompts(effect.endpoint, False)
 
 
-@relay_performs(Remind)
-def remind(context: RelayContext, effect: Remind) -> None:
+@relay_performs(StartOrderTimer)
+def remind(context: RelayContext, effect: StartOrderTimer) -> None:
     """Tell when an order's pause is over."""
 
     def tell() -> None:
@@ -154,24 +154,24 @@
     context.loop.call_later(effect.after_s, tell)
 
 
-@relay_performs(Want)
-def want(context: RelayContext, effect: Want) -> None:
+@relay_performs(RequestLoad)
+def want(context: RelayContext, effect: RequestLoad) -> None:
     """Tell the lease holder at once."""
     if context.state.control.holding(clock.now()):
-        event = ModelWanted(clock.now(), *effect)
+        event = LoadRequested(clock.now(), *effect)
         context.loop.call_soon(context.submit, event)
         return
     context.tell_holder(effect)
 
 
-@relay_performs(WantDeclined)
-def tell_declined(context: RelayContext, effect: WantDeclined) -> None:
+@relay_performs(LoadRequestDeclined)
+def tell_declined(context: RelayContext, effect: LoadRequestDeclined) -> None:
     """Log why nothing is ordered for an adapter now."""
     log("want_declined", adapter=effect.adapter, why=effect.why)
 
 
-@relay_performs(WantEnded)
-def tell_ended(context: RelayContext, effect: WantEnded) -> None:
+@relay_performs(LoadRequestEnded)
+def tell_ended(context: RelayContext, effect: LoadRequestEnded) -> None:
     """Log and count what became of an adapter that requests waited for."""
     context.metrics.wants.observe({"end": effect.outcome}, effect.age_s)
     log(
--- a/packages/rookspring/src/rookspring/relay_peers.py
+++ b/packages/rookspring/src/rookspring/relay_peers.py
@@ -6,13 +6,6 @@
 """
 
 import typing as t
-
-from rookspring_core.events import BoxListed
-from rookspring_core.events import PeerLost
-from rookspring_core.events import PeerUnreached
-from rookspring_core.events import RouteTableSeen
-from rookspring_core.topology import listed_node
-
 from . import clock
 from . import defaults
 from .dialling import Dialler
@@ -26,6 +19,13 @@
 from .peers import PeerServer
 from .platform import Stored
 from .relay_context import RelayContext
+from rookspring_core.events import BoxListed
+from rookspring_core.events import PeerLost
+from rookspring_core.events import PeerUnreached
+from rookspring_core.events import RouteTableSeen
+from rookspring_core.topology import listed_node
+
+
 
 Receiver = t.Callable[["RelayPeers", Link, t.Any], None]
 RECEIVERS: dict[type[t.Any], Receiver] = {}
@@ -112,11 +112,11 @@
         """Give the relays, whom a node that has just come needs most, or all nodes."""
         state = self.context.state
         identity = state.identity
-        yield identity.name, identity.address, identity.data_centre, state.strength
+        yield identity.name, identity.address, identity.data_centre, state.capacity
         for name, peer in state.membership.peers.items():
             heard = peer.heard
             if heard.relay or state.topology.mesh:
-                yield name, heard.address, heard.data_centre, heard.strength
+                yield name, heard.address, heard.data_centre, heard.capacity
 
     def learn(self, rows: t.Iterable[tuple[str, str, str, float]]) -> None:
         """Add nodes to those that are known."""
--- a/packages/rookspring/src/rookspring/relay_proofs.py
+++ b/packages/rookspring/src/rookspring/relay_proofs.py
@@ -9,16 +9,6 @@
 import asyncio
 import contextlib
 import typing as t
-
-from returns.result import Failure
-from returns.result import Success
-
-from rookspring_core import defaults as core_defaults
-from rookspring_core import freshness
-from rookspring_core.events import TableProved
-from rookspring_core.events import TightHeard
-from rookspring_core.mixing import mix
-
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -32,6 +22,16 @@
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from returns.result import Failure
+from returns.result import Success
+from rookspring_core import defaults as core_defaults
+from rookspring_core import freshness
+from rookspring_core.events import NearLimitReceived
+from rookspring_core.events import TableProved
+from rookspring_core.hashing import stable_hash
+
+
+
 
 if t.TYPE_CHECKING:
     from rookspring_core.state import NodeState
@@ -142,9 +142,9 @@
 def _step_in_s(state: "NodeState") -> float:
     """Give the age at which this node reads for itself, in seconds."""
     if state.topology.relay:
-        return core_defaults.PROOF_STEP_IN_RELAY_S
-    spread = mix("proof", state.identity.name) % 1000 / 1000.0
-    return core_defaults.PROOF_STEP_IN_S + core_defaults.PROOF_STEP_IN_SPREAD_S * spread
+        return core_defaults.PROOF_READ_RELAY_S
+    spread = stable_hash("proof", state.identity.name) % 1000 / 1000.0
+    return core_defaults.PROOF_READ_S + core_defaults.PROOF_READ_SPREAD_S * spread
 
 
 @receives(AskProof)
@@ -173,4 +173,4 @@
     peers.want_table(link, version)
     if proof.tight is not None:
         names = tuple(str(name) for name in proof.tight)
-        peers.context.submit(TightHeard(now, stamp, names))
+        peers.context.submit(NearLimitReceived(now, stamp, names))
--- a/packages/rookspring/src/rookspring/reports.py
+++ b/packages/rookspring/src/rookspring/reports.py
@@ -1,17 +1,17 @@
 """Endpoint reports as rows that nodes send each other."""
 
 import typing as t
-
+from . import defaults
 from rookspring_core.events import EndpointReported
-from rookspring_core.mixing import mix
+from rookspring_core.hashing import stable_hash
+
 
-from . import defaults
 
 
 def digest_of(report: EndpointReported) -> int:
     """Name all of a report but its load and its age."""
     steady = report._replace(at=0.0, age_s=0.0, running=0, queued=0)
-    return mix(repr(steady))
+    return stable_hash(repr(steady))
 
 
 class ReportLog:
