--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -7,8 +7,8 @@
 import argparse
 import random
 import typing as t
-from unittest import mock
-
+from .registry import experiment
+from .registry import report
 from rookspring_core import InvariantBroken
 from rookspring_core import cluster
 from rookspring_core import governing
@@ -20,14 +20,14 @@
 from rookspring_core.memory import Ledger
 from rookspring_core.once import OnceTable
 from rookspring_core.once import Verdict
-from rookspring_fakes.disturbances import DISTURBANCES
 from rookspring_fakes.disturbances import Calls
+from rookspring_fakes.disturbances import DISTURBANCES
 from rookspring_fakes.disturbances import steady
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
+from unittest import mock
+
 
-from .registry import experiment
-from .registry import report
 
 
 class Mutant(t.NamedTuple):
@@ -128,7 +128,7 @@
     Mutant(
         "send to a leaving endpoint",
         EndpointView,
-        "open_for_work",
+        "accepts_work",
         _open_though_leaving,
         "a runner is leaving",
     ),
--- a/bench/notice_mutants.py
+++ b/bench/notice_mutants.py
@@ -6,14 +6,14 @@
 from rookspring import relay_merged
 from rookspring import relay_notices
 from rookspring_core import comebacks
+from rookspring_core import notice_handlers
 from rookspring_core import notices
-from rookspring_core import noticing
 from rookspring_core import routed
 from rookspring_core import slotting
 from rookspring_core.endpoints import EndpointView
 from rookspring_core.notices import Notice
 from rookspring_core.notices import NoticeTable
-from rookspring_core.notices import Rest
+from rookspring_core.notices import RequestedBackoff
 
 
 
@@ -43,11 +43,11 @@
 
 
 def _uncapped(self: Notice) -> float:
-    return self.rest_s or 0.0
+    return self.backoff_s or 0.0
 
 
 def _last_rest(self: NoticeTable, endpoint: str, born: int, until: float) -> None:
-    self._rests[endpoint] = Rest(born, until)
+    self._backoffs[endpoint] = RequestedBackoff(born, until)
 
 
 def _usable(state: t.Any, endpoint: str) -> EndpointView | None:
@@ -59,7 +59,7 @@
     """Take the word of another process for that of the one that was asked."""
     if not event.notice.leaving:
         return []
-    return noticing._note_leaving(state, event.endpoint, event.started_ms)
+    return notice_handlers._note_leaving(state, event.endpoint, event.started_ms)
 
 
 def _same_moment(state: t.Any, request: t.Any) -> float:
@@ -67,24 +67,37 @@
 
 
 MUTANTS = (
-    Mutant("forgets with the view", "DRAIN", noticing, "recall", _nothing, NOTICES),
+    Mutant("forgets with the view", "DRAIN", notice_handlers, "restore_notices", _nothing, NOTICES),
     Mutant("tells nobody who leaves", "DRAIN", relay_notices, "share_leaving", _nothing, NOTICES),
     Mutant("greets with no leavings", "DRAIN", relay_merged, "greet", _nothing, NOTICES),
     Mutant("compares no leavings", "DRAIN", relay_merged, "compare", _nothing, NOTICES),
-    Mutant("grants no rest", "BUDGET", EndpointView, "rests", _never, NOTICES),
+    Mutant("grants no rest", "BUDGET", EndpointView, "in_backoff", _never, NOTICES),
     Mutant("resting is better than none", "BUDGET", routed, "_spared", _never, NOTICES),
-    Mutant("sends what was decided", "DRAIN", noticing, "find_withheld", _not_withheld, NOTICES),
+    Mutant(
+        "sends what was decided", "DRAIN", notice_handlers, "find_withheld", _not_withheld, NOTICES
+    ),
     Mutant("waits for a rest in vain", "callers", routed, "rest_left_s", _not_for_long, NOTICES),
     Mutant("tells nobody who sheds", "callers", relay_notices, "share_shed", _nothing, NOTICES),
-    Mutant("a life never ends", "reach", NoticeTable, "begin", _nothing, NOTICES),
-    Mutant("any life is the same", "reach", notices, "same_life", _always, NOTICES),
-    Mutant("the last rest holds", "BUDGET", NoticeTable, "take_rest", _last_rest, NOTICES),
-    Mutant("all at once after a rest", "callers", EndpointView, "returns", _never, NOTICES),
-    Mutant("whoever answers is meant", "reach", noticing, "_take_other", _own_word, NOTICES),
-    Mutant("ignores another's address", "reach", noticing, "_take_other", _no_effects, NOTICES),
+    Mutant("a life never ends", "reach", NoticeTable, "note_restart", _nothing, NOTICES),
+    Mutant("any life is the same", "reach", notices, "may_be_same_process", _always, NOTICES),
+    Mutant("the last rest holds", "BUDGET", NoticeTable, "add_backoff", _last_rest, NOTICES),
+    Mutant(
+        "all at once after a rest",
+        "callers",
+        EndpointView,
+        "probing_after_backoff",
+        _never,
+        NOTICES,
+    ),
+    Mutant("whoever answers is meant", "reach", notice_handlers, "_take_other", _own_word, NOTICES),
+    Mutant(
+        "ignores another's address", "reach", notice_handlers, "_take_other", _no_effects, NOTICES
+    ),
     Mutant("remembers for good", "reach", NoticeTable, "tick", _nothing, NOTICES),
     Mutant("bounds no notices", "memory", notices, "_bound", _nothing, NOTICES),
-    Mutant("rests for as long as asked", "reach", Notice, "asked_rest_s", _uncapped, NOTICES),
+    Mutant(
+        "rests for as long as asked", "reach", Notice, "requested_backoff_s", _uncapped, NOTICES
+    ),
     Mutant("a slot is a slot", "BUDGET", slotting, "usable", _usable, NOTICES),
     Mutant("all back at one moment", "callers", comebacks, "rest_back_s", _same_moment, NOTICES),
 )
--- a/bench/rate_mutants.py
+++ b/bench/rate_mutants.py
@@ -1,11 +1,12 @@
 """Wrong decisions about the requests a second that endpoints name."""
 
 import typing as t
-
+from .mutant import Mutant
+from .mutant import RATES
 from rookspring import relay_notices
 from rookspring import relay_owners
 from rookspring_core import defaults as core_defaults
-from rookspring_core import noticing
+from rookspring_core import notice_handlers
 from rookspring_core import planning
 from rookspring_core import request_rates
 from rookspring_core import routed
@@ -17,8 +18,7 @@
 from rookspring_core.request_rates import RateTable
 from rookspring_core.slot_queues import SlotQueue
 
-from .mutant import RATES
-from .mutant import Mutant
+
 
 _USE = SlotQueue.use
 _BUCKET = RateBucket.__init__
@@ -91,7 +91,7 @@
 
 
 MUTANTS = (
-    Mutant("reads no rates", "LIMIT", noticing, "_note_rate", _no_effects, RATES),
+    Mutant("reads no rates", "LIMIT", notice_handlers, "_note_rate", _no_effects, RATES),
     Mutant("each node heeds the rate alone", "LIMIT", relay_owners, "ask_owner", _itself, RATES),
     Mutant("owns for good", "LIMIT", OwnerTable, "keep", _keeps_all, RATES),
     Mutant("begins with all in hand", "LIMIT", RateBucket, "__init__", _begins_full, RATES),
@@ -107,7 +107,7 @@
     Mutant("takes late answers", "LIMIT", slotting, "answers", _always, RATES),
     Mutant("counts given back turns twice", "LIMIT", RateBucket, "put_back", _always_back, RATES),
     Mutant("plans by looks", "callers", planning, "_bounded_rate", _as_idle_as_it_looks, RATES),
-    Mutant("answers by any node", "callers", Membership, "voucher_of", _any_voucher, RATES),
+    Mutant("answers by any node", "callers", Membership, "reporter_of", _any_voucher, RATES),
     Mutant("asks again and again", "callers", routed, "_with_turns", _asks_for_all, RATES),
     Mutant("stands still and goes on", "LIMIT", core_defaults, "OWNER_GAP_S", 1e9, RATES),
 )
--- a/bench/relay_mutants.py
+++ b/bench/relay_mutants.py
@@ -31,9 +31,9 @@
 from rookspring_core import cluster
 from rookspring_core import defaults as core_defaults
 from rookspring_core import governing
-from rookspring_core import lives
 from rookspring_core import planning
 from rookspring_core import residency
+from rookspring_core import restarts
 from rookspring_core import routed
 from rookspring_core import swapping
 from rookspring_core.adapter_waits import AdapterWaits
@@ -210,9 +210,20 @@
     Mutant(
         "uses what has turned bad for ever", "drain", EndpointList, "_refuse", _ignore_row, ENTRIES
     ),
-    Mutant("takes a new life for the old", "reachable", lives, "judge", _one_life, LIVES),
-    Mutant("takes any other life for a new one", "reachable", lives, "judge", _any_life, LIVES),
-    Mutant("forgets orders to the life before", "memory", lives, "_begin_room", _blank_room, LIVES),
+    Mutant(
+        "takes a new life for the old", "reachable", restarts, "compare_starts", _one_life, LIVES
+    ),
+    Mutant(
+        "takes any other life for a new one",
+        "reachable",
+        restarts,
+        "compare_starts",
+        _any_life,
+        LIVES,
+    ),
+    Mutant(
+        "forgets orders to the life before", "memory", restarts, "_reset_room", _blank_room, LIVES
+    ),
     Mutant("keeps no adapter for its callers", "reachable", Room, "keeps", _never, ADAPTERS),
     Mutant("keeps no model for its callers", "reachable", Room, "kept_models", _none_kept),
     Mutant(
@@ -238,7 +249,7 @@
     ),
     Mutant("counts linked nodes alone", "retry budget", Membership, "count", _count_linked, SIZE),
     Mutant("vouches on hearsay", "membership", relay_members, "_vouches", _on_hearsay, SIZE),
-    Mutant("is fed for ever", "drain", Topology, "fed", _fed_for_ever, SIZE),
+    Mutant("is fed for ever", "drain", Topology, "has_fresh_source", _fed_for_ever, SIZE),
     Mutant(
         "has all ask the store", "platform calls", Topology, "_chosen_watcher", _watch_all, SIZE
     ),
@@ -260,12 +271,12 @@
     Mutant("spends no store rate", "load ceiling", planning, "from_store", _never),
     Mutant("drops a last far copy", "reachable", swapping.SwapBoard, "__init__", _all_near),
     Mutant("takes rows as they come", "memory", residency, "refine", _as_told),
-    Mutant("sends to what has gone", "drain", EndpointView, "open_for_work", _open_though_gone),
+    Mutant("sends to what has gone", "drain", EndpointView, "accepts_work", _open_though_gone),
     Mutant("sends to the silent", "attainment", EndpointView, "silent", _never),
     Mutant("counts all models alike", "attainment", PaceTable, "relative", lambda self, name: 1.0),
     Mutant("never lets the lease be", "platform calls", governing, "holder_heard", _never),
     Mutant("passes on what only we may set", "unasked", dialect, "SYSTEM_HEADERS", frozenset()),
-    Mutant("sends to what is down", "attainment", EndpointView, "listens", _always),
+    Mutant("sends to what is down", "attainment", EndpointView, "may_listen", _always),
     Mutant("forgets a withdrawn model's adapters", "memory", Room, "withdrawn_adapters", _no_names),
     Mutant(
         "unloads models that are in use", "attainment", planning.attaching, "list_used", _nobody
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -12,8 +12,8 @@
 from .registry import experiment
 from .registry import report
 from rookspring.logs import configure
+from rookspring_core import notice_handlers
 from rookspring_core import notices
-from rookspring_core import noticing
 from rookspring_core.endpoints import EndpointView
 from rookspring_core.hashing import stable_hash
 from rookspring_core.notices import NoticeTable
@@ -64,7 +64,9 @@
 def _at_once(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
     stack = contextlib.ExitStack()
     stack.enter_context(_untold())
-    stack.enter_context(mock.patch.object(EndpointView, "returns", lambda self, now: False))
+    stack.enter_context(
+        mock.patch.object(EndpointView, "probing_after_backoff", lambda self, now: False)
+    )
     return stack
 
 
@@ -72,22 +74,22 @@
 def _ramp(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
     stack = contextlib.ExitStack()
     stack.enter_context(_at_once(callers))
-    recall = noticing.recall
+    recall = notice_handlers.restore_notices
 
     def later(state: t.Any, view: EndpointView) -> None:
         recall(state, view)
-        if view.rests(state.now):
+        if view.in_backoff(state.now):
             spread = stable_hash(state.identity.name, view.name) % 1000 / 1000.0
-            view.rest_until += spread * RAMP_SHARE * REST_S
+            view.backoff_until += spread * RAMP_SHARE * REST_S
 
-    stack.enter_context(mock.patch.object(noticing, "recall", later))
+    stack.enter_context(mock.patch.object(notice_handlers, "restore_notices", later))
     return stack
 
 
 def _on_rest(callers: FleetCallers, tell: t.Callable[[t.Any, str, int, float], None]) -> t.Any:
     """Have all other nodes told of a rest, two ways of links later."""
     fleet = callers.fleet
-    take = NoticeTable.take_rest
+    take = NoticeTable.add_backoff
 
     def take_and_tell(self: NoticeTable, endpoint: str, born: int, until: float) -> None:
         take(self, endpoint, born, until)
@@ -95,7 +97,7 @@
             if node.state.notices is not self:
                 fleet.at(fleet.now + 0.003, functools.partial(tell, node, endpoint, born, until))
 
-    return mock.patch.object(NoticeTable, "take_rest", take_and_tell)
+    return mock.patch.object(NoticeTable, "add_backoff", take_and_tell)
 
 
 @way("told to all, who rest as well")
@@ -103,7 +105,7 @@
     def tell(node: t.Any, endpoint: str, born: int, until: float) -> None:
         view = node.state.endpoints.get(endpoint)
         if view is not None:
-            view.rest_until = max(view.rest_until, until)
+            view.backoff_until = max(view.backoff_until, until)
 
     stack = contextlib.ExitStack()
     stack.enter_context(_untold())
--- a/features/entry_copy_simulations.py
+++ b/features/entry_copy_simulations.py
@@ -1,13 +1,13 @@
 """Random simulations of endpoints that change, with a store that is restored from copies."""
 
 import random
-
-from rookspring_core import noticing
+from rookspring_core import notice_handlers
 from rookspring_fakes.fleet import AGAIN_S
 from rookspring_fakes.fleet import Fleet
 from rookspring_fakes.fleet import FleetPlan
 from rookspring_fakes.fleet_store import ENDPOINTS
 
+
 # Length of a run, interval between two disturbances, interval of the checks, greatest age of a
 # copy, and time until all nodes know an endpoint's change, in seconds.
 LENGTH_S = 40.0
@@ -77,7 +77,7 @@
         now = self.fleet.now
         known_at = max(self.restored_at + AGAIN_S, -1e9) + KNOWN_S
         for name in self.leaving:
-            used = not noticing.find_withheld(node.state, name)
+            used = not notice_handlers.find_withheld(node.state, name)
             if not used:
                 self.withheld.add((node.name, name))
             elif (node.name, name) in self.withheld:
@@ -92,7 +92,7 @@
         if node.name == CUT_OFF or self.fleet.store.away or now < known_at:
             return
         for name, since in self.live.items():
-            if now > since + KNOWN_S and noticing.find_withheld(node.state, name):
+            if now > since + KNOWN_S and notice_handlers.find_withheld(node.state, name):
                 self.violations.append((now, node.name, name, "not used although it is live"))
 
 
--- a/features/key_stories.py
+++ b/features/key_stories.py
@@ -6,12 +6,11 @@
 """
 
 import random
-
 from rookspring_core import keys
 from rookspring_core.events import RequestArrived
-from rookspring_core.organisations import TOKENS
 from rookspring_core.organisations import Allotment
 from rookspring_core.organisations import Organisation
+from rookspring_core.organisations import TOKENS
 from rookspring_core.organisations import digest_of
 from rookspring_core.organisations import make_directory
 from rookspring_core.routes import Route
@@ -19,6 +18,7 @@
 from rookspring_fakes.fleet import Fleet
 from rookspring_fakes.fleet import FleetPlan
 
+
 BOUND_S = 5.0
 KEYS = {"key-a1": "org-a", "key-a2": "org-a", "key-b1": "org-b"}
 STEP_S = 0.1
@@ -152,7 +152,7 @@
 
 
 def readers_of(fleet):
-    return [node.name for node in fleet.live() if node.state.topology.proves()]
+    return [node.name for node in fleet.live() if node.state.topology.reads_configuration()]
 
 
 def freeze(fleet, names):
--- a/features/steps/crash_end_steps.py
+++ b/features/steps/crash_end_steps.py
@@ -11,9 +11,9 @@
 from rookspring_core.events import EvidenceReceived
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTerms
+from rookspring_core.suspects import CrashRecord
+from rookspring_core.suspects import EndpointProcess
 from rookspring_core.suspects import Evidence
-from rookspring_core.suspects import Life
-from rookspring_core.suspects import Sighting
 from rookspring_fakes.fleet_callers import FATAL
 
 
@@ -144,8 +144,8 @@
 @ending("another node reported its end")
 def _told(node):
     node.fail()
-    life = Life(node.name, node.born)
-    seen = Sighting(f"other-{node.number}", "", life, node.now, True)
+    life = EndpointProcess(node.name, node.born)
+    seen = CrashRecord(f"other-{node.number}", "", life, node.now, True)
     node.submit(EvidenceReceived(node.now, Evidence((seen,)), "n2"))
 
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -1,5 +1,4 @@
 import asyncio
-
 from behave import given
 from behave import then
 from behave import when
@@ -9,20 +8,21 @@
 from key_stories import leaf_of
 from relay_stage import RelayStage
 from relay_stage import request as relay_request
-
 from rookspring_core.fingerprints import make_fingerprint
 from rookspring_core.suspects import Cleared
+from rookspring_core.suspects import CrashRecord
+from rookspring_core.suspects import EndpointProcess
 from rookspring_core.suspects import Evidence
-from rookspring_core.suspects import Life
-from rookspring_core.suspects import Sighting
 from rookspring_core.suspects import SuspectTable
 from rookspring_fakes.fleet_callers import AGAIN_S
-from rookspring_fakes.fleet_callers import FATAL
 from rookspring_fakes.fleet_callers import EndsDay
 from rookspring_fakes.fleet_callers import EndsPlayed
+from rookspring_fakes.fleet_callers import FATAL
 from rookspring_fakes.fleet_callers import FleetCallers
 
 
+
+
 @given("{nodes:d} nodes, and a request that crashes each endpoint that runs it")
 def fatal_request(context, nodes):
     context.stage = FleetCallers(nodes)
@@ -201,7 +201,9 @@
     @drawn(strategies.lists(row, max_size=12), strategies.randoms(use_true_random=False))
     def check(rows, random):
         told = [
-            Evidence((Sighting(name, "", Life(f"e{end}", end), float(at + end), True),))
+            Evidence(
+                (CrashRecord(name, "", EndpointProcess(f"e{end}", end), float(at + end), True),)
+            )
             if at % 7
             else Evidence(cleared=(Cleared(name, float(at)),))
             for name, end, at in rows
@@ -210,35 +212,37 @@
         told = list({_key(one): one for one in told}.values())
         first, second = SuspectTable(), SuspectTable()
         for one in told:
-            first.take(one, 400.0)
+            first.merge(one, 400.0)
         again = told * 2
         random.shuffle(again)
         for one in again:
-            second.take(one, 400.0)
-        found = [{name: table.ends(name) for name in "abc"} for table in (first, second)]
+            second.merge(one, 400.0)
+        found = [{name: table.crash_score(name) for name in "abc"} for table in (first, second)]
         assert found[0] == found[1], (told, found)
 
     check()
 
 
 def _key(evidence):
-    seen = evidence.sightings
-    return (seen[0].fingerprint, seen[0].life) if seen else (evidence.cleared[0].fingerprint, None)
+    seen = evidence.crash_records
+    return (
+        (seen[0].fingerprint, seen[0].process) if seen else (evidence.cleared[0].fingerprint, None)
+    )
 
 
 @given("a table of suspects")
 def a_table(context):
     context.suspects = SuspectTable()
     for number in range(3):
-        seen = Sighting(f"b{number}", "org-b", Life("e", number), 1.0, True)
-        context.suspects.take(Evidence((seen,)), 1.0)
+        seen = CrashRecord(f"b{number}", "org-b", EndpointProcess("e", number), 1.0, True)
+        context.suspects.merge(Evidence((seen,)), 1.0)
 
 
 @when("org-a has {number:d} different requests in flight at crashes")
 def many_suspects(context, number):
     for one in range(number):
-        seen = Sighting(f"a{one}", "org-a", Life("e", one), 2.0, True)
-        context.suspects.take(Evidence((seen,)), 2.0)
+        seen = CrashRecord(f"a{one}", "org-a", EndpointProcess("e", one), 2.0, True)
+        context.suspects.merge(Evidence((seen,)), 2.0)
 
 
 @then("the table holds no more than {most:d} of them, and those of org-b stay")
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -108,7 +108,7 @@
     view = holder.state.endpoints["e1"]
     for _ in range(5):
         view.fail(holder.now)
-    assert not view.open_for_work(holder.now)
+    assert not view.accepts_work(holder.now)
 
 
 @state("it restarted a moment before")
@@ -165,7 +165,7 @@
 def none_sent(context):
     holder = context.holder
     view = holder.state.endpoints["e1"]
-    assert not view.leaving and not view.down and view.open_for_work(holder.now)
+    assert not view.leaving and not view.down and view.accepts_work(holder.now)
     assert "m" not in view.resident, view.resident
     holder.ask(model="m", key="early")
     holder.ask(model="m", adapter="m/a2", key="early-a2")
--- a/features/steps/notice_node_steps.py
+++ b/features/steps/notice_node_steps.py
@@ -91,7 +91,7 @@
     context.stream = node.sent[-1]
     node.submit(AttemptStarted(node.now, context.stream.request_id, 1))
     node.now += 0.1
-    node.say(Notice(turned_away=True, rest_s=rest_s))
+    node.say(Notice(turned_away=True, backoff_s=rest_s))
     context.since = node.now
 
 
@@ -100,7 +100,7 @@
     context.node = node = NoticeHarness("e1", "e2")
     for name, told in (("e1", first), ("e2", second)):
         if told != "no rest":
-            node.say(Notice(turned_away=True, rest_s=float(told.split()[0])), name)
+            node.say(Notice(turned_away=True, backoff_s=float(told.split()[0])), name)
 
 
 @given("a node, and endpoints of its model with a back-off of {first} s and none")
@@ -218,12 +218,12 @@
 
 @after("it requests a longer back-off of 5 s")
 def _longer(context, node):
-    node.say(Notice(turned_away=True, rest_s=5.0))
+    node.say(Notice(turned_away=True, backoff_s=5.0))
 
 
 @after("it requests a shorter back-off of 1 s")
 def _shorter(context, node):
-    node.say(Notice(turned_away=True, rest_s=1.0))
+    node.say(Notice(turned_away=True, backoff_s=1.0))
 
 
 @after("a stream that it runs makes progress")
@@ -248,9 +248,9 @@
 
 TOLD = {
     "that it is leaving": LEAVES,
-    "that it is leaving, under its own name": LEAVES._replace(life="e1"),
-    "that it is leaving, under another's name": LEAVES._replace(life="other"),
-    "that another process has its address": Notice(life="other", misdirected=True),
+    "that it is leaving, under its own name": LEAVES._replace(process_name="e1"),
+    "that it is leaving, under another's name": LEAVES._replace(process_name="other"),
+    "that another process has its address": Notice(process_name="other", misdirected=True),
     "nothing but Connection: close": Notice(),
     "a value that can't be parsed": Notice(malformed="server-leaving: yes"),
     "that it is leaving, once its request was given up": LEAVES,
@@ -326,7 +326,7 @@
 def waits_for_rest(context, rest_s):
     node = context.node
     context.before = len(node.refused)
-    node.say(Notice(turned_away=True, rest_s=rest_s))
+    node.say(Notice(turned_away=True, backoff_s=rest_s))
 
 
 @then(
@@ -387,7 +387,7 @@
 @when("a slot there was granted before it requested a back-off of 3 s")
 def slot_before_rest(context):
     context.node = node = SlotHarness()
-    node.submit(NoticeReceived(node.now, "f", 0, Notice(turned_away=True, rest_s=3.0), "f"))
+    node.submit(NoticeReceived(node.now, "f", 0, Notice(turned_away=True, backoff_s=3.0), "f"))
     node.grant()
     context.before = 0
 
@@ -398,7 +398,7 @@
     assert node.come(attempts=3) == "e1"
     key = (node.sent[-1].request_id, 1)
     node.submit(AttemptStarted(node.now, *key))
-    node.say(Notice(turned_away=True, rest_s=3.0))
+    node.say(Notice(turned_away=True, backoff_s=3.0))
     context.before = len(node.sent)
     node.submit(AttemptFailed(node.now, *key, True, True, "refused with 503"))
     (refusal,) = node.refused
@@ -412,7 +412,7 @@
     key = (node.sent[-1].request_id, 1)
     node.submit(AttemptStarted(node.now, *key))
     node.submit(AttemptProgressed(node.now, *key, 3))
-    node.say(LEAVES if "leaves" in said else Notice(turned_away=True, rest_s=3.0))
+    node.say(LEAVES if "leaves" in said else Notice(turned_away=True, backoff_s=3.0))
     context.before = len(node.sent)
     node.submit(AttemptFailed(node.now, *key, True, False, "connection closed", broken=True))
 
@@ -422,7 +422,7 @@
     node = context.node
     for _ in range(5):
         node.state.endpoints["e1"].fail(node.now)
-    node.say(Notice(turned_away=True, rest_s=3.0))
+    node.say(Notice(turned_away=True, backoff_s=3.0))
     context.before = len(node.sent)
     node.come()
 
@@ -439,7 +439,7 @@
 def holder_over(context, said):
     context.holder = holder = HolderHarness(["m", "n"])
     holder.orders.clear()
-    notice = LEAVES if said == "leaves" else Notice(turned_away=True, rest_s=60.0)
+    notice = LEAVES if said == "leaves" else Notice(turned_away=True, backoff_s=60.0)
     holder.submit(NoticeReceived(holder.now, "e1", 0, notice, "e1"))
 
 
--- a/features/steps/notice_socket_steps.py
+++ b/features/steps/notice_socket_steps.py
@@ -1,9 +1,7 @@
 import asyncio
-
 from behave import then
 from behave import when
 from relay_stage import request
-
 from rookspring import clock
 from rookspring import relay_orders
 from rookspring_core.effects import ReadReport
@@ -11,6 +9,8 @@
 from rookspring_fakes import ModelServer
 
 
+
+
 @when("the endpoint's answers say {line}")
 def answers_say(context, line):
     context.relay.servers[0].says.append(line)
@@ -95,7 +95,7 @@
 @then("the node knows that the endpoint {knows}")
 def node_knows(context, knows):
     view = context.relay.node.context.state.endpoints["i0"]
-    found = {"leaves": view.leaving, "rests": view.rests(clock.now())}
+    found = {"leaves": view.leaving, "rests": view.in_backoff(clock.now())}
     assert found[knows], found
 
 
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -1,7 +1,5 @@
 """Endpoints' notices over whole fleets: which nodes learn of them, and when."""
 
-from unittest import mock
-
 from behave import given
 from behave import then
 from behave import when
@@ -11,13 +9,15 @@
 from hypothesis import settings as drawing
 from hypothesis import strategies
 from key_stories import troubles as node_troubles
-from notice_stories import TROUBLES
 from notice_stories import NoticeStory
-
+from notice_stories import TROUBLES
 from rookspring import relay_notices
 from rookspring_core.notices import Leaving
 from rookspring_core.notices import NoticeTable
 from rookspring_fakes.fleet_callers import FleetCallers
+from unittest import mock
+
+
 
 # A notice that one node gets has reached all nodes after this long, in seconds.
 TOLD_S = 0.5
@@ -253,14 +253,14 @@
         assert not faults, (acts, seed, faults[0])
 
     check()
-    assert any(one.leaving for one in heard) and any(one.rest_s for one in heard)
+    assert any(one.leaving for one in heard) and any(one.backoff_s for one in heard)
 
 
 # Merging and bounds.
 
 
 def leaving_of(table):
-    return {(one.endpoint, one.born) for one in table.whole(10.0)}
+    return {(one.endpoint, one.born) for one in table.list_leaving(10.0)}
 
 
 @then(
@@ -276,11 +276,11 @@
     @drawn(strategies.lists(word, max_size=12), strategies.randoms(use_true_random=False))
     def check(words, random):
         first, other = NoticeTable(), NoticeTable()
-        first.take_leaving(words, 10.0)
+        first.merge_leaving(words, 10.0)
         mixed = [*words, *words]
         random.shuffle(mixed)
         for one in mixed:
-            other.take_leaving((one,), 10.0)
+            other.merge_leaving((one,), 10.0)
         assert leaving_of(first) == leaving_of(other)
         assert first.digest(10.0) == other.digest(10.0)
 
@@ -291,6 +291,6 @@
 def table_bounded(context, number, kept):
     table = NoticeTable()
     for one in range(number):
-        table.take_leaving((Leaving(f"e{one}", 1, 0.0),), 0.0)
-    assert len(table.whole(0.0)) == kept
-    assert table.leaves(f"e{number - 1}", 1) and not table.leaves("e0", 1)
+        table.merge_leaving((Leaving(f"e{one}", 1, 0.0),), 0.0)
+    assert len(table.list_leaving(0.0)) == kept
+    assert table.is_leaving(f"e{number - 1}", 1) and not table.is_leaving("e0", 1)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -297,9 +297,9 @@
 def head_says(context, said):
     got = PlatformDialect().read_notice(context.head)
     flags = {"leaving": got.leaving, "misdirected": got.misdirected, "turned away": got.turned_away}
-    found = [f"life {got.life}"] if got.life and not got.says_nothing() else []
+    found = [f"life {got.process_name}"] if got.process_name and not got.is_empty() else []
     found += [name for name, true in flags.items() if true]
-    found += [] if got.rest_s is None else [f"rest {got.rest_s:g} s"]
+    found += [] if got.backoff_s is None else [f"rest {got.backoff_s:g} s"]
     found += [] if got.rate is None else [f"rate {got.rate:g}"]
     found += [f"malformed {got.malformed.strip()}"] if got.malformed else []
     assert (", ".join(found) or "nothing") == said, got
--- a/features/steps/rate_limit_node_steps.py
+++ b/features/steps/rate_limit_node_steps.py
@@ -276,7 +276,7 @@
 
 def _in_back_off(node):
     node.come()
-    node.say(Notice(turned_away=True, rest_s=3.0, rate=2.0, names_rate=True))
+    node.say(Notice(turned_away=True, backoff_s=3.0, rate=2.0, names_rate=True))
     node.grant()
     assert [one.unsent for one in node.freed] == [True], node.freed
 
--- a/features/steps/relay_down_steps.py
+++ b/features/steps/relay_down_steps.py
@@ -36,9 +36,9 @@
 def usable_within(context, seconds):
     holder = context.holder
     view = holder.state.endpoints["e1"]
-    assert not view.open_for_work(holder.now)
+    assert not view.accepts_work(holder.now)
     holder.pass_time(seconds)
-    assert view.open_for_work(holder.now) and not view.down
+    assert view.accepts_work(holder.now) and not view.down
 
 
 @given("a relaying node whose one endpoint refuses connections")
--- a/features/steps/relay_order_steps.py
+++ b/features/steps/relay_order_steps.py
@@ -426,7 +426,7 @@
         holder.submit(holder.report("e1", ["m"], (), token, polled=True))
     elif what == "its row again":
         holder.list_endpoints(["e1", "e2"], "llm", "runner")
-    context.open = holder.state.endpoints["e1"].open_for_work(holder.now)
+    context.open = holder.state.endpoints["e1"].accepts_work(holder.now)
 
 
 @when("{number:d} plans are made under demand that moves")
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -208,7 +208,7 @@
         node.submit(AttemptSucceeded(node.now, "r0", 1))
         node.ask(model="m", key="r1")
         node.submit(AttemptStarted(node.now, "r1", 1))
-        node.state.endpoints["e1"].found_down(node.now - 0.95)
+        node.state.endpoints["e1"].mark_down(node.now - 0.95)
         node.submit(AttemptFailed(node.now, "r1", 1, True, True, "refused"))
         assert node.state.requests["r1"].attempt == 1
     elif state == "waits for room":
@@ -274,7 +274,7 @@
     elif news == "has just refused another":
         holder.submit(AttemptFailed(holder.now, *key, True, True, "refused"))
         holder.state.endpoints["e1"].begin("older", holder.now - seconds)
-    context.open = holder.state.endpoints["e1"].open_for_work(holder.now)
+    context.open = holder.state.endpoints["e1"].accepts_work(holder.now)
 
 
 @when("a request with an objective of {objective:g} s arrives for n, which is {where}")
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -102,7 +102,7 @@
 def knows_yet(context, number):
     state = context.relay_node.state
     assert state.membership.count() == number
-    assert not state.membership.small()
+    assert not state.membership.is_full_mesh()
 
 
 @then("its share of the retry slack is that of {number:d} nodes at least")
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -10,8 +10,7 @@
 from parse_type import TypeBuilder
 from relay_harness import RelayHarness
 from relay_harness import make_table
-
-from rookspring_core import noticing
+from rookspring_core import notice_handlers
 from rookspring_core.events import DrainAsked
 from rookspring_core.events import RouteTableSeen
 from rookspring_core.events import StoreEraBegan
@@ -20,6 +19,7 @@
 from rookspring_fakes.fleet import FleetPlan
 from rookspring_fakes.fleet_store import NODES
 
+
 register_type(Accepted=TypeBuilder.make_choice(["accepted", "not accepted"]))
 
 # Time until all nodes know each other and one holds the lease, in seconds.
@@ -152,7 +152,7 @@
 
 
 def uses(node, endpoint):
-    return not noticing.find_withheld(node.state, endpoint)
+    return not notice_handlers.find_withheld(node.state, endpoint)
 
 
 def record_uses(context, seconds, endpoints):
--- a/packages/rookspring-core/src/rookspring_core/__init__.py
+++ b/packages/rookspring-core/src/rookspring_core/__init__.py
@@ -3,7 +3,7 @@
 from . import admitting as admitting
 from . import cluster as cluster
 from . import governing as governing
-from . import noticing as noticing
+from . import notice_handlers as notice_handlers
 from . import ordering as ordering
 from . import recovering as recovering
 from . import requests as requests
--- a/packages/rookspring-core/src/rookspring_core/_endpoint_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_endpoint_events.py
@@ -84,7 +84,7 @@
         load fastest.
     :param on_disk: models that are cached on its box's disk; they survive a restart of the box.
     :param started_ms: when the endpoint's process started, by its box's clock in milliseconds; 0
-        where it is not reported. It may restart under the same name; see :mod:`lives`.
+        where it is not reported. It may restart under the same name; see :mod:`restarts`.
     :param start_confirmed: this is the endpoint's latest process although its start is earlier than
         that of a process before it, as after a step back of the box's clock.
     """
--- a/packages/rookspring-core/src/rookspring_core/admitting.py
+++ b/packages/rookspring-core/src/rookspring_core/admitting.py
@@ -6,7 +6,7 @@
 from . import defaults
 from . import requests
 from . import routed
-from . import suspecting
+from . import suspect_handlers
 from . import wants
 from .effects import Effect
 from .effects import ReturnAllotment
@@ -25,7 +25,7 @@
 def admit_request(state: NodeState, event: RequestArrived) -> Effects:
     """Admit a new request: send it, queue it, replay its answer or refuse it."""
     fault = routed.check(state, event) if event.route else arrivals.check_target(state, event)
-    fault = fault or suspecting.check(state, event)
+    fault = fault or suspect_handlers.refuse_quarantined(state, event)
     if fault is not None:
         return [fault]
     if event.once_key is not None:
--- a/packages/rookspring-core/src/rookspring_core/attaching.py
+++ b/packages/rookspring-core/src/rookspring_core/attaching.py
@@ -83,7 +83,7 @@
 
 
 def _open_hosts(state: NodeState, key: WantKey) -> list[EndpointView]:
-    return [one for one in _hosts(state, key) if one.open_for_work(state.now)]
+    return [one for one in _hosts(state, key) if one.accepts_work(state.now)]
 
 
 def _end_want(state: NodeState, key: WantKey, outcome: str) -> Effects:
--- a/packages/rookspring-core/src/rookspring_core/cluster.py
+++ b/packages/rookspring-core/src/rookspring_core/cluster.py
@@ -4,12 +4,12 @@
 from . import defaults
 from . import governing
 from . import granting
-from . import lives
-from . import noticing
+from . import notice_handlers
 from . import ordering
 from . import requests
 from . import residency
-from . import suspecting
+from . import restarts
+from . import suspect_handlers
 from .effects import Announce
 from .effects import Effect
 from .effects import ShareReport
@@ -36,7 +36,7 @@
 from .membership import AddressRow
 from .reducer import handles
 from .state import NodeState
-from .topology import Standing
+from .topology import LocalStatus
 
 Effects = list[Effect]
 
@@ -58,7 +58,7 @@
     effects += requests.sweep(state, passed) + allotting.expire(state)
     if state.relaying:
         was_relay = state.topology.relay
-        work_out_roles(state)
+        update_roles(state)
         _update_owners(state)
         allotting.watch(state, was_relay)
         state.adapter_waits.forget_old(event.at)
@@ -68,12 +68,12 @@
     return effects + _stop_due(state)
 
 
-def work_out_roles(state: NodeState) -> None:
+def update_roles(state: NodeState) -> None:
     """Update this relay node's roles and links from the current membership."""
-    local = Standing(
+    local = LocalStatus(
         state.capacity, state.now - state.started_at, state.leaving, governing.holding(state)
     )
-    state.topology.work_out(state.now, local)
+    state.topology.update(state.now, local)
 
 
 def _update_owners(state: NodeState) -> None:
@@ -97,27 +97,27 @@
         return []
     ended: Effects = []
     if view.report is not None and view.report.incarnation != event.incarnation:
-        ended = suspecting.note_ended(state, view)
+        ended = suspect_handlers.note_ended(state, view)
         view.leaving = False
-        view.rest_until = -1e9
-        state.notices.begin(view.name, event.started_ms, event.start_confirmed)
+        view.backoff_until = -1e9
+        state.notices.note_restart(view.name, event.started_ms, event.start_confirmed)
         state.rates.begin(view.name, event.started_ms, event.start_confirmed)
         view.rate = None
         view.prefixes.clear()
     before = view.targets()
     if state.relaying:
-        if lives.judge(view.report, event) == "old":
-            event, effects = lives.doubt(state, view, event)
+        if restarts.compare_starts(view.report, event) == "old":
+            event, effects = restarts.verify_earlier_start(state, view, event)
             if not event.start_confirmed:
                 return effects
-        if lives.judge(view.report, event) == "new":
-            ended += suspecting.note_ended(state, view)
-            lives.begin(state, view, event)
+        if restarts.compare_starts(view.report, event) == "new":
+            ended += suspect_handlers.note_ended(state, view)
+            restarts.reset_endpoint(state, view, event)
             state.index(view, before, frozenset())
             before = frozenset()
         residency.note_report(state, event)
         if event.leaving:
-            noticing.note_listed(state, event.endpoint, event.started_ms)
+            notice_handlers.note_listed(state, event.endpoint, event.started_ms)
         if event.order_token[1] >= 0 and _is_outdated(view, event):
             return ended
         event = residency.refine(state, view, event)
@@ -126,7 +126,7 @@
     if not view.take_report(event):
         return ended
     residency.trust(state, event)
-    noticing.recall(state, view)
+    notice_handlers.restore_notices(state, view)
     state.index(view, before, view.targets())
     state.adapter_waits.end(event.adapters, state.now)
     # On relay nodes the list is made of the endpoints' own entries, so only the list may clear
@@ -194,7 +194,7 @@
     for name in set(state.endpoints) - seen:
         view = state.endpoints[name]
         if not view.gone:
-            effects += suspecting.note_ended(state, view)
+            effects += suspect_handlers.note_ended(state, view)
         view.gone = True
         if not view.inflight:
             state.index(view, view.targets(), frozenset())
@@ -218,18 +218,18 @@
         )
         state.endpoints[row.name] = view
         # Its entry may have lapsed and been written again in its earlier state.
-        noticing.recall(state, view)
+        notice_handlers.restore_notices(state, view)
         state.index(view, frozenset(), view.targets())
     elif state.relaying:
         view.gone = False
     if row.state == "leaving":
-        noticing.note_listed(state, row.name, row.started_ms)
+        notice_handlers.note_listed(state, row.name, row.started_ms)
 
 
 @handles(HeartbeatReceived)
-def hear_peer(state: NodeState, event: HeartbeatReceived) -> Effects:
+def handle_heartbeat(state: NodeState, event: HeartbeatReceived) -> Effects:
     """Apply another node's heartbeat."""
-    fresh = state.membership.hear(event)
+    fresh = state.membership.apply_heartbeat(event)
     state.control.lease.note_end(event.lease_ended, event.at)
     if event.name not in state.membership.peers:
         return []
@@ -253,9 +253,9 @@
 
 
 @handles(MembersReceived)
-def hear_members(state: NodeState, event: MembersReceived) -> Effects:
+def handle_member_rows(state: NodeState, event: MembersReceived) -> Effects:
     """Apply a linked node's rows about nodes that need not be linked to this one."""
-    for name in state.membership.hear_rows(event):
+    for name in state.membership.apply_member_rows(event):
         _forget_peer(state, name)
     for row in event.rows:
         state.control.lease.note_end(row.lease_ended, event.at)
@@ -284,7 +284,7 @@
 
 
 @handles(PromptsReceived)
-def hear_prompts(state: NodeState, event: PromptsReceived) -> Effects:
+def handle_peer_prompts(state: NodeState, event: PromptsReceived) -> Effects:
     """Apply another node's counts of unread prompt tokens; lower counts may make room."""
     if event.name not in state.membership.peers:
         return []
@@ -294,19 +294,19 @@
 
 
 @handles(LoadingReceived)
-def hear_coming(state: NodeState, event: LoadingReceived) -> Effects:
+def handle_expected_load(state: NodeState, event: LoadingReceived) -> Effects:
     """Record a model load in progress and when it should end, for the callers' retry times."""
     view = state.endpoints.get(event.endpoint)
     if view is not None:
-        view.coming = (event.model, event.at + event.in_s)
+        view.expected_model = (event.model, event.at + event.in_s)
     return []
 
 
 @handles(DownReceived)
-def hear_down(state: NodeState, event: DownReceived) -> Effects:
+def handle_endpoint_down(state: NodeState, event: DownReceived) -> Effects:
     """Mark an endpoint as down after another node's connection to it was refused."""
     view = state.endpoints.get(event.endpoint)
-    if view is not None and view.found_down(event.at):
+    if view is not None and view.mark_down(event.at):
         state.record(view.name, "down", "another node's connection was refused")
     return []
 
--- a/packages/rookspring-core/src/rookspring_core/comebacks.py
+++ b/packages/rookspring-core/src/rookspring_core/comebacks.py
@@ -67,5 +67,5 @@
 
     An endpoint carries out one order at a time, and nodes announce the loads in progress.
     """
-    left_s = min((view.coming[1] - state.now for view in hosts), default=0.0)
+    left_s = min((view.expected_model[1] - state.now for view in hosts), default=0.0)
     return min(max(0.0, left_s), defaults.ADAPTER_WAIT_MOST_S)
--- a/packages/rookspring-core/src/rookspring_core/endpoints.py
+++ b/packages/rookspring-core/src/rookspring_core/endpoints.py
@@ -11,7 +11,7 @@
 
 
 
-class PeersWork:
+class PeerLoad:
     """The other nodes' requests in flight by endpoint, as their heartbeats give them.
 
     ``at`` is the time of the oldest heartbeat in the sums, updated at ticks.
@@ -88,23 +88,23 @@
 
     __slots__ = (
         "address",
-        "began_at",
+        "restarted_at",
         "born",
-        "came",
-        "coming",
+        "attached_at",
+        "expected_model",
         "data_centre",
-        "doubted_born",
+        "unverified_start",
         "down",
         "ejected_until",
         "ended",
         "failures",
         "gone",
-        "heard_at",
+        "responded_at",
         "inflight",
         "leaving",
-        "load_told",
+        "load_reported",
         "name",
-        "others",
+        "others_inflight",
         "prefixes",
         "peers",
         "probing",
@@ -113,7 +113,7 @@
         "report",
         "reported_at",
         "resident",
-        "rest_until",
+        "backoff_until",
         "role",
         "service",
         "shed_until",
@@ -127,7 +127,7 @@
         data_centre: str,
         role: str = "runner",
         service: str = "",
-        peers: PeersWork | None = None,
+        peers: PeerLoad | None = None,
         born: int = 0,
     ) -> None:
         self.name = name
@@ -140,11 +140,11 @@
         self.report: EndpointReported | None = None
         self.reported_at = -1e9
         # When this node learnt of each adapter that is newly attached there.
-        self.came: dict[str, float] = {}
+        self.attached_at: dict[str, float] = {}
         self.leaving = False
         self.gone = False
         # When the back-off that it requested of this node ends; see :mod:`notices`.
-        self.rest_until = -1e9
+        self.backoff_until = -1e9
         # Until when its load estimate is raised, since it refused another node's request.
         self.shed_until = -1e9
         # The requests per second that it accepts from all nodes; None if it states no rate.
@@ -154,42 +154,42 @@
         # Whether its connection was refused when last tried.
         self.down = False
         # The model that is being loaded there, and when its load is expected to end.
-        self.coming = ("", -1e9)
+        self.expected_model = ("", -1e9)
         # When this node learnt that it had restarted under its name.
-        self.began_at = -1e9
+        self.restarted_at = -1e9
         # A start time earlier than the known one, which the endpoint reported when last read.
-        self.doubted_born = 0
+        self.unverified_start = 0
         self.failures = 0
         self.ejected_until = -1e9
         self.probing = False
         # When a request of this node last got anything from it.
-        self.heard_at = -1e9
+        self.responded_at = -1e9
         self.inflight: dict[str, float] = {}
         self.ended: list[tuple[float, float]] = []
-        self.others = 0
+        self.others_inflight = 0
         # Whether the latest report gives the numbers of running and queued requests.
-        self.load_told = True
-        self.peers = peers or PeersWork()
+        self.load_reported = True
+        self.peers = peers or PeerLoad()
         self.resident: frozenset[str] = frozenset()
         self.prefixes: dict[int, float] = {}
         # Prompt tokens of this node's requests that have not begun to produce a response.
         self.prompts: dict[str, int] = {}
 
-    def begin_life(self, now: float) -> None:
+    def reset_for_restart(self, now: float) -> None:
         """Drop the state of the process that ended; its requests in flight fail by themselves."""
-        self.began_at = now
+        self.restarted_at = now
         self.report = None
         self.reported_at = -1e9
-        self.came.clear()
+        self.attached_at.clear()
         self.resident = frozenset()
         self.leaving = False
-        self.rest_until = -1e9
+        self.backoff_until = -1e9
         self.shed_until = -1e9
         self.rate = None
         self.turn_at = -1e9
         self.down = False
-        self.coming = ("", -1e9)
-        self.doubted_born = 0
+        self.expected_model = ("", -1e9)
+        self.unverified_start = 0
         self.failures = 0
         self.ejected_until = -1e9
         self.probing = False
@@ -207,27 +207,27 @@
             self._update_attached_at(self.report.adapters, report)
         self.report = report
         self.reported_at = made_at
-        self.load_told = report.running != defaults.LOAD_UNREPORTED
+        self.load_reported = report.running != defaults.LOAD_UNREPORTED
         self.resident = frozenset(model for model, _ in report.resident)
         # Leaving is sticky for one incarnation; only a restart clears it.
         self.leaving = self.leaving or report.leaving
         own = sum(1 for start in self.inflight.values() if start <= made_at)
         own += sum(1 for start, end in self.ended if start <= made_at < end)
         self.ended = [(start, end) for start, end in self.ended if end > made_at]
-        self.others = max(0, report.running + report.queued - own)
+        self.others_inflight = max(0, report.running + report.queued - own)
         return True
 
     def _update_attached_at(self, before: t.Collection[str], report: EndpointReported) -> None:
         """Record when adapters appear in a report, and drop those that no longer do."""
         for adapter in report.adapters:
             if adapter not in before:
-                self.came[adapter] = report.at
-        for adapter in [one for one in self.came if one not in report.adapters]:
-            del self.came[adapter]
+                self.attached_at[adapter] = report.at
+        for adapter in [one for one in self.attached_at if one not in report.adapters]:
+            del self.attached_at[adapter]
 
-    def first_calls(self, now: float) -> list[str]:
+    def recently_attached(self, now: float) -> list[str]:
         """Return the adapters attached so recently that their callers may not have come yet."""
-        return [one for one, at in self.came.items() if now - at < defaults.NEW_ADAPTER_RESERVE_S]
+        return [one for one, at in self.attached_at.items() if now - at < defaults.NEW_ADAPTER_RESERVE_S]
 
     def load(self, now: float) -> float:
         """Estimate the requests running or queued there, per slot (1.0 is full).
@@ -242,11 +242,11 @@
     def _others(self, now: float) -> int:
         # A report without load doesn't count the others' requests. Taken as zero, each such
         # report hid them until all nodes had sent heartbeats again, for a part of every second.
-        if self.peers.at > self.reported_at or not self.load_told:
+        if self.peers.at > self.reported_at or not self.load_reported:
             return self.peers.counts.get(self.name, 0)
         if now - self.reported_at > defaults.REPORT_STALE_S:
             return 0
-        return self.others
+        return self.others_inflight
 
     def slots(self) -> int:
         """Return how many requests the endpoint runs at once."""
@@ -276,9 +276,9 @@
         """Return the prompt tokens of all nodes' requests that are yet to be read there."""
         return self.own_prompts() + self.peers.prompts(self.name)
 
-    def brings(self, model: str, now: float) -> float | None:
+    def expected_in_s(self, model: str, now: float) -> float | None:
         """Return in how many seconds a model's load should end there; None if none is expected."""
-        coming, at = self.coming
+        coming, at = self.expected_model
         if coming != model or now - at > defaults.LOAD_OVERDUE_S:
             return None
         return max(0.0, at - now)
@@ -293,7 +293,7 @@
         """Return the targets whose requests may be sent here: resident models, or the service."""
         return self.resident if self.role == "runner" else frozenset((self.service,))
 
-    def lacks(self, target: str, adapter: str) -> None:
+    def remove_target(self, target: str, adapter: str) -> None:
         """Remove an adapter or model that the report names, but that the endpoint denies."""
         if self.report is None:
             return
@@ -309,37 +309,37 @@
         """Return whether an adapter is attached there."""
         return self.report is not None and adapter in self.report.adapters
 
-    def open_for_work(self, now: float) -> bool:
+    def accepts_work(self, now: float) -> bool:
         """Return whether new requests may be sent there.
 
         Not while it is leaving, gone, ejected, silent or in back-off, nor while a probe after an
         ejection or a back-off is unanswered.
         """
-        if self.leaving or self.gone or self.rests(now) or self.returns(now):
+        if self.leaving or self.gone or self.in_backoff(now) or self.probing_after_backoff(now):
             return False
         if now < self.ejected_until or self.silent(now):
             return False
         # After an ejection a single request is sent as a probe; the others wait for its outcome.
         return not (self.failures >= defaults.EJECT_AFTER_FAILURES and self.probing)
 
-    def rests(self, now: float) -> bool:
+    def in_backoff(self, now: float) -> bool:
         """Return whether a back-off that it requested of this node is in force."""
-        return now < self.rest_until
+        return now < self.backoff_until
 
-    def returns(self, now: float) -> bool:
+    def probing_after_backoff(self, now: float) -> bool:
         """Return whether its back-off has ended and the first request since is unanswered.
 
         A single request probes whether it accepts work again. Sent all at once, the requests
         that wait would cause the overload that the back-off was to prevent.
         """
-        if self.rest_until < 0.0 or self.rests(now):
+        if self.backoff_until < 0.0 or self.in_backoff(now):
             return False
-        return any(start >= self.rest_until for start in self.inflight.values())
+        return any(start >= self.backoff_until for start in self.inflight.values())
 
     def answered(self, sent_at: float) -> None:
         """End the back-off once a request that was sent after its end is responded to."""
-        if sent_at >= self.rest_until:
-            self.rest_until = -1e9
+        if sent_at >= self.backoff_until:
+            self.backoff_until = -1e9
 
     def silent(self, now: float) -> bool:
         """Return whether a model runner has sent nothing on its requests for too long.
@@ -348,7 +348,7 @@
         there are lost for seconds. A service may work on one request for long, so its silence
         is no sign of a failure.
         """
-        if self.role != "runner" or now - self.heard_at < defaults.SILENT_S:
+        if self.role != "runner" or now - self.responded_at < defaults.SILENT_S:
             return False
         return any(now - start >= defaults.SILENT_S for start in self.inflight.values())
 
@@ -356,19 +356,19 @@
         """Eject the endpoint for ``UNREACHED_EJECT_S``, since no connection could be made."""
         self.ejected_until = max(self.ejected_until, now + defaults.UNREACHED_EJECT_S)
 
-    def found_down(self, now: float) -> bool:
+    def mark_down(self, now: float) -> bool:
         """Mark the endpoint as down and eject it briefly, after a refused connection.
 
         The refusal shows that its process has ended.
 
         :return: whether it was not yet known to be down.
         """
-        was_up = self.listens(now)
+        was_up = self.may_listen(now)
         self.down = True
         self.unreached(now)
         return was_up
 
-    def listens(self, now: float) -> bool:
+    def may_listen(self, now: float) -> bool:
         """Return whether a connection may succeed: not found down, or the ejection is over."""
         return not self.down or now >= self.ejected_until
 
@@ -380,7 +380,7 @@
 
     def succeed(self, now: float) -> None:
         """Record a response, and reset the failures."""
-        self.heard_at = now
+        self.responded_at = now
         self.failures = 0
         self.down = False
 
--- a/packages/rookspring-core/src/rookspring_core/witness.py
+++ b/packages/rookspring-core/src/rookspring_core/invariant_checkers.py
@@ -13,26 +13,26 @@
 # Shorter than the handlers keep notices, so that a notice they have dropped is no violation.
 REMEMBERED_S = notices.LEAVING_KEPT_S / 2.0
 # A process, by its endpoint and its start time.
-Life = tuple[str, int]
+ProcessKey = tuple[str, int]
 
 
-class ToldWitness:
+class NoticeChecker:
     """Records which processes told this node that they are leaving or request a back-off."""
 
     def __init__(self) -> None:
-        self._leaving: dict[Life, float] = {}
-        self._rests: dict[Life, float] = {}
+        self._leaving: dict[ProcessKey, float] = {}
+        self._rests: dict[ProcessKey, float] = {}
 
     def note(self, event: "NoticeReceived") -> None:
         """Record an endpoint's notice about itself."""
-        if event.notice.life not in ("", event.endpoint):
+        if event.notice.process_name not in ("", event.endpoint):
             return
         process = (event.endpoint, event.started_ms)
         if event.notice.leaving:
             self._leaving.setdefault(process, event.at)
-        rest_s = event.notice.rest_s
+        rest_s = event.notice.backoff_s
         if event.notice.turned_away and rest_s:
-            until = event.at + min(rest_s, notices.REST_MAX_S)
+            until = event.at + min(rest_s, notices.REQUESTED_BACKOFF_MAX_S)
             self._rests[process] = max(until, self._rests.get(process, until))
         self._bound(event.at)
 
@@ -61,7 +61,7 @@
 RATE_WINDOW_S = 4.0
 
 
-class RateWitness:
+class RateChecker:
     """Counts the turns that an owner grants at an endpoint, independently of the rate limiter."""
 
     def __init__(self) -> None:
--- a/packages/rookspring-core/src/rookspring_core/membership.py
+++ b/packages/rookspring-core/src/rookspring_core/membership.py
@@ -21,13 +21,13 @@
     lost.
     """
 
-    __slots__ = ("heard", "heard_at", "orphaned_at", "sources")
+    __slots__ = ("heard", "heard_at", "source_lost_at", "sources")
 
     def __init__(self, heard: HeartbeatReceived, heard_at: float) -> None:
         self.heard = heard
         self.heard_at = heard_at
         self.sources: set[str] = set()
-        self.orphaned_at = heard.at
+        self.source_lost_at = heard.at
 
     def direct(self, now: float) -> bool:
         """Return whether its own heartbeats reach this node."""
@@ -37,7 +37,7 @@
         """Return whether it counts as live, by its own heartbeats or by another node's report."""
         if self.sources or self.direct(now):
             return True
-        return now - self.orphaned_at <= defaults.PEER_DEAD_S
+        return now - self.source_lost_at <= defaults.PEER_DEAD_S
 
     def age_s(self, now: float) -> float:
         """Return how long the node has run, in seconds."""
@@ -61,7 +61,7 @@
         # Names of nodes whose row changed, the latest last; read by the daemon's ``relay_members``.
         self.changes = ChangeLog()
 
-    def voucher_of(self, name: str) -> str:
+    def reporter_of(self, name: str) -> str:
         """Return the linked node with the latest heartbeat that reports a node as live.
 
         Empty where none does. The latest is chosen since a frozen node stays a source for as long
@@ -93,7 +93,7 @@
         """Return how many other nodes are live."""
         return len(self.peers)
 
-    def hear(self, event: HeartbeatReceived) -> bool:
+    def apply_heartbeat(self, event: HeartbeatReceived) -> bool:
         """Apply a heartbeat.
 
         :return: whether the node is new or restarted as another incarnation.
@@ -119,7 +119,7 @@
         self.changes.add(event.name)
         return fresh
 
-    def hear_rows(self, event: MembersReceived) -> list[str]:
+    def apply_member_rows(self, event: MembersReceived) -> list[str]:
         """Apply a linked node's rows, and add it to the sources of the nodes in them.
 
         :return: the nodes that were removed, since they have no source and no link left.
@@ -142,7 +142,7 @@
                 continue
             peer.sources.discard(event.source)
             if not peer.sources and not peer.direct(event.at):
-                self.lose(name)
+                self.remove(name)
                 lost.append(name)
         return lost
 
@@ -167,7 +167,7 @@
     def _update_most_nodes(self) -> None:
         self.most_nodes = max(self.most_nodes, self.count())
 
-    def lose(self, name: str) -> bool:
+    def remove(self, name: str) -> bool:
         """Remove a node that sends no heartbeats and that no linked node reports as live.
 
         :return: whether it was known.
@@ -189,7 +189,7 @@
         for other in self.peers.values():
             if name in other.sources:
                 other.sources.discard(name)
-                other.orphaned_at = now
+                other.source_lost_at = now
         peer = self.peers.get(name)
         if peer is None:
             return False
@@ -197,7 +197,7 @@
         if peer.sources:
             self.changes.add(name)
             return False
-        return self.lose(name)
+        return self.remove(name)
 
     def expire(self, now: float) -> list[str]:
         """Remove the nodes that have been silent for ``PEER_DEAD_S``, and return their names.
@@ -271,7 +271,7 @@
         """Return whether this node watches the platform for its data centre."""
         return self.name in self.relays(self.data_centre)
 
-    def small(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Return whether there are few enough nodes that each holds a stream to every other."""
         return len(self.listed) <= defaults.MESH_LIMIT
 
@@ -286,7 +286,7 @@
             for row in self.listed.values()
             if row.role == "node" and row.name != self.name and row.state == "live"
         ]
-        if self.small():
+        if self.is_full_mesh():
             return rows
         own = [row for row in rows if row.data_centre == self.data_centre]
         ring = sorted(
--- a/packages/rookspring-core/src/rookspring_core/noticing.py
+++ b/packages/rookspring-core/src/rookspring_core/notice_handlers.py
@@ -28,12 +28,12 @@
 def take_notice(state: NodeState, event: NoticeReceived) -> Effects:
     """Apply the notice in a response's headers."""
     notice = event.notice
-    if notice.life and notice.life != event.endpoint:
+    if notice.process_name and notice.process_name != event.endpoint:
         return _take_other(state, event)
     effects: Effects = []
     if notice.leaving:
         effects += _note_leaving(state, event.endpoint, event.started_ms)
-    if notice.asked_rest_s() > 0.0:
+    if notice.requested_backoff_s() > 0.0:
         effects += _note_rest(state, event, notice)
     effects += _note_rate(state, event)
     if notice.misdirected:
@@ -50,19 +50,19 @@
     asked = state.endpoints.get(event.endpoint)
     if event.notice.misdirected and asked is not None and asked.address == event.address:
         asked.leaving = True
-    other = state.endpoints.get(event.notice.life)
+    other = state.endpoints.get(event.notice.process_name)
     if not event.notice.leaving or other is None or other.address != event.address:
         return []
-    return _note_leaving(state, other.name, born_of(other))
+    return _note_leaving(state, other.name, known_start(other))
 
 
-def born_of(view: EndpointView) -> int:
+def known_start(view: EndpointView) -> int:
     """Return the start time of the process known at an endpoint; 0 if unknown."""
     return view.report.started_ms if view.report is not None else view.born
 
 
 def _note_leaving(state: NodeState, endpoint: str, born: int) -> Effects:
-    added = state.notices.take_leaving((Leaving(endpoint, born, state.now),), state.now)
+    added = state.notices.merge_leaving((Leaving(endpoint, born, state.now),), state.now)
     _restore_view(state, endpoint)
     if not added:
         return []
@@ -76,28 +76,28 @@
     It is not shared, since every node reads the list. The record is kept beyond the entry, which
     may lapse and be written again.
     """
-    state.notices.take_leaving((Leaving(endpoint, born, state.now),), state.now)
+    state.notices.merge_leaving((Leaving(endpoint, born, state.now),), state.now)
     view = state.endpoints.get(endpoint)
     if view is not None:
         view.leaving = True
 
 
 def _note_rest(state: NodeState, event: NoticeReceived, notice: Notice) -> Effects:
-    backoff_s = notice.asked_rest_s()
-    state.notices.take_rest(event.endpoint, event.started_ms, state.now + backoff_s)
+    backoff_s = notice.requested_backoff_s()
+    state.notices.add_backoff(event.endpoint, event.started_ms, state.now + backoff_s)
     _restore_view(state, event.endpoint)
-    given = "no time given" if notice.rest_s is None else f"{notice.rest_s:g} s requested"
+    given = "no time given" if notice.backoff_s is None else f"{notice.backoff_s:g} s requested"
     state.record(event.endpoint, f"back-off of {backoff_s:.2f} s", f"it refused a request; {given}")
-    return _share_shed(state, event.endpoint, min(backoff_s, notices.SHED_TOLD_S))
+    return _share_shed(state, event.endpoint, min(backoff_s, notices.SHED_MAX_S))
 
 
-def says_anything(state: NodeState, endpoint: str, notice: Notice) -> bool:
+def has_news(state: NodeState, endpoint: str, notice: Notice) -> bool:
     """Return whether a response's headers state anything about its endpoint.
 
     The absence of a rate counts, if the endpoint stated one before.
     """
     view = state.endpoints.get(endpoint)
-    return not notice.says_nothing() or (view is not None and view.rate is not None)
+    return not notice.is_empty() or (view is not None and view.rate is not None)
 
 
 def _note_rate(state: NodeState, event: NoticeReceived) -> Effects:
@@ -125,7 +125,7 @@
 
 
 @handles(RatesReceived)
-def hear_rates(state: NodeState, event: RatesReceived) -> Effects:
+def handle_rates(state: NodeState, event: RatesReceived) -> Effects:
     """Merge endpoints' rates from another node, and forward those that are new here."""
     merged = state.rates.merge(event.rows, state.now)
     _mark_rates(state, merged.news, f"{event.source} reported it")
@@ -150,45 +150,49 @@
 def _note_missing_target(state: NodeState, event: NoticeReceived) -> None:
     """Remove a target from the view of an endpoint that has just stated that it lacks it."""
     view = state.endpoints.get(event.endpoint)
-    if view is None or not event.target or not notices.same_life(event.started_ms, born_of(view)):
+    if (
+        view is None
+        or not event.target
+        or not notices.may_be_same_process(event.started_ms, known_start(view))
+    ):
         return
     before = view.targets()
-    view.lacks(event.target, event.adapter)
+    view.remove_target(event.target, event.adapter)
     state.index(view, before, view.targets())
 
 
 def _restore_view(state: NodeState, endpoint: str) -> None:
     view = state.endpoints.get(endpoint)
     if view is not None:
-        recall(state, view)
+        restore_notices(state, view)
 
 
-def recall(state: NodeState, view: EndpointView) -> None:
+def restore_notices(state: NodeState, view: EndpointView) -> None:
     """Restore the notices of an endpoint's process to its view, when either of them is new."""
-    born = born_of(view)
-    view.leaving = view.leaving or state.notices.leaves(view.name, born)
+    born = known_start(view)
+    view.leaving = view.leaving or state.notices.is_leaving(view.name, born)
     view.rate = state.rates.rate_of(view.name, born)
-    until = state.notices.rests_until(view.name, born)
+    until = state.notices.backoff_end(view.name, born)
     if until > state.now:
-        view.rest_until = until
+        view.backoff_until = until
 
 
 @handles(ShedReceived)
-def hear_shed(state: NodeState, event: ShedReceived) -> Effects:
+def handle_shed(state: NodeState, event: ShedReceived) -> Effects:
     """Add to the load estimate of an endpoint that refused another node's request.
 
     The back-off binds only that node, so this one may still send requests there.
     """
     view = state.endpoints.get(event.endpoint)
     if view is not None:
-        view.shed_until = max(view.shed_until, event.at + min(event.for_s, notices.SHED_TOLD_S))
+        view.shed_until = max(view.shed_until, event.at + min(event.for_s, notices.SHED_MAX_S))
     return []
 
 
 @handles(LeavingReceived)
-def hear_leaving(state: NodeState, event: LeavingReceived) -> Effects:
+def handle_leaving(state: NodeState, event: LeavingReceived) -> Effects:
     """Merge leaving processes from another node, and forward those that are new here."""
-    added = state.notices.take_leaving(event.rows, state.now)
+    added = state.notices.merge_leaving(event.rows, state.now)
     if not added:
         return []
     for one in added:
@@ -208,4 +212,4 @@
         return "it is gone"
     if view.leaving:
         return "it leaves"
-    return "it rests" if view.rests(state.now) else ""
+    return "it rests" if view.in_backoff(state.now) else ""
--- a/packages/rookspring-core/src/rookspring_core/notices.py
+++ b/packages/rookspring-core/src/rookspring_core/notices.py
@@ -22,15 +22,15 @@
 NOTICES_MAX = 10_000
 # The longest back-off that is honoured. The specification sets no limit; a longer value is most
 # likely in the wrong unit, and would keep this node from using the endpoint for good.
-REST_MAX_S = 3600.0
+REQUESTED_BACKOFF_MAX_S = 3600.0
 # The back-off after a refusal that gives no time. An endpoint that sheds load looks empty, and
 # would be chosen again at once.
-REST_UNTOLD_S = 0.25
+REQUESTED_BACKOFF_DEFAULT_S = 0.25
 # What a node adds to the load estimate of an endpoint that refused another node's request, as a
 # share of its slots, and for how long at most. A back-off binds only the node that it was sent
 # to; the others merely prefer endpoints that have not shed load.
 SHED_LOAD = 0.5
-SHED_TOLD_S = 3.0
+SHED_MAX_S = 3.0
 
 
 class Notice(t.NamedTuple):
@@ -48,27 +48,31 @@
     :param malformed: a header that can't be parsed, with its value.
     """
 
-    life: str = ""
+    process_name: str = ""
     leaving: bool = False
     turned_away: bool = False
-    rest_s: float | None = None
+    backoff_s: float | None = None
     misdirected: bool = False
     rate: float | None = None
     names_rate: bool = False
     malformed: str = ""
 
-    def says_nothing(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether the headers state nothing about the endpoint except for its name."""
-        return self._replace(life="") == NOTHING
+        return self._replace(process_name="") == EMPTY_NOTICE
 
-    def asked_rest_s(self) -> float:
+    def requested_backoff_s(self) -> float:
         """Return how long this node is to send it nothing, in seconds; 0 for no back-off."""
         if not self.turned_away:
             return 0.0
-        return REST_UNTOLD_S if self.rest_s is None else min(self.rest_s, REST_MAX_S)
+        return (
+            REQUESTED_BACKOFF_DEFAULT_S
+            if self.backoff_s is None
+            else min(self.backoff_s, REQUESTED_BACKOFF_MAX_S)
+        )
 
 
-NOTHING = Notice()
+EMPTY_NOTICE = Notice()
 
 
 class Leaving(t.NamedTuple):
@@ -83,14 +87,14 @@
     at: float
 
 
-class Rest(t.NamedTuple):
+class RequestedBackoff(t.NamedTuple):
     """A back-off that a process requested of this node, and its end by this node's clock."""
 
     born: int
     until: float
 
 
-def same_life(born: int, other: int) -> bool:
+def may_be_same_process(born: int, other: int) -> bool:
     """Return whether two start times may be of one process; an unknown one (0) fits any."""
     return born == other or 0 in (born, other)
 
@@ -104,14 +108,14 @@
 
     def __init__(self) -> None:
         self._leaving: dict[str, Leaving] = {}
-        self._rests: dict[str, Rest] = {}
+        self._backoffs: dict[str, RequestedBackoff] = {}
         # Current processes whose start time is earlier than their predecessor's; see
         # :mod:`restarts`.
         self._verified_starts: dict[str, int] = {}
         self._expired_at = -1e9
         self._digest: int | None = None
 
-    def take_leaving(self, rows: t.Iterable[Leaving], now: float) -> tuple[Leaving, ...]:
+    def merge_leaving(self, rows: t.Iterable[Leaving], now: float) -> tuple[Leaving, ...]:
         """Merge leaving processes, and return those that were not known yet."""
         added = tuple(one for one in rows if self._merge_one(one, now))
         if added:
@@ -131,15 +135,15 @@
         _bound(self._leaving)
         return True
 
-    def take_rest(self, endpoint: str, born: int, until: float) -> None:
+    def add_backoff(self, endpoint: str, born: int, until: float) -> None:
         """Record a process's back-off; of several, the one that ends last holds."""
-        known = self._rests.get(endpoint)
-        if known is not None and same_life(known.born, born):
+        known = self._backoffs.get(endpoint)
+        if known is not None and may_be_same_process(known.born, born):
             until = max(until, known.until)
-        self._rests[endpoint] = Rest(born, until)
-        _bound(self._rests)
+        self._backoffs[endpoint] = RequestedBackoff(born, until)
+        _bound(self._backoffs)
 
-    def begin(self, endpoint: str, born: int, sure: bool) -> None:
+    def note_restart(self, endpoint: str, born: int, sure: bool) -> None:
         """Drop the notices of earlier processes of an endpoint that has restarted.
 
         :param sure: the process is the current one, even if its start time is earlier.
@@ -151,17 +155,17 @@
         if known is not None and known.born != born:
             del self._leaving[endpoint]
             self._digest = None
-        self._rests.pop(endpoint, None)
+        self._backoffs.pop(endpoint, None)
 
-    def leaves(self, endpoint: str, born: int) -> bool:
+    def is_leaving(self, endpoint: str, born: int) -> bool:
         """Return whether a process, or a later one of its endpoint, is known to be leaving."""
         known = self._leaving.get(endpoint)
-        return known is not None and (same_life(known.born, born) or known.born > born)
+        return known is not None and (may_be_same_process(known.born, born) or known.born > born)
 
-    def rests_until(self, endpoint: str, born: int) -> float:
+    def backoff_end(self, endpoint: str, born: int) -> float:
         """Return when a process's back-off ends; a time in the distant past if it has none."""
-        known = self._rests.get(endpoint)
-        return known.until if known is not None and same_life(known.born, born) else -1e9
+        known = self._backoffs.get(endpoint)
+        return known.until if known is not None and may_be_same_process(known.born, born) else -1e9
 
     def tick(self, now: float, there: t.Container[str]) -> None:
         """Remove what has expired, every ``EXPIRE_EVERY_S``.
@@ -173,7 +177,7 @@
         if now - self._expired_at < defaults.EXPIRE_EVERY_S:
             return
         self._expired_at = now
-        self._rests = {name: one for name, one in self._rests.items() if one.until > now}
+        self._backoffs = {name: one for name, one in self._backoffs.items() if one.until > now}
         outdated = [
             name
             for name, one in self._leaving.items()
@@ -183,7 +187,7 @@
             del self._leaving[name]
         self._digest = None
 
-    def whole(self, now: float) -> tuple[Leaving, ...]:
+    def list_leaving(self, now: float) -> tuple[Leaving, ...]:
         """List the leaving processes that other nodes are to know of."""
         return tuple(one for one in self._leaving.values() if now - one.at <= LEAVING_KEPT_S)
 
@@ -191,7 +195,7 @@
         """Return a hash that is equal on nodes that know the same leaving processes."""
         if self._digest is None:
             combined = 0
-            for one in self.whole(now):
+            for one in self.list_leaving(now):
                 combined ^= stable_hash("leaving", f"{one.endpoint}/{one.born}")
             self._digest = combined
         return self._digest
--- a/packages/rookspring-core/src/rookspring_core/orders.py
+++ b/packages/rookspring-core/src/rookspring_core/orders.py
@@ -33,7 +33,7 @@
         and view.report is not None
         and view.report.order_token[1] >= 0
         and not view.report.loading
-        and view.open_for_work(state.now)
+        and view.accepts_work(state.now)
     )
 
 
--- a/packages/rookspring-core/src/rookspring_core/planning.py
+++ b/packages/rookspring-core/src/rookspring_core/planning.py
@@ -203,7 +203,7 @@
         since = min(account.withdrawn[name] for name in account.withdrawn_models())
         left_s = since + state.paces.longest_s + defaults.RUNNER_BUSY_S - state.now
         return left_s if left_s > 0 else math.inf
-    if order is None or order.lost or view.report is None or not view.open_for_work(state.now):
+    if order is None or order.lost or view.report is None or not view.accepts_work(state.now):
         return math.inf
     length_s = order.length_s or defaults.UNLOAD_S
     left_s = order.sent_at + length_s + defaults.RUNNER_BUSY_S - state.now
@@ -240,7 +240,7 @@
     others = [
         one
         for one in state.hosts.get(model, {}).values()
-        if one.name != view.name and one.service == view.service and one.open_for_work(state.now)
+        if one.name != view.name and one.service == view.service and one.accepts_work(state.now)
     ]
     if not others and model in engine.models and not move.last:
         state.record(view.name, f"cannot unload {model}", "no other open endpoint holds it")
--- a/packages/rookspring-core/src/rookspring_core/recovering.py
+++ b/packages/rookspring-core/src/rookspring_core/recovering.py
@@ -10,7 +10,7 @@
 from . import requests
 from . import routed
 from . import slotting
-from . import suspecting
+from . import suspect_handlers
 from .effects import AttachStream
 from .effects import Effect
 from .effects import ShareDown
@@ -69,7 +69,7 @@
     request.attempt_not_run = event.reported_not_run
     effects = routed.end_prompt(state, request)
     effects += slotting.free(state, request, failed=True, unsent=not event.sent)
-    effects += suspecting.note_broken(state, request, event)
+    effects += suspect_handlers.note_broken(state, request, event)
     effects += _count_failure(state, request, event)
     request.running = False
     terms = request.arrived.route
@@ -91,17 +91,17 @@
     if endpoint is None:
         return []
     endpoint.end(request.arrived.request_id, state.now)
-    if request.dispatched_at < endpoint.began_at:
+    if request.dispatched_at < endpoint.restarted_at:
         # The attempt ended with an earlier process, so it does not count against this one.
         return []
     if event.withheld or (event.reported_not_run and endpoint.leaving):
-        # The endpoint's own notice was processed before this event; see :mod:`noticing`.
+        # The endpoint's own notice was processed before this event; see :mod:`notice_handlers`.
         return []
     if event.reported_not_run:
-        endpoint.heard_at = state.now
+        endpoint.responded_at = state.now
     else:
         endpoint.fail(state.now)
-    if event.down and endpoint.found_down(state.now):
+    if event.down and endpoint.mark_down(state.now):
         return [ShareDown(endpoint.name)]
     if not event.sent:
         endpoint.unreached(state.now)
--- a/packages/rookspring-core/src/rookspring_core/request_rates.py
+++ b/packages/rookspring-core/src/rookspring_core/request_rates.py
@@ -16,7 +16,7 @@
 from .hashing import stable_hash
 from .notices import LEAVING_KEPT_S
 from .notices import NOTICES_MAX
-from .notices import same_life
+from .notices import may_be_same_process
 
 
 # Lower limits are raised to this: an endpoint that accepts none gets one request in 10 s, whose
@@ -60,7 +60,7 @@
 
     def __init__(self) -> None:
         self._known: dict[str, _Known] = {}
-        # Latest incarnations that report an earlier start than previous ones; see :mod:`lives`.
+        # Latest incarnations that report an earlier start than previous ones; see :mod:`restarts`.
         self._confirmed: dict[str, int] = {}
         self._expired_at = -1e9
         self._digest: int | None = None
@@ -133,7 +133,7 @@
 
     def _of_incarnation(self, endpoint: str, born: int) -> _Known | None:
         known = self._known.get(endpoint)
-        return known if known is not None and same_life(known.record.born, born) else None
+        return known if known is not None and may_be_same_process(known.record.born, born) else None
 
     def rate_of(self, endpoint: str, born: int) -> float | None:
         """Return the rate limit of an incarnation, in requests a second; None if it has none."""
--- a/packages/rookspring-core/src/rookspring_core/requests.py
+++ b/packages/rookspring-core/src/rookspring_core/requests.py
@@ -11,7 +11,7 @@
 from . import routed
 from . import routing
 from . import slotting
-from . import suspecting
+from . import suspect_handlers
 from .effects import Cancel
 from .effects import Dispatch
 from .effects import Effect
@@ -114,17 +114,19 @@
         heapq.heappush(heads, (head.order, target))
 
 
-def find_fault(state: NodeState, request: RequestState) -> suspecting.Barred | None:
+def find_fault(state: NodeState, request: RequestState) -> suspect_handlers.Quarantine | None:
     """Return why a request that was admitted may not be sent now; None where it may."""
     arrived = request.arrived
     fault = keys.find_fault(state, arrived)
     if fault is not None:
         after_s = defaults.RETRY_AFTER_UNPROVED_S if fault.status == 503 else 0.0
-        return suspecting.Barred(fault.status, fault.reason, fault.text, after_s)
-    return suspecting.find_bar(state, arrived)
+        return suspect_handlers.Quarantine(fault.status, fault.reason, fault.text, after_s)
+    return suspect_handlers.find_quarantine(state, arrived)
 
 
-def end_barred(state: NodeState, request: RequestState, bar: suspecting.Barred) -> Effects:
+def end_barred(
+    state: NodeState, request: RequestState, bar: suspect_handlers.Quarantine
+) -> Effects:
     """End a request that may not be sent now."""
     status = 502 if request.sent else bar.status
     return give_up(state, request, status, bar.reason, bar.text, bar.after_s)
@@ -144,7 +146,7 @@
     candidates = [
         view
         for view in state.hosts.get(arrived.target, {}).values()
-        if view.open_for_work(state.now)
+        if view.accepts_work(state.now)
         and view.serves(arrived.target, arrived.service)
         and (not state.admission_on or view.load(state.now) < 1.0)
     ]
@@ -175,7 +177,7 @@
         adapter=arrived.adapter,
         data_centre=state.identity.data_centre,
     )
-    if suspecting.suspected(state, request):
+    if suspect_handlers.is_suspect(state, request):
         return min(usable, key=lambda view: (view.load(state.now), view.name))
     name = state.routing_override or state.catalogue.policy.routing
     if arrived.route is not None:
@@ -195,7 +197,7 @@
     request.running = True
     request.dispatched_at = state.now
     request.permits_due = {}
-    request.endpoint_started_ms = suspecting.life_of(endpoint).born
+    request.endpoint_started_ms = suspect_handlers.process_of(endpoint).born
     request.first_event_at = None
     idle = endpoint.load(state.now) <= defaults.PACE_LOAD_MAX
     request.endpoint_was_idle = idle and endpoint.unread() == 0
@@ -209,7 +211,7 @@
     elif request.attempt > 1 and (request.delivered == 0 or request.attempts_without_token > 1):
         failed = request.attempts_without_token or request.attempt - 1
         wait_s = retries.back_off(failed, routing.stable_hash(identity))
-    effects = suspecting.begin_trial(state, request)
+    effects = suspect_handlers.begin_trial(state, request)
     sent = Dispatch(identity, request.attempt, endpoint.name, request.delivered, state.now + wait_s)
     return [*effects, sent]
 
@@ -246,7 +248,7 @@
             state.now if request.first_event_at is None else request.first_event_at
         )
         if (endpoint := state.endpoints.get(request.endpoint)) is not None:
-            endpoint.heard_at = state.now
+            endpoint.responded_at = state.now
             endpoint.answered(request.dispatched_at)
         if request.delivered == event.tokens and request.endpoint_was_idle:
             took_s = state.now - request.dispatched_at
@@ -272,7 +274,7 @@
     if not request.arrived.service:
         state.paces.note_whole(state.now - request.dispatched_at)
     state.retry_budget.earn()
-    effects = suspecting.note_well(state, request)
+    effects = suspect_handlers.clear_suspect(state, request)
     key = request.arrived.once_key
     if key is not None:
         for waiter in state.once.settle(key, "ran", event.status, event.answer):
@@ -377,7 +379,7 @@
     effects: Effects = []
     if not request.sent and not request.running:
         effects += allotting.give_back(state, request.charge)
-    suspecting.note_left(state, request)
+    suspect_handlers.note_left(state, request)
     if request.running:
         effects.append(Cancel(event.request_id, request.attempt, request.endpoint))
     key = request.arrived.once_key
--- a/packages/rookspring-core/src/rookspring_core/residency.py
+++ b/packages/rookspring-core/src/rookspring_core/residency.py
@@ -93,7 +93,7 @@
         if view.role != "runner" or view.gone or view.leaving:
             continue
         account = residency.rooms.setdefault(name, Room())
-        if not view.rests(state.now) and _report_due(state, view, account):
+        if not view.in_backoff(state.now) and _report_due(state, view, account):
             account.asked_at = state.now
             effects.append(ReadReport(name, 0.0))
     for name in [name for name in residency.rooms if name not in state.endpoints]:
@@ -302,7 +302,7 @@
     view = state.endpoints.get(endpoint)
     if order.action != "load" or view is None:
         return []
-    view.coming = (order.model, order.ends_at())
+    view.expected_model = (order.model, order.ends_at())
     return [ShareLoading(endpoint, order.model, max(0.0, order.ends_at() - state.now))]
 
 
--- a/packages/rookspring-core/src/rookspring_core/lives.py
+++ b/packages/rookspring-core/src/rookspring_core/restarts.py
@@ -24,10 +24,10 @@
 from .state import NodeState
 
 
-Life = t.Literal["same", "new", "old"]
+StartOrder = t.Literal["same", "new", "old"]
 
 
-def judge(known: EndpointReported | None, event: EndpointReported) -> Life:
+def compare_starts(known: EndpointReported | None, event: EndpointReported) -> StartOrder:
     """Return whether a report is of the known process of its endpoint, a newer or an older one.
 
     A report without a start time counts as one of the known process.
@@ -44,7 +44,7 @@
     return "old"
 
 
-def doubt(
+def verify_earlier_start(
     state: NodeState, view: EndpointView, event: EndpointReported
 ) -> tuple[EndpointReported, list[Effect]]:
     """Verify a report whose start time is earlier than the known one.
@@ -55,10 +55,10 @@
     :return: the report, with ``sure`` set if it is verified, and the reads to make.
     """
     room = state.residency.rooms.get(view.name)
-    if event.polled and view.doubted_born == event.started_ms:
+    if event.polled and view.unverified_start == event.started_ms:
         return event._replace(start_confirmed=True), []
     if event.polled:
-        view.doubted_born = event.started_ms
+        view.unverified_start = event.started_ms
     since_asked_s = state.now - room.asked_at if room is not None else 0.0
     if room is None or not (event.polled or since_asked_s >= defaults.RESTART_CHECK_S):
         return event, []
@@ -66,20 +66,20 @@
     return event, [ReadReport(view.name, defaults.RESTART_CHECK_S if event.polled else 0.0)]
 
 
-def begin(state: NodeState, view: EndpointView, event: EndpointReported) -> None:
+def reset_endpoint(state: NodeState, view: EndpointView, event: EndpointReported) -> None:
     """Drop everything known of an endpoint's earlier process."""
-    view.begin_life(state.now)
-    state.notices.begin(view.name, event.started_ms, event.start_confirmed)
+    view.reset_for_restart(state.now)
+    state.notices.note_restart(view.name, event.started_ms, event.start_confirmed)
     state.rates.begin(view.name, event.started_ms, event.start_confirmed)
     room = state.residency.rooms.get(view.name)
     if room is not None:
-        state.residency.rooms[view.name] = _begin_room(room)
+        state.residency.rooms[view.name] = _reset_room(room)
     state.record(
         view.name, f"restarted at {event.started_ms}", "it was restarted under its name"
     )
 
 
-def _begin_room(previous: Room) -> Room:
+def _reset_room(previous: Room) -> Room:
     """Return an empty account of memory and orders for a new process.
 
     An order to the earlier process names only the endpoint, whose name is unchanged, and an
--- a/packages/rookspring-core/src/rookspring_core/routed.py
+++ b/packages/rookspring-core/src/rookspring_core/routed.py
@@ -115,7 +115,7 @@
     coming = [
         in_s
         for view in state.endpoints.values()
-        if view.service == service and (in_s := view.brings(model, state.now)) is not None
+        if view.service == service and (in_s := view.expected_in_s(model, state.now)) is not None
     ]
     if coming:
         return min(coming) + defaults.LOAD_REPORT_DELAY_S
@@ -125,7 +125,7 @@
     times = [
         load_time_s(size, view.report)
         for view in state.endpoints.values()
-        if view.service == service and view.report is not None and view.open_for_work(state.now)
+        if view.service == service and view.report is not None and view.accepts_work(state.now)
     ]
     return defaults.SWAP_S + min(times, default=math.inf)
 
@@ -160,7 +160,7 @@
     if arrived.adapter:
         holding = [view for view in holding if view.has_adapter(arrived.adapter)]
     usable = [view for view in holding if _is_usable(state, view) and not _spared(state, view)]
-    ready = [view for view in usable if view.open_for_work(state.now)] or usable
+    ready = [view for view in usable if view.accepts_work(state.now)] or usable
     reserved = {view.name: _kept_slots(state, view, arrived) for view in ready}
     ready = [
         view for view in ready if view.load(state.now) < 1.0 - reserved[view.name] / view.slots()
@@ -179,7 +179,7 @@
     Each adapter that has just been attached gets a reserved slot. Otherwise requests for
     busier adapters took all slots, and the callers it was attached for were not served.
     """
-    adapters = endpoint.first_calls(state.now)
+    adapters = endpoint.recently_attached(state.now)
     if not adapters or arrived.adapter in adapters:
         return 0
     return min(len(adapters), int(endpoint.slots() * defaults.NEW_ADAPTER_RESERVE_SHARE))
@@ -191,7 +191,7 @@
     An ejected one may, if there is no other. A crashed one may not, since each attempt would
     be spent on a refused connection.
     """
-    return not endpoint.leaving and not endpoint.gone and endpoint.listens(state.now)
+    return not endpoint.leaving and not endpoint.gone and endpoint.may_listen(state.now)
 
 
 def _spared(state: NodeState, endpoint: EndpointView) -> bool:
@@ -199,7 +199,7 @@
 
     An endpoint that rejects requests at once has the lowest load, and would attract them all.
     """
-    return endpoint.rests(state.now) or endpoint.returns(state.now)
+    return endpoint.in_backoff(state.now) or endpoint.probing_after_backoff(state.now)
 
 
 def _with_turns(
@@ -249,7 +249,7 @@
     """
     assert arrived.route is not None
     ends = [
-        view.rest_until
+        view.backoff_until
         for view in state.hosts.get(arrived.target, {}).values()
         if view.service == arrived.route.service and not view.leaving and not view.gone
     ]
@@ -348,7 +348,7 @@
     if all_rated(state, arrived):
         rate = sum(view.rate or 0.0 for view in hosts)
         return "no_turn", f"all {len(hosts)} endpoints that hold it take {rate:g} requests a second"
-    ready = [view for view in fitting if view.open_for_work(state.now)]
+    ready = [view for view in fitting if view.accepts_work(state.now)]
     if not ready:
         return "none_open", f"none of {len(fitting)} endpoints that hold it takes work"
     least = min(ready, key=lambda view: view.load(state.now))
--- a/packages/rookspring-core/src/rookspring_core/slot_queues.py
+++ b/packages/rookspring-core/src/rookspring_core/slot_queues.py
@@ -20,8 +20,8 @@
 import itertools
 import typing as t
 from . import defaults
+from .invariant_checkers import RateChecker
 from .rate_buckets import RateBucket
-from .witness import RateWitness
 
 
 
@@ -109,7 +109,7 @@
         # None unless the endpoint has a rate limit.
         self.bucket: RateBucket | None = None
         # For the invariant check on the rate of all grants.
-        self.witness = RateWitness()
+        self.witness = RateChecker()
 
     def record_run(self, took_s: float) -> None:
         self.run_s += (took_s - self.run_s) * defaults.SLOT_RUN_GAIN
--- a/packages/rookspring-core/src/rookspring_core/state.py
+++ b/packages/rookspring-core/src/rookspring_core/state.py
@@ -9,10 +9,11 @@
 from .catalogue import Catalogue
 from .control import ControlState
 from .endpoints import EndpointView
-from .endpoints import PeersWork
+from .endpoints import PeerLoad
 from .events import RequestArrived
 from .freshness import Freshness
 from .freshness import ProofTerms
+from .invariant_checkers import NoticeChecker
 from .limits import LimitTable
 from .membership import Membership
 from .notices import NoticeTable
@@ -28,7 +29,6 @@
 from .slot_queues import SlotQueue
 from .suspects import SuspectTable
 from .topology import Topology
-from .witness import ToldWitness
 
 
 
@@ -179,7 +179,7 @@
         self.retry_window_terms = WindowTerms()
         self.endpoints: dict[str, EndpointView] = {}
         self.hosts: dict[str, dict[str, EndpointView]] = {}
-        self.peers_work = PeersWork()
+        self.peers_work = PeerLoad()
         self.paces = PaceTable()
         self.suspects = SuspectTable()
         self.notices = NoticeTable()
@@ -220,7 +220,7 @@
         self.hurry = False
         self.stopped = False
         self.sent_witness: set[str] = set()
-        self.notice_witness = ToldWitness()
+        self.notice_witness = NoticeChecker()
         self.decisions: list[Decision] = []
         self.full_checks = False
         self.admission_on = True
--- a/packages/rookspring-core/src/rookspring_core/suspecting.py
+++ b/packages/rookspring-core/src/rookspring_core/suspect_handlers.py
@@ -19,9 +19,9 @@
 from .state import NodeState
 from .state import RequestState
 from .suspects import Cleared
+from .suspects import CrashRecord
+from .suspects import EndpointProcess
 from .suspects import Evidence
-from .suspects import Life
-from .suspects import Sighting
 from .suspects import Trial
 
 
@@ -31,7 +31,7 @@
 BORN_MAX = 1 << 31
 
 
-class Barred(t.NamedTuple):
+class Quarantine(t.NamedTuple):
     """Why a suspect may not be sent to an endpoint now.
 
     :param after_s: when the caller may retry, in seconds; 0 if it should not.
@@ -43,7 +43,7 @@
     after_s: float = 0.0
 
 
-def find_bar(state: NodeState, arrived: RequestArrived) -> Barred | None:
+def find_quarantine(state: NodeState, arrived: RequestArrived) -> Quarantine | None:
     """Return why a request may not be sent now; None if it may.
 
     A request whose evidence has reached ``CRASHES_MAX`` crashes is refused until its verdict expires,
@@ -61,20 +61,20 @@
             "endpoints ended each time that this request ran; it has not run now, and will not "
             f"be run again for {left_s:.0f} s"
         )
-        return Barred(503, "ends_endpoints", text)
-    if table.ends(arrived.fingerprint) < defaults.SUSPECT_CRASHES:
+        return Quarantine(503, "ends_endpoints", text)
+    if table.crash_score(arrived.fingerprint) < defaults.SUSPECT_CRASHES:
         return None
-    free_at = table.last_at(arrived.fingerprint) + defaults.SUSPECT_RETRY_S
-    free_at = max(free_at, table.tried_until(arrived.fingerprint))
+    free_at = table.last_crash_at(arrived.fingerprint) + defaults.SUSPECT_RETRY_S
+    free_at = max(free_at, table.trial_until(arrived.fingerprint))
     if free_at <= state.now:
         return None
     text = "endpoints ended twice while this request ran; it may be tried again in a while"
-    return Barred(503, "suspected", text, free_at - state.now)
+    return Quarantine(503, "suspected", text, free_at - state.now)
 
 
-def check(state: NodeState, arrived: RequestArrived) -> Refuse | None:
+def refuse_quarantined(state: NodeState, arrived: RequestArrived) -> Refuse | None:
     """Return the refusal of a request that may not be sent now; None if it may."""
-    quarantine = find_bar(state, arrived)
+    quarantine = find_quarantine(state, arrived)
     if quarantine is None:
         return None
     identity = arrived.request_id
@@ -85,30 +85,30 @@
         quarantine.reason,
         "not_run",
         quarantine.text,
-        come_back(arrived, quarantine),
+        spread_retry_s(arrived, quarantine),
     )
 
 
-def come_back(arrived: RequestArrived, quarantine: Barred) -> float:
+def spread_retry_s(arrived: RequestArrived, quarantine: Quarantine) -> float:
     """Return when a refused suspect may be retried, spread by request; 0 if it should not be."""
     spread = stable_hash("suspected", arrived.request_id) % 1000 / 1000.0
     return quarantine.after_s * (1.0 + spread)
 
 
-def suspected(state: NodeState, request: RequestState) -> bool:
+def is_suspect(state: NodeState, request: RequestState) -> bool:
     """Return whether a request is a suspect of ``SUSPECT_ENDS`` crashes or more.
 
     Such a request is run where a crash would lose the fewest others.
     """
-    return state.suspects.ends(request.arrived.fingerprint) >= defaults.SUSPECT_CRASHES
+    return state.suspects.crash_score(request.arrived.fingerprint) >= defaults.SUSPECT_CRASHES
 
 
 def begin_trial(state: NodeState, request: RequestState) -> Effects:
     """Tell all nodes that a suspect is being run, so that no other node runs it meanwhile."""
-    if not suspected(state, request):
+    if not is_suspect(state, request):
         return []
     trial = Trial(request.arrived.fingerprint, state.now + defaults.TRIAL_S)
-    return _tell(state, Evidence(trials=(trial,)))
+    return _merge_and_share(state, Evidence(trials=(trial,)))
 
 
 def note_broken(state: NodeState, request: RequestState, event: AttemptFailed) -> Effects:
@@ -126,68 +126,70 @@
         state.suspects.end_trial(fingerprint)
     if endpoint is None or endpoint.leaving or endpoint.gone:
         return []
-    process = Life(request.endpoint, request.endpoint_started_ms)
+    process = EndpointProcess(request.endpoint, request.endpoint_started_ms)
     effects: Effects = []
     if event.broken and fingerprint:
-        record = _sight(state, request, process)
-        effects += _tell(state, Evidence(tuple(state.suspects.note_broken(record))))
+        record = _record_crash(state, request, process)
+        effects += _merge_and_share(state, Evidence(tuple(state.suspects.note_broken(record))))
     if event.down:
-        effects += _end(state, process)
+        effects += _note_process_end(state, process)
     return effects
 
 
 def note_left(state: NodeState, request: RequestState) -> None:
     """Record a running request whose caller left, since its endpoint may be about to crash."""
     if request.arrived.fingerprint and request.running and request.sent:
-        process = Life(request.endpoint, request.endpoint_started_ms)
-        state.suspects.note_left(_sight(state, request, process))
+        process = EndpointProcess(request.endpoint, request.endpoint_started_ms)
+        state.suspects.note_left(_record_crash(state, request, process))
 
 
-def _sight(state: NodeState, request: RequestState, process: Life) -> Sighting:
+def _record_crash(state: NodeState, request: RequestState, process: EndpointProcess) -> CrashRecord:
     arrived = request.arrived
     answered_s = state.now - request.first_event_at if request.first_event_at is not None else 0.0
     early = answered_s < defaults.LONG_RUN_S
-    return Sighting(arrived.fingerprint, arrived.team, process, state.now, early)
+    return CrashRecord(arrived.fingerprint, arrived.team, process, state.now, early)
 
 
 def note_ended(state: NodeState, view: EndpointView) -> Effects:
     """Record that the process known at an endpoint has ended, unless it was leaving."""
     if view.leaving:
         return []
-    return _end(state, life_of(view))
+    return _note_process_end(state, process_of(view))
 
 
-def life_of(view: EndpointView) -> Life:
+def process_of(view: EndpointView) -> EndpointProcess:
     """Return the process known at an endpoint, by its start time or else its incarnation."""
     report = view.report
     if report is None:
-        return Life(view.name, 0)
-    return Life(view.name, report.started_ms or stable_hash("life", report.incarnation) % BORN_MAX)
+        return EndpointProcess(view.name, 0)
+    return EndpointProcess(view.name, report.started_ms or stable_hash("life", report.incarnation) % BORN_MAX)
 
 
-def _end(state: NodeState, process: Life) -> Effects:
-    return _tell(state, Evidence(tuple(state.suspects.note_ended(process, state.now))))
+def _note_process_end(state: NodeState, process: EndpointProcess) -> Effects:
+    return _merge_and_share(state, Evidence(tuple(state.suspects.note_ended(process, state.now))))
 
 
-def note_well(state: NodeState, request: RequestState) -> Effects:
+def clear_suspect(state: NodeState, request: RequestState) -> Effects:
     """Clear a request that succeeded, if it was a suspect."""
     fingerprint = request.arrived.fingerprint
     if not state.suspects.known(fingerprint):
         return []
-    return _tell(state, Evidence(cleared=(Cleared(fingerprint, state.now),)))
+    return _merge_and_share(state, Evidence(cleared=(Cleared(fingerprint, state.now),)))
 
 
-def _tell(state: NodeState, evidence: Evidence, source: str = "") -> Effects:
+def _merge_and_share(state: NodeState, evidence: Evidence, source: str = "") -> Effects:
     """Merge evidence, and share what was not known yet with the other nodes."""
     if evidence.empty():
         return []
     earlier_verdicts = {one.fingerprint for one in state.suspects.verdicts(state.now)}
-    added = state.suspects.take(evidence, state.now)
+    added = state.suspects.merge(evidence, state.now)
     new_verdicts: Effects = [
         VerdictFound(
             one.fingerprint,
             one.organisation,
-            tuple(process.endpoint for process in state.suspects.lives(one.fingerprint)),
+            tuple(
+                process.endpoint for process in state.suspects.crashed_processes(one.fingerprint)
+            ),
             one.until - state.now,
         )
         for one in state.suspects.verdicts(state.now)
@@ -197,12 +199,12 @@
 
 
 @handles(EvidenceReceived)
-def hear_evidence(state: NodeState, event: EvidenceReceived) -> Effects:
+def handle_evidence(state: NodeState, event: EvidenceReceived) -> Effects:
     """Merge another node's evidence, and forward what was not known yet.
 
     Requests of this node that broke at the processes in it are added as evidence.
     """
-    effects = _tell(state, event.evidence, event.source)
-    for process in {one.life for one in event.evidence.sightings}:
-        effects += _end(state, process)
+    effects = _merge_and_share(state, event.evidence, event.source)
+    for process in {one.process for one in event.evidence.crash_records}:
+        effects += _note_process_end(state, process)
     return effects
--- a/packages/rookspring-core/src/rookspring_core/suspects.py
+++ b/packages/rookspring-core/src/rookspring_core/suspects.py
@@ -16,7 +16,7 @@
 
 
 
-class Life(t.NamedTuple):
+class EndpointProcess(t.NamedTuple):
     """One process of an endpoint, identified by its start time.
 
     :param born: in milliseconds, or a smaller number hashed from its incarnation; 0 if neither is
@@ -27,7 +27,7 @@
     born: int
 
 
-class Sighting(t.NamedTuple):
+class CrashRecord(t.NamedTuple):
     """A request that was in flight, or may have been, on a process when it crashed.
 
     :param organisation: the organisation that sent it; empty if unknown.
@@ -36,9 +36,9 @@
 
     fingerprint: str
     organisation: str
-    life: Life
+    process: EndpointProcess
     at: float
-    young: bool
+    early: bool
 
 
 class Cleared(t.NamedTuple):
@@ -66,7 +66,7 @@
 class Evidence(t.NamedTuple):
     """A batch of evidence, as nodes exchange it."""
 
-    sightings: tuple[Sighting, ...] = ()
+    crash_records: tuple[CrashRecord, ...] = ()
     cleared: tuple[Cleared, ...] = ()
     verdicts: tuple[Verdict, ...] = ()
     trials: tuple[Trial, ...] = ()
@@ -77,7 +77,7 @@
 
 
 # Weighs the crash records of one request; at a weight of ``CRASHES_MAX`` there is a verdict.
-Weigh = t.Callable[[t.Iterable[Sighting]], float]
+Weigh = t.Callable[[t.Iterable[CrashRecord]], float]
 WEIGHTS: dict[str, Weigh] = {}
 WeighFunction = t.TypeVar("WeighFunction", bound=Weigh)
 
@@ -93,15 +93,15 @@
 
 
 @weight("count")
-def count_ends(records: t.Iterable[Sighting]) -> float:
+def count_ends(records: t.Iterable[CrashRecord]) -> float:
     """Count each process that crashed while it ran the request as 1."""
     return float(sum(1 for _ in records))
 
 
 @weight("young")
-def weigh_young(records: t.Iterable[Sighting]) -> float:
+def weigh_young(records: t.Iterable[CrashRecord]) -> float:
     """Count a crash less if the request had been producing its response for long by then."""
-    return sum(1.0 if one.young else defaults.LONG_RUN_WEIGHT for one in records)
+    return sum(1.0 if one.early else defaults.LONG_RUN_WEIGHT for one in records)
 
 
 class SuspectTable:
@@ -112,14 +112,14 @@
 
     def __init__(self, weigh: str = defaults.SUSPECT_WEIGHT) -> None:
         self._weigh = WEIGHTS[weigh]
-        self._records: dict[str, dict[Life, Sighting]] = {}
+        self._records: dict[str, dict[EndpointProcess, CrashRecord]] = {}
         self._cleared: dict[str, float] = {}
         self._verdicts: dict[str, Verdict] = {}
         self._trials: dict[str, float] = {}
         # When processes were found to have ended; and, for processes that may yet be found to
         # have ended, the requests whose connections to them broke.
-        self._ended: dict[Life, float] = {}
-        self._pending: dict[Life, dict[str, Sighting]] = {}
+        self._ended: dict[EndpointProcess, float] = {}
+        self._pending: dict[EndpointProcess, dict[str, CrashRecord]] = {}
         self._expired_at = -1e9
         self._digest: int | None = 0
 
@@ -132,24 +132,24 @@
 
     # Events that this node observes itself.
 
-    def note_broken(self, record: Sighting) -> list[Sighting]:
+    def note_broken(self, record: CrashRecord) -> list[CrashRecord]:
         """Record a request whose connection broke, pending the end of its process.
 
         :return: the record, if the process is already known to have ended.
         """
-        if record.life in self._ended:
+        if record.process in self._ended:
             return [record]
-        self._pending.setdefault(record.life, {})[record.fingerprint] = record
+        self._pending.setdefault(record.process, {})[record.fingerprint] = record
         return []
 
-    def note_left(self, record: Sighting) -> None:
+    def note_left(self, record: CrashRecord) -> None:
         """Record a request whose caller left; its endpoint may run it for ``LEFT_RUNS_S`` more."""
         backdated = record._replace(
             at=record.at - defaults.CRASH_DETECTION_S + defaults.ABANDONED_RUN_S
         )
-        self._pending.setdefault(record.life, {}).setdefault(record.fingerprint, backdated)
+        self._pending.setdefault(record.process, {}).setdefault(record.fingerprint, backdated)
 
-    def note_ended(self, process: Life, now: float) -> list[Sighting]:
+    def note_ended(self, process: EndpointProcess, now: float) -> list[CrashRecord]:
         """Record that a process has ended, and return what broke there within ``END_KNOWN_S``."""
         self._ended.setdefault(process, now)
         pending = self._pending.pop(process, {}).values()
@@ -157,11 +157,11 @@
 
     # Merging.
 
-    def take(self, evidence: Evidence, now: float) -> Evidence:
+    def merge(self, evidence: Evidence, now: float) -> Evidence:
         """Merge evidence of this or another node, and return the part that was not known yet."""
         cleared = tuple(one for one in evidence.cleared if self._merge_cleared(one))
         verdicts = tuple(one for one in evidence.verdicts if self._merge_verdict(one, now))
-        records = tuple(one for one in evidence.sightings if self._merge_record(one, now))
+        records = tuple(one for one in evidence.crash_records if self._merge_record(one, now))
         trials = tuple(one for one in evidence.trials if self._merge_trial(one, now))
         self._digest = None
         return Evidence(records, cleared, verdicts, trials)
@@ -178,16 +178,16 @@
         self._trials.pop(cleared.fingerprint, None)
         return True
 
-    def _merge_record(self, record: Sighting, now: float) -> bool:
+    def _merge_record(self, record: CrashRecord, now: float) -> bool:
         fingerprint = record.fingerprint
-        self._ended.setdefault(record.life, record.at)
+        self._ended.setdefault(record.process, record.at)
         expired = now - record.at > defaults.EVIDENCE_S
         if expired or record.at <= self._cleared.get(fingerprint, -1e9):
             return False
         rows = self._records.setdefault(fingerprint, {})
-        if record.life in rows:
+        if record.process in rows:
             return False
-        rows[record.life] = record
+        rows[record.process] = record
         self._trials.pop(fingerprint, None)
         if self._weigh(rows.values()) >= defaults.CRASHES_MAX:
             until = record.at + defaults.EVIDENCE_S
@@ -258,16 +258,16 @@
         """Return whether a request is a suspect."""
         return fingerprint in self._records
 
-    def ends(self, fingerprint: str) -> float:
+    def crash_score(self, fingerprint: str) -> float:
         """Return the weight of the evidence against a request, in crashes."""
         return self._weigh(self._records.get(fingerprint, {}).values())
 
-    def last_at(self, fingerprint: str) -> float:
+    def last_crash_at(self, fingerprint: str) -> float:
         """Return when a process last crashed while it ran a request."""
         rows = self._records.get(fingerprint, {})
         return max((one.at for one in rows.values()), default=-1e9)
 
-    def lives(self, fingerprint: str) -> list[Life]:
+    def crashed_processes(self, fingerprint: str) -> list[EndpointProcess]:
         """Return the processes that crashed while they ran a request."""
         return list(self._records.get(fingerprint, {}))
 
@@ -276,7 +276,7 @@
         found = self._verdicts.get(fingerprint)
         return found if found is not None and found.until > now else None
 
-    def tried_until(self, fingerprint: str) -> float:
+    def trial_until(self, fingerprint: str) -> float:
         """Return when the latest trial of a suspect is over, before which no other may begin."""
         return self._trials.get(fingerprint, -1e9)
 
@@ -284,7 +284,7 @@
         """List the verdicts in force."""
         return [one for one in self._verdicts.values() if one.until > now]
 
-    def whole(self, now: float) -> Evidence:
+    def snapshot(self, now: float) -> Evidence:
         """Return the evidence that other nodes are to have."""
         records = [
             one
@@ -310,5 +310,5 @@
         return self._digest
 
 
-def _organisation_of(rows: t.Mapping[Life, Sighting]) -> str:
+def _organisation_of(rows: t.Mapping[EndpointProcess, CrashRecord]) -> str:
     return next((one.organisation for one in rows.values()), "")
--- a/packages/rookspring-core/src/rookspring_core/topology.py
+++ b/packages/rookspring-core/src/rookspring_core/topology.py
@@ -16,7 +16,7 @@
 
 
 
-class Standing(t.NamedTuple):
+class LocalStatus(t.NamedTuple):
     """The properties by which this node is ranked for roles.
 
     :param up_s: how long it has run, in seconds.
@@ -34,7 +34,7 @@
 
     def __init__(self, membership: Membership) -> None:
         self._members = membership
-        self._local = Standing()
+        self._local = LocalStatus()
         self._unreached: dict[str, float] = {}
         self._hashes: dict[tuple[str, str], int] = {}
         self._change_position = -1
@@ -59,15 +59,15 @@
         # When the store last answered this node itself.
         self.read_at = -1e9
 
-    def work_out(self, now: float, standing: Standing) -> None:
+    def update(self, now: float, local: LocalStatus) -> None:
         """Update roles and links after a change, or once ``RELAY_WORK_OUT_S`` has passed."""
         position = self._members.changes.end()
         stale = now - self._updated_at >= defaults.ROLES_RECOMPUTE_S
-        changed = position != self._change_position or standing.holding != self._local.holding
+        changed = position != self._change_position or local.holding != self._local.holding
         if changed or stale:
             self._change_position = position
             self._updated_at = now
-            self._local = standing
+            self._local = local
             self._choose_roles(now)
         self.followed = self._choose_followed(now)
         if self.followed or self._chosen_watcher():
@@ -152,7 +152,7 @@
         strength = int(4 * min(one.strength, defaults.RELAY_CAPACITY))
         return (not one.settled, -strength, self._hash("watch", one.name))
 
-    def dialled(self) -> dict[str, str]:
+    def addresses_to_dial(self) -> dict[str, str]:
         """Return the nodes that this one is to dial, with their addresses."""
         members = self._members
         if self.mesh and members.count() > defaults.RELAY_MESH_MAX:
@@ -173,7 +173,7 @@
         peer = self._members.peers.get(name)
         return self.relay and peer is not None and peer.heard.relay
 
-    def keeps(self, name: str) -> bool:
+    def keeps_link(self, name: str) -> bool:
         """Return whether an open link is needed by either of its ends."""
         peer = self._members.peers.get(name)
         if self.mesh or peer is None or name == self.followed:
@@ -230,7 +230,7 @@
             return float("inf")
         return peer.heard.store_age_s + now - peer.heard_at
 
-    def fed(self, now: float) -> bool:
+    def has_fresh_source(self, now: float) -> bool:
         """Return whether the followed node's data of the store is fresh."""
         return self._peer_store_age_s(self.followed, now) < defaults.STORE_STALE_S
 
@@ -240,7 +240,7 @@
 
     def _choose_watching(self, now: float) -> bool:
         """Return whether to watch the store: as a chosen watcher, or for lack of fresh data."""
-        if self.fed(now):
+        if self.has_fresh_source(now):
             self._stale_since = None
         elif self._stale_since is None:
             self._stale_since = now
@@ -267,7 +267,7 @@
             + defaults.WATCH_TAKEOVER_PER_NODE_S * self._nodes * spread
         )
 
-    def proves(self) -> bool:
+    def reads_configuration(self) -> bool:
         """Return whether this node is one of the two that read the configuration for all.
 
         In a mesh, where every node watches the store, only these two read the configuration.
@@ -285,7 +285,7 @@
         rows = [name for name in linked if name in self.relays()]
         return sorted(rows or linked)[: defaults.PROOF_SOURCES_MAX]
 
-    def gathers_s(self, now: float) -> float:
+    def collecting_s(self, now: float) -> float:
         """Return for how long this node has collected the other nodes' figures, in seconds."""
         if self.mesh:
             return self._local.up_s
@@ -303,7 +303,7 @@
             and now - peer.heard_at < defaults.HOLDER_QUIET_S
         }
         if (self.mesh or self.relay) and not self._local.leaving:
-            ages[members.name] = self.gathers_s(now)
+            ages[members.name] = self.collecting_s(now)
         # A node that has collected the others' sums for less misses what ran before.
         experienced = {name for name, age_s in ages.items() if age_s >= defaults.OWNER_AGE_S}
         return experienced or set(ages)
--- a/packages/rookspring-core/src/rookspring_core/wants.py
+++ b/packages/rookspring-core/src/rookspring_core/wants.py
@@ -15,7 +15,7 @@
     if state.requests[event.request_id].running:
         return []
     for view in state.hosts.get(event.target, {}).values():
-        fits = view.service == terms.service and view.open_for_work(state.now)
+        fits = view.service == terms.service and view.accepts_work(state.now)
         if fits and (not event.adapter or view.has_adapter(event.adapter)):
             return []
     request = state.requests[event.request_id]
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -346,7 +346,7 @@
         relay_beats.send_beats(node.peers)
         relay_members.send_members(node.peers)
         topology = node.state.topology
-        for name in topology.dialled():
+        for name in topology.addresses_to_dial():
             if name in node.peers.server.links or name not in self.nodes:
                 node.missing_since.pop(name, None)
                 continue
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
@@ -6,7 +6,7 @@
 """
 
 import typing as t
-from rookspring_core import noticing
+from rookspring_core import notice_handlers
 from rookspring_core.effects import Dispatch
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
@@ -180,14 +180,14 @@
         notice = Notice(
             leaving=leaving,
             turned_away=turned_away,
-            rest_s=rest_s,
+            backoff_s=rest_s,
             rate=rate,
             names_rate=rate is not None,
         )
         view = node.state.endpoints.get(effect.endpoint)
-        if view is None or not noticing.says_anything(node.state, effect.endpoint, notice):
+        if view is None or not notice_handlers.has_news(node.state, effect.endpoint, notice):
             return
-        born = noticing.born_of(view)
+        born = notice_handlers.known_start(view)
         said = NoticeReceived(0.0, effect.endpoint, born, notice, view.address, asked_at=asked_at)
         start = self._starts.get(effect.endpoint, 0)
         fleet = self._fleet
--- a/packages/rookspring/src/rookspring/attempts.py
+++ b/packages/rookspring/src/rookspring/attempts.py
@@ -12,7 +12,7 @@
 from .exchanges import ChatExchange
 from .exchanges import ServiceExchange
 from .node_context import NodeContext
-from rookspring_core import noticing
+from rookspring_core import notice_handlers
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Dispatch
 from rookspring_core.events import AttemptFailed
@@ -35,7 +35,7 @@
     wait = effect.not_before - clock.now()
     if wait > 0:
         await asyncio.sleep(wait)
-        why = noticing.find_withheld(node.state, effect.endpoint)
+        why = notice_handlers.find_withheld(node.state, effect.endpoint)
         if why:
             _fail(node, effect, EndpointError(why, sent=False, withheld=True))
             return
@@ -87,7 +87,9 @@
     """Tell what an endpoint said of itself, ahead of what became of the request."""
     view = node.state.endpoints.get(endpoint)
     if view is not None:
-        said = NoticeReceived(clock.now(), endpoint, noticing.born_of(view), Notice(leaving=True))
+        said = NoticeReceived(
+            clock.now(), endpoint, notice_handlers.known_start(view), Notice(leaving=True)
+        )
         node.submit(said)
 
 
--- a/packages/rookspring/src/rookspring/evidence.py
+++ b/packages/rookspring/src/rookspring/evidence.py
@@ -4,18 +4,18 @@
 """
 
 import typing as t
-
+from .logs import log
+from .messages import EvidenceTold
+from .metrics import Metrics
 from rookspring_core.effects import VerdictFound
 from rookspring_core.suspects import Cleared
+from rookspring_core.suspects import CrashRecord
+from rookspring_core.suspects import EndpointProcess
 from rookspring_core.suspects import Evidence
-from rookspring_core.suspects import Life
-from rookspring_core.suspects import Sighting
 from rookspring_core.suspects import Trial
 from rookspring_core.suspects import Verdict
 
-from .logs import log
-from .messages import EvidenceTold
-from .metrics import Metrics
+
 
 
 def encode_evidence(evidence: Evidence, now: float) -> EvidenceTold:
@@ -25,12 +25,12 @@
             [
                 one.fingerprint,
                 one.organisation,
-                one.life.endpoint,
-                one.life.born,
+                one.process.endpoint,
+                one.process.born,
                 now - one.at,
-                one.young,
+                one.early,
             ]
-            for one in evidence.sightings
+            for one in evidence.crash_records
         ],
         [[one.fingerprint, now - one.at] for one in evidence.cleared],
         [[one.fingerprint, one.organisation, one.until - now] for one in evidence.verdicts],
@@ -48,10 +48,10 @@
     )
 
 
-def _read_sighting(row: list[t.Any], now: float) -> Sighting:
+def _read_sighting(row: list[t.Any], now: float) -> CrashRecord:
     fingerprint, organisation, endpoint, born, age_s, young = row
-    life = Life(str(endpoint), int(born))
-    return Sighting(str(fingerprint), str(organisation), life, now - float(age_s), bool(young))
+    life = EndpointProcess(str(endpoint), int(born))
+    return CrashRecord(str(fingerprint), str(organisation), life, now - float(age_s), bool(young))
 
 
 def tell_verdict(metrics: Metrics, effect: VerdictFound) -> None:
--- a/packages/rookspring/src/rookspring/gossip.py
+++ b/packages/rookspring/src/rookspring/gossip.py
@@ -148,10 +148,10 @@
 def greet_merged(node: NodeContext, link: Link) -> None:
     """Tell a node all that every node is to know."""
     now = clock.now()
-    evidence = node.state.suspects.whole(now)
+    evidence = node.state.suspects.snapshot(now)
     if not evidence.empty():
         link.send(encode_evidence(evidence, now))
-    leaving = node.state.notices.whole(now)
+    leaving = node.state.notices.list_leaving(now)
     if leaving:
         link.send(encode_leaving(leaving, now))
 
--- a/packages/rookspring/src/rookspring/node.py
+++ b/packages/rookspring/src/rookspring/node.py
@@ -200,7 +200,7 @@
         relays = membership.relays(self.state.identity.data_centre)
         for name, link in list(self.peers.links.items()):
             # In a large deployment rows go to the data centre's relays alone.
-            link.send(whole if membership.small() or name in relays else short)
+            link.send(whole if membership.is_full_mesh() or name in relays else short)
 
     def take_boxes(self, rows: tuple[BoxListed, ...], share: bool) -> None:
         """Take a box list, and pass it on if this node read it as a relay."""
--- a/packages/rookspring/src/rookspring/relay_beats.py
+++ b/packages/rookspring/src/rookspring/relay_beats.py
@@ -116,7 +116,7 @@
         lease_ended=state.control.lease.ended,
         strength=state.capacity,
         relay=state.topology.relay,
-        relay_s=round(state.topology.gathers_s(now), 1),
+        relay_s=round(state.topology.collecting_s(now), 1),
         watches=state.topology.watching and now - state.topology.read_at < defaults.READ_LATELY_S,
         summed=True,
         # Past an hour nobody cares how old.
--- a/packages/rookspring/src/rookspring/relay_following.py
+++ b/packages/rookspring/src/rookspring/relay_following.py
@@ -121,7 +121,7 @@
 async def _pause(context: RelayContext, back_off: BackOff) -> None:
     """Wait before the store is asked again: longer where another node keeps this one fresh."""
     await back_off.pause()
-    if context.state.topology.fed(clock.now()):
+    if context.state.topology.has_fresh_source(clock.now()):
         await asyncio.sleep(defaults.FED_PAUSE_S)
 
 
--- a/packages/rookspring/src/rookspring/relay_notices.py
+++ b/packages/rookspring/src/rookspring/relay_notices.py
@@ -20,7 +20,7 @@
 from .relay_merged import merges
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core import noticing
+from rookspring_core import notice_handlers
 from rookspring_core.effects import ShareLeaving
 from rookspring_core.effects import ShareRates
 from rookspring_core.effects import ShareShed
@@ -55,13 +55,13 @@
     life has begun may be of the process before.
     """
     view = context.state.endpoints.get(endpoint)
-    born = noticing.born_of(view) if view is not None else 0
+    born = notice_handlers.known_start(view) if view is not None else 0
     address = view.address if view is not None else ""
     began_at = clock.now()
 
     def hear(head: HttpHead) -> None:
         notice = context.dialect.read_notice(head)
-        if not noticing.says_anything(context.state, endpoint, notice):
+        if not notice_handlers.has_news(context.state, endpoint, notice):
             return
         # An answer to another request may be of long before; orders and reports say nothing of
         # what holds for requests.
@@ -71,9 +71,9 @@
             endpoint=endpoint,
             asked=asked.what,
             status=head.status,
-            life=notice.life,
+            life=notice.process_name,
             leaving=notice.leaving,
-            rest_s=-1 if notice.rest_s is None else notice.rest_s,
+            rest_s=-1 if notice.backoff_s is None else notice.backoff_s,
             rate=-1 if notice.rate is None else notice.rate,
             malformed=notice.malformed,
         )
@@ -101,7 +101,7 @@
 def tell_all(peers: RelayPeers, link: Link) -> None:
     """Tell a node of all endpoints that leave."""
     now = clock.now()
-    rows = peers.context.state.notices.whole(now)
+    rows = peers.context.state.notices.list_leaving(now)
     if rows:
         link.send(encode_leaving(rows, now))
 
--- a/packages/rookspring/src/rookspring/relay_orders.py
+++ b/packages/rookspring/src/rookspring/relay_orders.py
@@ -12,7 +12,7 @@
 from .relay_context import relay_performs
 from .relay_notices import Asked
 from .relay_notices import hear_at
-from rookspring_core import noticing
+from rookspring_core import notice_handlers
 from rookspring_core.defaults import LOAD_UNREPORTED
 from rookspring_core.effects import AdapterLeft
 from rookspring_core.effects import AskAllotment
@@ -58,7 +58,7 @@
     reason = "no answer"
     data = context.dialect.order_request(effect.address, asked)
     try:
-        why = noticing.find_withheld(context.state, effect.endpoint)
+        why = notice_handlers.find_withheld(context.state, effect.endpoint)
         if why:
             raise EndpointError(why, sent=False, withheld=True)
         head, _ = await http_client.call(
@@ -98,7 +98,7 @@
 async def _read(context: RelayContext, effect: ReadReport) -> None:
     await asyncio.sleep(effect.after_s)
     view = context.state.endpoints.get(effect.endpoint)
-    if view is None or view.report is None or view.rests(clock.now()):
+    if view is None or view.report is None or view.in_backoff(clock.now()):
         # At rest it wants nothing from this node, also no question; it is read later.
         return
     data = context.dialect.report_request(view.address)
--- a/packages/rookspring/src/rookspring/relay_owners.py
+++ b/packages/rookspring/src/rookspring/relay_owners.py
@@ -6,13 +6,13 @@
 """
 
 import typing as t
-
-from rookspring_core.owners import choose_owner
-
 from . import clock
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core.owners import choose_owner
+
+
 
 Subject = t.Callable[[t.Any], str]
 # Takes a message at its subject's owner; the link is the one that it came by, if it came by any.
@@ -89,7 +89,7 @@
     if told.origin == state.identity.name:
         HOMES[type(told)](peers, told)
         return
-    way = links.get(told.origin) or link or links.get(state.membership.voucher_of(told.origin))
+    way = links.get(told.origin) or link or links.get(state.membership.reporter_of(told.origin))
     if way is not None:
         way.send(told)
 
--- a/packages/rookspring/src/rookspring/relay_peers.py
+++ b/packages/rookspring/src/rookspring/relay_peers.py
@@ -132,7 +132,7 @@
     def _wanted(self) -> Wanted:
         state = self.context.state
         topology = state.topology
-        addresses = topology.dialled()
+        addresses = topology.addresses_to_dial()
         waits = {name for name in addresses if topology.both_dial(name)}
         linked = {
             peer.heard.address
@@ -149,7 +149,7 @@
         now = clock.now()
         topology = self.context.state.topology
         for name, link in list(self.server.links.items()):
-            if topology.keeps(name):
+            if topology.keeps_link(name):
                 self._idle_since.pop(name, None)
             elif now - self._idle_since.setdefault(name, now) > defaults.IDLE_LINK_S:
                 del self._idle_since[name]
--- a/packages/rookspring/src/rookspring/relay_proofs.py
+++ b/packages/rookspring/src/rookspring/relay_proofs.py
@@ -78,7 +78,7 @@
         """
         state = self._context.state
         proved_lately = state.freshness.age_s(now) < defaults.PROOF_READ_S
-        if state.topology.proves() and proved_lately and not hurried:
+        if state.topology.reads_configuration() and proved_lately and not hurried:
             return
         for name in state.topology.proof_sources():
             link = self._peers.server.links.get(name)
@@ -90,7 +90,9 @@
         if self._reading or now - self._read_at < defaults.PROOF_READ_S - defaults.PROOF_LEAST_S:
             return False
         state = self._context.state
-        if not state.topology.proves() and state.freshness.age_s(now) <= _step_in_s(state):
+        if not state.topology.reads_configuration() and state.freshness.age_s(now) <= _step_in_s(
+            state
+        ):
             return False
         self._reading = True
         return True
--- a/packages/rookspring/src/rookspring/relay_suspects.py
+++ b/packages/rookspring/src/rookspring/relay_suspects.py
@@ -38,7 +38,7 @@
 def tell_all(peers: RelayPeers, link: Link) -> None:
     """Tell a node all that is known."""
     now = clock.now()
-    evidence = peers.context.state.suspects.whole(now)
+    evidence = peers.context.state.suspects.snapshot(now)
     if not evidence.empty():
         link.send(encode_evidence(evidence, now))
 
