--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -18,8 +18,8 @@
 from rookspring_core.endpoints import EndpointView
 from rookspring_core.leases import Lease
 from rookspring_core.memory import Ledger
+from rookspring_core.once import OnceDecision
 from rookspring_core.once import OnceTable
-from rookspring_core.once import Verdict
 from rookspring_fakes.disturbances import Calls
 from rookspring_fakes.disturbances import DISTURBANCES
 from rookspring_fakes.disturbances import steady
@@ -50,15 +50,15 @@
 
 
 def _always_start(
-    self: OnceTable, key: t.Any, digest: str, team: str, owner: str, now: float
-) -> Verdict:
+    self: OnceTable, key: t.Any, digest: str, team: str, request_id: str, now: float
+) -> OnceDecision:
     session = self._sessions.get(key[0])
     if session is None:
-        return Verdict("forgotten")
+        return OnceDecision("forgotten")
     from rookspring_core.once import OnceEntry
 
-    session.entries[key[1]] = OnceEntry(digest, owner)
-    return Verdict("start", session.entries[key[1]])
+    session.entries[key[1]] = OnceEntry(digest, request_id)
+    return OnceDecision("start", session.entries[key[1]])
 
 
 def _hold_for_ever(self: Lease, now: float) -> bool:
@@ -97,10 +97,10 @@
 def _believe_unsent(state: t.Any, request: t.Any, *rest: t.Any) -> list[t.Any]:
     request.sent = False
     request.delivered = 0
-    return _GIVE_UP(state, request, *rest)
+    return _FAIL_REQUEST(state, request, *rest)
 
 
-_GIVE_UP = requests.give_up
+_FAIL_REQUEST = requests.fail_request
 
 
 def _settle_nothing(self: Ledger, order: t.Any, made_at: float, seen: t.Any) -> bool:
@@ -134,7 +134,9 @@
     ),
     Mutant("stop with work in flight", cluster, "_stop_due", _stop_at_once, "a node is drained"),
     Mutant("apply an older revision", governing, "apply_revision", _apply_any, "old revision"),
-    Mutant("deny what was sent", requests, "give_up", _believe_unsent, "a service breaks answers"),
+    Mutant(
+        "deny what was sent", requests, "fail_request", _believe_unsent, "a service breaks answers"
+    ),
 )
 
 
--- a/bench/notice_mutants.py
+++ b/bench/notice_mutants.py
@@ -5,9 +5,9 @@
 from .mutant import NOTICES
 from rookspring import relay_merged
 from rookspring import relay_notices
-from rookspring_core import comebacks
 from rookspring_core import notice_handlers
 from rookspring_core import notices
+from rookspring_core import retry_after
 from rookspring_core import routed
 from rookspring_core import slotting
 from rookspring_core.endpoints import EndpointView
@@ -63,7 +63,7 @@
 
 
 def _same_moment(state: t.Any, request: t.Any) -> float:
-    return routed.rest_left_s(state, request.arrived)
+    return routed.cooldown_left_s(state, request.arrived)
 
 
 MUTANTS = (
@@ -72,11 +72,13 @@
     Mutant("greets with no leavings", "DRAIN", relay_merged, "greet", _nothing, NOTICES),
     Mutant("compares no leavings", "DRAIN", relay_merged, "compare", _nothing, NOTICES),
     Mutant("grants no rest", "BUDGET", EndpointView, "in_backoff", _never, NOTICES),
-    Mutant("resting is better than none", "BUDGET", routed, "_spared", _never, NOTICES),
+    Mutant("resting is better than none", "BUDGET", routed, "_is_cooling_down", _never, NOTICES),
     Mutant(
         "sends what was decided", "DRAIN", notice_handlers, "find_withheld", _not_withheld, NOTICES
     ),
-    Mutant("waits for a rest in vain", "callers", routed, "rest_left_s", _not_for_long, NOTICES),
+    Mutant(
+        "waits for a rest in vain", "callers", routed, "cooldown_left_s", _not_for_long, NOTICES
+    ),
     Mutant("tells nobody who sheds", "callers", relay_notices, "share_shed", _nothing, NOTICES),
     Mutant("a life never ends", "reach", NoticeTable, "note_restart", _nothing, NOTICES),
     Mutant("any life is the same", "reach", notices, "may_be_same_process", _always, NOTICES),
@@ -99,5 +101,12 @@
         "rests for as long as asked", "reach", Notice, "requested_backoff_s", _uncapped, NOTICES
     ),
     Mutant("a slot is a slot", "BUDGET", slotting, "usable", _usable, NOTICES),
-    Mutant("all back at one moment", "callers", comebacks, "rest_back_s", _same_moment, NOTICES),
+    Mutant(
+        "all back at one moment",
+        "callers",
+        retry_after,
+        "cooldown_retry_after_s",
+        _same_moment,
+        NOTICES,
+    ),
 )
--- a/bench/passing_mutants.py
+++ b/bench/passing_mutants.py
@@ -9,9 +9,9 @@
 from .mutant import SLOTS
 from .mutant import STORE
 from rookspring_core import attaching
-from rookspring_core import comebacks
 from rookspring_core import defaults
 from rookspring_core import residency
+from rookspring_core import retry_after
 from rookspring_core import routed
 from rookspring_core.control import WeightStoreLimiter
 from rookspring_core.effects import AdapterLeft
@@ -22,7 +22,7 @@
 
 
 _refuse = SlotQueue._refuse
-_come_back = comebacks.come_back
+_come_back = retry_after.predict_retry_after_s
 
 
 def _waits_anew(self: Lease, now: float, turn_in_s: float) -> float:
@@ -75,10 +75,17 @@
     Mutant("orders at once", "ONE", Lease, "_turn_after_release", _at_once, HANDOVER),
     Mutant("asks upon what is outdated", "reach", Lease, "_note_outdated", _asks_later, HANDOVER),
     Mutant("forgets who was in line", "reach", attaching, "_end_stay", _forgets_line, ADAPTERS),
-    Mutant("gives no first call", "reach", routed, "_kept_slots", _keeps_none, ADAPTERS),
+    Mutant("gives no first call", "reach", routed, "_reserved_slots", _keeps_none, ADAPTERS),
     Mutant("keeps what nobody wants", "reach", residency, "_kept_until", _keeps_for_long, RELAY),
     Mutant("keeps nothing", "reach", residency, "_kept_until", _keeps_nothing, RELAY),
-    Mutant("has callers back too soon", "callers", comebacks, "come_back", _told_soon, RELAY),
+    Mutant(
+        "has callers back too soon",
+        "callers",
+        retry_after,
+        "predict_retry_after_s",
+        _told_soon,
+        RELAY,
+    ),
     Mutant(
         "keeps a second's loads", "CEILING", WeightStoreLimiter, "refill", _keeps_a_second, STORE
     ),
--- a/bench/rate_mutants.py
+++ b/bench/rate_mutants.py
@@ -108,6 +108,8 @@
     Mutant("counts given back turns twice", "LIMIT", RateBucket, "put_back", _always_back, RATES),
     Mutant("plans by looks", "callers", planning, "_bounded_rate", _as_idle_as_it_looks, RATES),
     Mutant("answers by any node", "callers", Membership, "reporter_of", _any_voucher, RATES),
-    Mutant("asks again and again", "callers", routed, "_with_turns", _asks_for_all, RATES),
+    Mutant(
+        "asks again and again", "callers", routed, "_exclude_rate_limited", _asks_for_all, RATES
+    ),
     Mutant("stands still and goes on", "LIMIT", core_defaults, "OWNER_GAP_S", 1e9, RATES),
 )
--- a/bench/relay_mutants.py
+++ b/bench/relay_mutants.py
@@ -39,9 +39,9 @@
 from rookspring_core.adapter_waits import AdapterWaits
 from rookspring_core.endpoints import EndpointView
 from rookspring_core.events import RouteTableSeen
+from rookspring_core.latencies import LatencyTable
 from rookspring_core.leases import Lease
 from rookspring_core.membership import Membership
-from rookspring_core.paces import PaceTable
 from rookspring_core.placement import PlanInput
 from rookspring_core.reducer import HANDLERS
 from rookspring_core.retries import RetryWindow
@@ -273,7 +273,13 @@
     Mutant("takes rows as they come", "memory", residency, "refine", _as_told),
     Mutant("sends to what has gone", "drain", EndpointView, "accepts_work", _open_though_gone),
     Mutant("sends to the silent", "attainment", EndpointView, "silent", _never),
-    Mutant("counts all models alike", "attainment", PaceTable, "relative", lambda self, name: 1.0),
+    Mutant(
+        "counts all models alike",
+        "attainment",
+        LatencyTable,
+        "relative_cost",
+        lambda self, name: 1.0,
+    ),
     Mutant("never lets the lease be", "platform calls", governing, "holder_heard", _never),
     Mutant("passes on what only we may set", "unasked", dialect, "SYSTEM_HEADERS", frozenset()),
     Mutant("sends to what is down", "attainment", EndpointView, "may_listen", _always),
--- a/features/relay_harness.py
+++ b/features/relay_harness.py
@@ -68,7 +68,7 @@
         self.ended = []
         self.orders = []
         self.wants = []
-        self.told_down = []
+        self.shared_down = []
         # Log effects for operators, on wants and adapters.
         self.told = []
         self.submit(PlatformAnswered(self.now, True))
@@ -80,7 +80,7 @@
             Refuse: self.refused,
             SendOrder: self.orders,
             RequestLoad: self.wants,
-            ShareDown: self.told_down,
+            ShareDown: self.shared_down,
             LoadRequestDeclined: self.told,
             LoadRequestEnded: self.told,
             AdapterLeft: self.told,
@@ -163,7 +163,7 @@
         self.runners = {}
         self.answer = "taken"
         # If set, is called with each lease write, which then gets no answer.
-        self.renewed = None
+        self.on_lease_write = None
         self.carried = True
         # Runners whose process has ended; reads of their reports get no answer.
         self.dead = set()
@@ -197,8 +197,8 @@
         return self.report(name, runner["models"], token=(0, -1), **fields)
 
     def perform(self, effect):
-        if isinstance(effect, WriteLease) and self.renewed is not None:
-            self.renewed(effect)
+        if isinstance(effect, WriteLease) and self.on_lease_write is not None:
+            self.on_lease_write(effect)
         elif isinstance(effect, WriteLease):
             self.submit(LeaseWritten(self.now, self.now, effect.nonce, True, effect.version + 1))
         elif isinstance(effect, ReadReport):
--- a/features/steps/relay_down_steps.py
+++ b/features/steps/relay_down_steps.py
@@ -60,5 +60,5 @@
 @then("the other nodes are informed once, and neither request is sent again")
 def informed_once(context):
     node = context.relay_node
-    assert [one.endpoint for one in node.told_down] == ["e1"]
+    assert [one.endpoint for one in node.shared_down] == ["e1"]
     assert len(node.sent) == 2, node.sent
--- a/features/steps/relay_lease_steps.py
+++ b/features/steps/relay_lease_steps.py
@@ -75,7 +75,7 @@
 def renewals_unanswered(context):
     holder = context.holder
     nonces = []
-    holder.renewed = nonces.append
+    holder.on_lease_write = nonces.append
     holder.pass_time(2.9)
     late = nonces[-1]
     holder.pass_time(2.1)
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -96,7 +96,7 @@
         node.submit(HeartbeatReceived(node.now, f"p{number}", "i", "a", "c", "z", 1, False))
     for number in range(left, seen):
         node.submit(PeerLost(node.now, f"p{number}"))
-    context.window = routed.window(node.state, "svc")
+    context.window = routed.resend_window(node.state, "svc")
 
 
 @when("{firsts:d} requests are sent and all are to be resent")
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -74,7 +74,7 @@
 
 def slack_of(state):
     """Return a node's share of the retry slack."""
-    terms = routed.window(state, "svc").terms
+    terms = routed.resend_window(state, "svc").terms
     return terms.slack / terms.nodes
 
 
--- a/features/steps/stand_still_steps.py
+++ b/features/steps/stand_still_steps.py
@@ -33,7 +33,7 @@
     # Wait for a write of the lease that was answered just now, so that the time left is known.
     while not holder.state.control.holding(holder.now + 2.95):
         holder.pass_time(0.1)
-    holder.renewed = context.writes.append
+    holder.on_lease_write = context.writes.append
     if step == "an order without an answer":
         holder.answer = "none"
         request_load(holder, "a9")
--- a/features/steps/swapping_steps.py
+++ b/features/steps/swapping_steps.py
@@ -8,7 +8,7 @@
 from rookspring_core import placement
 from rookspring_core import swapping as swapping
 from rookspring_core.events import RouteTableSeen
-from rookspring_core.paces import PaceTable
+from rookspring_core.latencies import LatencyTable
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
@@ -192,12 +192,12 @@
     "they are recorded for m, after one of 10 tokens and 40 ms and three of 2000 and 140 ms for n"
 )
 def prompts_recorded(context):
-    context.paces = PaceTable()
-    context.paces.note("n", 10, 0.04)
+    context.paces = LatencyTable()
+    context.paces.note_first_event("n", 10, 0.04)
     for _ in range(3):
-        context.paces.note("n", 2000, 0.14)
+        context.paces.note_first_event("n", 2000, 0.14)
     for number, took_s in context.prompts:
-        context.paces.note("m", number, took_s)
+        context.paces.note_first_event("m", number, took_s)
 
 
 @given("a relaying node whose one runner has a prompt of {unread:d} tokens to read")
@@ -222,18 +222,18 @@
 
 @then("a token of m is {part:g} of the work of one of n")
 def relative_work(context, part):
-    got = context.paces.relative("m")
+    got = context.paces.relative_cost("m")
     assert abs(got - part) < 0.01, got
-    assert context.paces.relative("n") == 1.0
+    assert context.paces.relative_cost("n") == 1.0
 
 
 @when("m reads ten times as fast as n, and 3000 tokens of each are requested")
 def both_requested(context):
     holder = context.holder
-    holder.state.paces.note("m", 10, 0.04)
+    holder.state.paces.note_first_event("m", 10, 0.04)
     for _ in range(3):
-        holder.state.paces.note("m", 1000, 0.045)
-        holder.state.paces.note("n", 1000, 0.09)
+        holder.state.paces.note_first_event("m", 1000, 0.045)
+        holder.state.paces.note_first_event("n", 1000, 0.09)
     for model in ("m", "n"):
         holder.ask(model=model, key=f"r-{model}", tokens=3000, prompt_tokens=3000)
     holder.pass_time(0.1)
--- a/packages/rookspring-core/src/rookspring_core/admission.py
+++ b/packages/rookspring-core/src/rookspring_core/admission_queue.py
@@ -7,14 +7,14 @@
 
 import heapq
 import typing as t
-
 from . import defaults
 
 
+
 class Queued(t.NamedTuple):
     """One waiting request; the tuples sort in the order in which requests are sent."""
 
-    order: float
+    sort_key: float
     arrived_at: float
     request_id: str
     tokens: int
@@ -22,34 +22,34 @@
     deadline_at: float
 
 
-def order_of(deadline_at: float, priority: str) -> float:
+def make_sort_key(deadline_at: float, priority: str) -> float:
     """Return a request's sort key in the queue: its deadline less its priority's head start."""
     return deadline_at - defaults.PRIORITY_HEADSTART_S[priority]
 
 
-class Pace:
+class ThroughputMeter:
     """Measures the tokens a second that this node sends to endpoints shared by several targets."""
 
     def __init__(self) -> None:
         self.rate = 0.0
         self._served = 0.0
 
-    def served(self, tokens: int) -> None:
+    def add_sent(self, tokens: int) -> None:
         """Count the tokens of a request that was sent to an endpoint."""
         self._served += tokens
 
-    def measure(self, passed: float) -> None:
+    def measure(self, elapsed_s: float) -> None:
         """Update the rate: an exponential moving average over about two seconds.
 
         :param elapsed_s: since the last call, in seconds.
         """
-        rate = self._served / max(passed, 1e-6)
+        rate = self._served / max(elapsed_s, 1e-6)
         self._served = 0.0
-        self.rate += (rate - self.rate) * min(1.0, passed / 2.0)
+        self.rate += (rate - self.rate) * min(1.0, elapsed_s / 2.0)
 
-    def wait(self, ahead: float) -> float:
+    def predict_wait_s(self, tokens: float) -> float:
         """Predict the wait behind so many queued tokens, in seconds; 0 while no rate is known."""
-        return ahead / self.rate if self.rate > 0.0 else 0.0
+        return tokens / self.rate if self.rate > 0.0 else 0.0
 
 
 class AdmissionQueue:
@@ -58,7 +58,7 @@
     :param pool: the throughput of the endpoints that it shares with other queues.
     """
 
-    def __init__(self, pool: Pace) -> None:
+    def __init__(self, pool: ThroughputMeter) -> None:
         self.pool = pool
         self._heap: list[Queued] = []
         self._queued: dict[str, Queued] = {}
@@ -85,15 +85,15 @@
         """
         return self._queued.pop(request_id, None) is not None
 
-    def ahead(self, order: float) -> int:
+    def tokens_ahead(self, sort_key: float) -> int:
         """Sum the tokens of the requests whose sort key is not above the given one."""
-        return sum(item.tokens for item in self._queued.values() if item.order <= order)
+        return sum(item.tokens for item in self._queued.values() if item.sort_key <= sort_key)
 
     def waiting(self) -> list[Queued]:
         """List all queued requests, unsorted."""
         return list(self._queued.values())
 
-    def hopeless(self, now: float, token_s: float) -> list[Queued]:
+    def infeasible(self, now: float, token_s: float) -> list[Queued]:
         """List requests that cannot meet their deadline even if they were sent now.
 
         :param token_s: least seconds that one token takes.
@@ -102,6 +102,6 @@
             item for item in self._queued.values() if now + item.tokens * token_s > item.deadline_at
         ]
 
-    def worst(self) -> Queued | None:
+    def last(self) -> Queued | None:
         """Return the request with the highest sort key, which is dropped when the queue is full."""
         return max(self._queued.values(), default=None)
--- a/packages/rookspring-core/src/rookspring_core/admitting.py
+++ b/packages/rookspring-core/src/rookspring_core/admitting.py
@@ -1,8 +1,8 @@
 """Admission of new requests: checks, allotment, and the queue that each one enters."""
 
-from . import admission
+from . import admission_queue
 from . import allotting
-from . import arrivals
+from . import arrival_checks
 from . import defaults
 from . import requests
 from . import routed
@@ -24,12 +24,12 @@
 @handles(RequestArrived)
 def admit_request(state: NodeState, event: RequestArrived) -> Effects:
     """Admit a new request: send it, queue it, replay its answer or refuse it."""
-    fault = routed.check(state, event) if event.route else arrivals.check_target(state, event)
+    fault = routed.check(state, event) if event.route else arrival_checks.check_target(state, event)
     fault = fault or suspect_handlers.refuse_quarantined(state, event)
     if fault is not None:
         return [fault]
     if event.once_key is not None:
-        known = arrivals.judge_once(state, event)
+        known = arrival_checks.check_once_key(state, event)
         if known is not None:
             return known
     charge = allotting.charge_of(state, event)
@@ -44,18 +44,18 @@
 def _admit(state: NodeState, event: RequestArrived, charge: Charge | None = None) -> Effects:
     """Queue a request, and count its work as demand for its model and adapter."""
     if not event.service:
-        work = event.tokens * state.paces.relative(event.target)
+        work = event.tokens * state.paces.relative_cost(event.target)
         state.paces.note_work(work)
         state.control.meter.add(event.target, work)
         if event.route:
-            routed.meter(state, event, work)
-    effects = arrivals.check_limits(state, event) or _enqueue(state, event, charge)
-    effects += requests.pump(state)
+            routed.meter_demand(state, event, work)
+    effects = arrival_checks.check_limits(state, event) or _enqueue(state, event, charge)
+    effects += requests.dispatch_waiting(state)
     return effects + wants.miss(state, event)
 
 
 @handles(AllotmentAnswered)
-def take_answer(state: NodeState, event: AllotmentAnswered) -> Effects:
+def handle_allotment_answer(state: NodeState, event: AllotmentAnswered) -> Effects:
     """Admit or refuse a parked request, as its organisation's owner has decided."""
     parked = state.parked.pop(event.request_id, None)
     if parked is None:
@@ -72,28 +72,30 @@
     request.charge = charge
     request.limited = event.team in state.catalogue.teams
     state.requests[event.request_id] = request
-    pool = state.pools.setdefault(requests.pool_of(state, event), admission.Pace())
-    queue = state.queues.setdefault(queue_key(event), admission.AdmissionQueue(pool))
+    pool = state.pools.setdefault(requests.pool_of(state, event), admission_queue.ThroughputMeter())
+    queue = state.queues.setdefault(queue_key(event), admission_queue.AdmissionQueue(pool))
     if event.route is not None:
-        return requests.wait_routed(state, request, queue)
-    sort_key = admission.order_of(event.deadline_at, event.priority)
+        return requests.enqueue_routed(state, request, queue)
+    sort_key = admission_queue.make_sort_key(event.deadline_at, event.priority)
     rank = defaults.PRIORITY_RANK[event.priority]
-    queued = admission.Queued(
+    queued = admission_queue.Queued(
         sort_key, event.at, event.request_id, event.tokens, rank, event.deadline_at
     )
     earliest_at = event.at + requests.service_time(state, event.target, event.service, event.tokens)
     tokens_ahead = sum(
-        other.ahead(sort_key) for other in state.queues.values() if other.pool is pool
+        other.tokens_ahead(sort_key) for other in state.queues.values() if other.pool is pool
     )
-    expected_at = earliest_at + pool.wait(tokens_ahead)
+    expected_at = earliest_at + pool.predict_wait_s(tokens_ahead)
     if state.admission_on and expected_at > event.deadline_at:
         after_s = max(0.5, expected_at - event.deadline_at)
-        return requests.give_up(state, request, 503, "late", "cannot be served in time", after_s)
+        return requests.fail_request(
+            state, request, 503, "late", "cannot be served in time", after_s
+        )
     queue.push(queued)
     if len(queue) <= defaults.QUEUE_MAX:
         return []
-    last = queue.worst()
+    last = queue.last()
     assert last is not None
     queue.remove(last.request_id)
     dropped = state.requests[last.request_id]
-    return requests.give_up(state, dropped, 503, "queue_full", "too many requests wait", 1.0)
+    return requests.fail_request(state, dropped, 503, "queue_full", "too many requests wait", 1.0)
--- a/packages/rookspring-core/src/rookspring_core/arrivals.py
+++ b/packages/rookspring-core/src/rookspring_core/arrival_checks.py
@@ -46,7 +46,7 @@
     return Refuse(event.request_id, status, reason, "not_run", message, after_s)
 
 
-def judge_once(state: NodeState, event: RequestArrived) -> Effects | None:
+def check_once_key(state: NodeState, event: RequestArrived) -> Effects | None:
     """Decide on a request with an idempotency key; None where it is to be started."""
     assert event.once_key is not None
     decision = state.once.begin(
--- a/packages/rookspring-core/src/rookspring_core/cluster.py
+++ b/packages/rookspring-core/src/rookspring_core/cluster.py
@@ -53,7 +53,7 @@
     state.suspects.tick(event.at)
     state.notices.tick(event.at, state.endpoints)
     state.rates.tick(event.at, state.endpoints)
-    state.once.tick(event.at)
+    state.once.expire_idle(event.at)
     effects = granting.expire_turns(state)
     effects += requests.sweep(state, passed) + allotting.expire(state)
     if state.relaying:
@@ -137,7 +137,7 @@
         if ledger is not None:
             ledger.take_report(event, ordering.sizes_of(state))
     shared: Effects = [ShareReport(event._replace(polled=False))] if event.polled else []
-    return ended + shared + requests.pump(state)
+    return ended + shared + requests.dispatch_waiting(state)
 
 
 def _is_outdated(view: EndpointView, event: EndpointReported) -> bool:
@@ -290,7 +290,7 @@
         return []
     for endpoint, tokens in event.rows:
         state.peers_work.set_prompts(event.name, endpoint, tokens)
-    return requests.pump(state)
+    return requests.dispatch_waiting(state)
 
 
 @handles(LoadingReceived)
--- a/packages/rookspring-core/src/rookspring_core/granting.py
+++ b/packages/rookspring-core/src/rookspring_core/granting.py
@@ -4,7 +4,7 @@
 :mod:`slot_requests` asks for the slots.
 """
 
-from . import admission
+from . import admission_queue
 from . import defaults
 from . import requests
 from . import routed
@@ -34,11 +34,11 @@
     if asked is not None:
         return _take_permit(state, request, asked, event)
     if event.after_s > 0.0:
-        if event.no_known_endpoint and routed.choose_among(state, request):
+        if event.no_known_endpoint and routed.list_candidates(state, request):
             # This node knows endpoints that the owner does not; the owner may have just started.
             state.record(event.request_id, "placed without a slot", "its owner knows no endpoint")
             request.slot_asked_at = None
-            return requests.pump(state)
+            return requests.dispatch_waiting(state)
         return _refuse_unslotted(state, request, event.after_s)
     if not event.endpoint:
         request.slot_queued = True
@@ -49,7 +49,7 @@
     if fault is not None or view is None:
         # This node refuses it, or places it by itself.
         freed = slotting.free(state, request, failed=view is None, unsent=True)
-        return freed + requests.pump(state)
+        return freed + requests.dispatch_waiting(state)
     state.queues[requests.queue_key(request.arrived)].remove(event.request_id)
     return requests.dispatch(state, request, view)
 
@@ -86,7 +86,7 @@
     asked = state.permit_requests.pop(request.arrived.request_id)
     request.slot_asked_at = None
     request.permits_due[asked.endpoint] = state.now + after_s
-    if routed.turnless(state, request):
+    if routed.lacks_permit(state, request):
         return requests.end_waiting(state, request)
     return _requeue(state, request, asked.until)
 
@@ -94,11 +94,15 @@
 def _requeue(state: NodeState, request: RequestState, until: float) -> Effects:
     """Put a request back into its queue, to wait at least until ``until``."""
     arrived = request.arrived
-    pool = state.pools.setdefault(requests.pool_of(state, arrived), admission.Pace())
-    queue = state.queues.setdefault(requests.queue_key(arrived), admission.AdmissionQueue(pool))
-    placed = routed.place(state, arrived, arrived.at)
+    pool = state.pools.setdefault(
+        requests.pool_of(state, arrived), admission_queue.ThroughputMeter()
+    )
+    queue = state.queues.setdefault(
+        requests.queue_key(arrived), admission_queue.AdmissionQueue(pool)
+    )
+    placed = routed.make_queue_entry(state, arrived, arrived.at)
     queue.push(placed._replace(deadline_at=max(until, placed.deadline_at)))
-    return requests.pump(state)
+    return requests.dispatch_waiting(state)
 
 
 def expire_turns(state: NodeState) -> Effects:
@@ -122,10 +126,10 @@
 def _refuse_unslotted(state: NodeState, request: RequestState, after_s: float) -> Effects:
     """Refuse a request that can't get a slot in time."""
     state.queues[requests.queue_key(request.arrived)].remove(request.arrived.request_id)
-    reason, text = routed.lacking(state, request.arrived)
+    reason, text = routed.explain_refusal(state, request.arrived)
     status = 502 if request.sent else 503
     # Jitter by request, so that callers refused together don't retry together.
     jitter = stable_hash("come back", request.arrived.request_id) % 1000 / 1000.0
     left_s = request.arrived.deadline_at - state.now
     after_s = min(after_s * (1.0 + jitter), left_s * defaults.RETRY_AFTER_MAX_SHARE)
-    return requests.give_up(state, request, status, reason, text, after_s)
+    return requests.fail_request(state, request, status, reason, text, after_s)
--- a/packages/rookspring-core/src/rookspring_core/paces.py
+++ b/packages/rookspring-core/src/rookspring_core/latencies.py
@@ -10,7 +10,7 @@
 from . import defaults
 
 
-class PromptSums:
+class PrefillSums:
     """Prompt tokens and prefill seconds of one model, as exponentially decaying sums.
 
     Dividing the sums gives more weight to long prompts, which are measured more precisely:
@@ -18,32 +18,32 @@
     hundredfold.
     """
 
-    __slots__ = ("seconds", "seen", "tokens")
+    __slots__ = ("seconds", "samples", "tokens")
 
     def __init__(self) -> None:
         self.tokens = 0.0
         self.seconds = 0.0
-        self.seen = 0
+        self.samples = 0
 
     def add(self, tokens: int, seconds: float) -> None:
         """Add one measurement."""
         self.tokens = self.tokens * defaults.PACE_DECAY + tokens
         self.seconds = self.seconds * defaults.PACE_DECAY + seconds
-        self.seen += 1
+        self.samples += 1
 
 
-class PaceTable:
+class LatencyTable:
     """Prefill seconds a token by model, and times of whole answers, as measured by this node."""
 
     def __init__(self) -> None:
         # Fixed overhead: the shortest time to a first event, in seconds; infinite before any.
-        self.base_s = float("inf")
-        self.token_s: dict[str, float] = {}
+        self.overhead_s = float("inf")
+        self.seconds_per_token: dict[str, float] = {}
         # A decaying maximum of the time of whole answers, in seconds.
-        self.longest_s = 0.0
+        self.longest_answer_s = 0.0
         # Moving average of a request's work, in tokens of the slowest model; 0 before any.
         self.mean_work = 0.0
-        self._sums: dict[str, PromptSums] = {}
+        self._sums: dict[str, PrefillSums] = {}
 
     def note_work(self, work: float) -> None:
         """Update the average work of a request.
@@ -53,11 +53,11 @@
         gain = defaults.WORK_GAIN if self.mean_work > 0.0 else 1.0
         self.mean_work += (work - self.mean_work) * gain
 
-    def note_whole(self, took_s: float) -> None:
+    def note_answer(self, took_s: float) -> None:
         """Update the decaying maximum with the time of a whole answer, in seconds."""
-        self.longest_s = max(took_s, self.longest_s * defaults.LONGEST_DECAY)
+        self.longest_answer_s = max(took_s, self.longest_answer_s * defaults.LONGEST_DECAY)
 
-    def note(self, model: str, tokens: int, took_s: float) -> None:
+    def note_first_event(self, model: str, tokens: int, took_s: float) -> None:
         """Add a measured time to the first event; short prompts update only the overhead.
 
         :param tokens: of the prompt.
@@ -65,18 +65,18 @@
         """
         if took_s <= 0:
             return
-        self.base_s = min(took_s, self.base_s * defaults.PACE_BASE_GROWTH)
+        self.overhead_s = min(took_s, self.overhead_s * defaults.PACE_BASE_GROWTH)
         if tokens < defaults.PACE_TOKENS_MIN:
             return
-        sums = self._sums.setdefault(model, PromptSums())
-        sums.add(tokens, took_s - self.base_s)
-        if sums.seen >= defaults.PACE_SEEN_MIN:
-            self.token_s[model] = sums.seconds / sums.tokens
+        sums = self._sums.setdefault(model, PrefillSums())
+        sums.add(tokens, took_s - self.overhead_s)
+        if sums.samples >= defaults.PACE_SEEN_MIN:
+            self.seconds_per_token[model] = sums.seconds / sums.tokens
 
-    def relative(self, model: str) -> float:
+    def relative_cost(self, model: str) -> float:
         """Return a model's time a token as a part of the slowest known model's; 1 while unknown."""
-        own = self.token_s.get(model)
-        slowest = max(self.token_s.values(), default=0.0)
+        own = self.seconds_per_token.get(model)
+        slowest = max(self.seconds_per_token.values(), default=0.0)
         if own is None or slowest <= 0.0:
             return 1.0
         return max(defaults.PACE_LEAST, own / slowest)
--- a/packages/rookspring-core/src/rookspring_core/notice_handlers.py
+++ b/packages/rookspring-core/src/rookspring_core/notice_handlers.py
@@ -38,7 +38,7 @@
     effects += _note_rate(state, event)
     if notice.misdirected:
         _note_missing_target(state, event)
-    return effects + requests.end_hopeless(state) + requests.pump(state)
+    return effects + requests.refuse_cooling_down(state) + requests.dispatch_waiting(state)
 
 
 def _take_other(state: NodeState, event: NoticeReceived) -> Effects:
@@ -131,7 +131,7 @@
     _mark_rates(state, merged.news, f"{event.source} reported it")
     _mark_rates(state, merged.denied, f"stated recently, contrary to what {event.source} reports")
     shared = _share_rates(merged.news, event.source) + _share_rates(merged.denied, "")
-    return shared + (requests.pump(state) if merged.news else [])
+    return shared + (requests.dispatch_waiting(state) if merged.news else [])
 
 
 def _share_shed(state: NodeState, endpoint: str, for_s: float) -> Effects:
@@ -199,7 +199,7 @@
         _restore_view(state, one.endpoint)
         state.record(one.endpoint, "is leaving", f"{event.source} reported it")
     shared: Effects = [ShareLeaving(added, event.source)]
-    return shared + requests.end_hopeless(state) + requests.pump(state)
+    return shared + requests.refuse_cooling_down(state) + requests.dispatch_waiting(state)
 
 
 def find_withheld(state: NodeState, endpoint: str) -> str:
--- a/packages/rookspring-core/src/rookspring_core/once.py
+++ b/packages/rookspring-core/src/rookspring_core/once.py
@@ -7,19 +7,19 @@
 """
 
 import typing as t
-
 from . import defaults
 
 
+
 class OnceEntry:
     """One key: its outcome (empty while it runs), its answer, and the requests that wait for it."""
 
-    __slots__ = ("answer", "body_digest", "owner", "settled", "status", "waiters")
+    __slots__ = ("answer", "body_digest", "request_id", "outcome", "status", "waiters")
 
-    def __init__(self, body_digest: str, owner: str) -> None:
+    def __init__(self, body_digest: str, request_id: str) -> None:
         self.body_digest = body_digest
-        self.owner = owner
-        self.settled: t.Literal["", "ran", "unknown"] = ""
+        self.request_id = request_id
+        self.outcome: t.Literal["", "ran", "unknown"] = ""
         self.status = 0
         self.answer = b""
         self.waiters: list[str] = []
@@ -37,7 +37,7 @@
         self.entries: dict[int, OnceEntry] = {}
 
 
-class Verdict(t.NamedTuple):
+class OnceDecision(t.NamedTuple):
     """How to handle a request with an idempotency key."""
 
     action: t.Literal["start", "wait", "replay", "unknown", "mismatch", "forgotten"]
@@ -57,42 +57,42 @@
             self._expire(now, force=True)
 
     def begin(
-        self, key: tuple[str, int], digest: str, team: str, owner: str, now: float
-    ) -> Verdict:
+        self, key: tuple[str, int], digest: str, team: str, request_id: str, now: float
+    ) -> OnceDecision:
         """Decide on a request with a key; on ``start`` the key is entered as running.
 
         :param request_id: identifier of the request.
         """
         session = self._sessions.get(key[0])
         if session is None or session.team != team:
-            return Verdict("forgotten")
+            return OnceDecision("forgotten")
         session.used_at = now
         entry = session.entries.get(key[1])
         if entry is not None:
-            return self._decide(entry, digest, owner)
+            return self._decide(entry, digest, request_id)
         if key[1] <= session.low_water:
-            return Verdict("forgotten")
+            return OnceDecision("forgotten")
         if len(session.entries) >= defaults.ONCE_PER_SESSION_MAX and not self._evict(session):
-            return Verdict("forgotten")
+            return OnceDecision("forgotten")
         # The eviction may have raised the low-water mark to this key or above it.
         if key[1] <= session.low_water:
-            return Verdict("forgotten")
-        entry = OnceEntry(digest, owner)
+            return OnceDecision("forgotten")
+        entry = OnceEntry(digest, request_id)
         session.entries[key[1]] = entry
-        return Verdict("start", entry)
+        return OnceDecision("start", entry)
 
-    def _decide(self, entry: OnceEntry, digest: str, request_id: str) -> Verdict:
+    def _decide(self, entry: OnceEntry, digest: str, request_id: str) -> OnceDecision:
         if entry.body_digest != digest:
-            return Verdict("mismatch")
-        if entry.settled == "ran":
-            return Verdict("replay", entry)
-        if entry.settled == "unknown":
-            return Verdict("unknown", entry)
+            return OnceDecision("mismatch")
+        if entry.outcome == "ran":
+            return OnceDecision("replay", entry)
+        if entry.outcome == "unknown":
+            return OnceDecision("unknown", entry)
         entry.waiters.append(request_id)
-        return Verdict("wait", entry)
+        return OnceDecision("wait", entry)
 
-    def settle(
-        self, key: tuple[str, int], settled: t.Literal["ran", "unknown"], status: int, answer: bytes
+    def record_outcome(
+        self, key: tuple[str, int], outcome: t.Literal["ran", "unknown"], status: int, answer: bytes
     ) -> list[str]:
         """Record the outcome of a key.
 
@@ -103,10 +103,10 @@
         entry = self._find(key)
         if entry is None:
             return []
-        entry.settled = settled
+        entry.outcome = outcome
         entry.status = status
         if len(answer) > defaults.ONCE_ANSWER_BYTES_MAX:
-            entry.settled = "unknown"
+            entry.outcome = "unknown"
         else:
             entry.answer = answer
         waiters = entry.waiters
@@ -124,11 +124,11 @@
         entry = session.entries.pop(key[1], None)
         return entry.waiters if entry else []
 
-    def leave(self, key: tuple[str, int], owner: str) -> None:
+    def remove_waiter(self, key: tuple[str, int], request_id: str) -> None:
         """Remove a waiting request whose caller has left."""
         entry = self._find(key)
-        if entry is not None and owner in entry.waiters:
-            entry.waiters.remove(owner)
+        if entry is not None and request_id in entry.waiters:
+            entry.waiters.remove(request_id)
 
     def _find(self, key: tuple[str, int]) -> OnceEntry | None:
         session = self._sessions.get(key[0])
@@ -136,7 +136,7 @@
 
     def _evict(self, session: OnceSession) -> bool:
         for sequence in sorted(session.entries):
-            if session.entries[sequence].settled:
+            if session.entries[sequence].outcome:
                 del session.entries[sequence]
                 session.low_water = max(session.low_water, sequence)
                 return True
@@ -144,14 +144,14 @@
 
     def _expire(self, now: float, force: bool = False) -> None:
         for name, session in list(self._sessions.items()):
-            running = any(not entry.settled for entry in session.entries.values())
+            running = any(not entry.outcome for entry in session.entries.values())
             idle = now - session.used_at
             if running or (idle < defaults.SESSION_IDLE_S and not force):
                 continue
             del self._sessions[name]
             force = False
 
-    def tick(self, now: float) -> None:
+    def expire_idle(self, now: float) -> None:
         """Remove sessions that were idle for longer than ``SESSION_IDLE_S`` and run nothing."""
         self._expire(now)
 
@@ -164,7 +164,7 @@
         sessions: dict[str, t.Any] = {}
         for name, session in self._sessions.items():
             rows = {
-                str(sequence): [entry.settled or "unknown", entry.body_digest, entry.status]
+                str(sequence): [entry.outcome or "unknown", entry.body_digest, entry.status]
                 + [entry.answer.decode("utf-8", "replace")]
                 for sequence, entry in session.entries.items()
             }
--- a/packages/rookspring-core/src/rookspring_core/recovering.py
+++ b/packages/rookspring-core/src/rookspring_core/recovering.py
@@ -4,10 +4,10 @@
 otherwise it ends with the outcome that is known: ``not_run`` or ``unknown``.
 """
 
-from . import admission
-from . import comebacks
+from . import admission_queue
 from . import defaults
 from . import requests
+from . import retry_after
 from . import routed
 from . import slotting
 from . import suspect_handlers
@@ -60,7 +60,7 @@
 @handles(AttemptFailed)
 def recover_request(state: NodeState, event: AttemptFailed) -> Effects:
     """Retry after a failed attempt where that is safe and allowed; else end the request."""
-    request = requests.current(state, event.request_id, event.attempt)
+    request = requests.find_running(state, event.request_id, event.attempt)
     if request is None:
         return []
     # Once any attempt may have run, a later "not run" from another endpoint does not undo it.
@@ -80,10 +80,10 @@
         status = 504
     text = f"endpoint failed: {event.reason}"
     after_s = max(
-        defaults.RETRY_AFTER_FAILURE_S, comebacks.rest_back_s(state, request) if terms else 0.0
+        defaults.RETRY_AFTER_FAILURE_S, retry_after.cooldown_retry_after_s(state, request) if terms else 0.0
     )
-    ended = requests.give_up(state, request, status, "endpoint_failed", text, after_s)
-    return effects + ended + requests.pump(state)
+    ended = requests.fail_request(state, request, status, "endpoint_failed", text, after_s)
+    return effects + ended + requests.dispatch_waiting(state)
 
 
 def _count_failure(state: NodeState, request: RequestState, event: AttemptFailed) -> Effects:
@@ -130,17 +130,21 @@
 
 def _requeue(state: NodeState, request: RequestState) -> Effects:
     arrived = request.arrived
-    pool = state.pools.setdefault(requests.pool_of(state, arrived), admission.Pace())
-    queue = state.queues.setdefault(requests.queue_key(arrived), admission.AdmissionQueue(pool))
+    pool = state.pools.setdefault(
+        requests.pool_of(state, arrived), admission_queue.ThroughputMeter()
+    )
+    queue = state.queues.setdefault(
+        requests.queue_key(arrived), admission_queue.AdmissionQueue(pool)
+    )
     if arrived.route is not None:
-        return requests.wait_routed(state, request, queue) + requests.pump(state)
+        return requests.enqueue_routed(state, request, queue) + requests.dispatch_waiting(state)
     # A request that was sent before goes ahead of new ones: its caller has waited longer.
     sort_key = arrived.at - defaults.PRIORITY_HEADSTART_S["ledger"]
     rank = defaults.PRIORITY_RANK[arrived.priority]
     tokens = max(1, arrived.tokens - request.delivered)
     queue.push(
-        admission.Queued(
+        admission_queue.Queued(
             sort_key, arrived.at, arrived.request_id, tokens, rank, arrived.deadline_at
         )
     )
-    return requests.pump(state)
+    return requests.dispatch_waiting(state)
--- a/packages/rookspring-core/src/rookspring_core/requests.py
+++ b/packages/rookspring-core/src/rookspring_core/requests.py
@@ -2,12 +2,12 @@
 
 import heapq
 import typing as t
-from . import admission
+from . import admission_queue
 from . import allotting
-from . import comebacks
 from . import defaults
 from . import keys
 from . import retries
+from . import retry_after
 from . import routed
 from . import routing
 from . import slotting
@@ -57,7 +57,7 @@
     return tokens / max(1e-9, *rates)
 
 
-def pump(state: NodeState) -> Effects:
+def dispatch_waiting(state: NodeState) -> Effects:
     """Send as many queued requests as endpoints have room for.
 
     Models share runners, so the heads of all queues are merged in one order. A queue whose
@@ -67,7 +67,7 @@
     if not state.queues:
         return effects
     heads = [
-        (queued.order, target)
+        (queued.sort_key, target)
         for target, queue in state.queues.items()
         if (queued := queue.peek()) is not None
     ]
@@ -91,7 +91,9 @@
             continue
         queue.remove(queued.request_id)
         if endpoint.rate is not None and request.arrived.route is not None:
-            until = queued.deadline_at if routed.all_rated(state, request.arrived) else state.now
+            until = (
+                queued.deadline_at if routed.all_rate_limited(state, request.arrived) else state.now
+            )
             effects += slotting.ask_turn(state, request, endpoint, until)
         else:
             effects += send(state, request, endpoint)
@@ -101,17 +103,17 @@
 
 def send(state: NodeState, request: RequestState, endpoint: EndpointView) -> Effects:
     """Send a request that was removed from its queue."""
-    state.pools[pool_of(state, request.arrived)].served(request.arrived.tokens)
+    state.pools[pool_of(state, request.arrived)].add_sent(request.arrived.tokens)
     sent = dispatch(state, request, endpoint)
     return sent + routed.begin_prompt(state, request, endpoint)
 
 
 def _push_head(
-    heads: list[tuple[float, str]], queue: admission.AdmissionQueue, target: str
+    heads: list[tuple[float, str]], queue: admission_queue.AdmissionQueue, target: str
 ) -> None:
     head = queue.peek()
     if head is not None:
-        heapq.heappush(heads, (head.order, target))
+        heapq.heappush(heads, (head.sort_key, target))
 
 
 def find_fault(state: NodeState, request: RequestState) -> suspect_handlers.Quarantine | None:
@@ -129,7 +131,7 @@
 ) -> Effects:
     """End a request that may not be sent now."""
     status = 502 if request.sent else bar.status
-    return give_up(state, request, status, bar.reason, bar.text, bar.after_s)
+    return fail_request(state, request, status, bar.reason, bar.text, bar.after_s)
 
 
 def pool_of(state: NodeState, arrived: RequestArrived) -> str:
@@ -162,7 +164,7 @@
     """
     arrived = request.arrived
     if arrived.route is not None:
-        candidates = routed.choose_among(state, request)
+        candidates = routed.list_candidates(state, request)
     else:
         candidates = _list_candidates(state, arrived)
     usable = [view for view in candidates if view.name not in request.tried] or candidates
@@ -207,7 +209,7 @@
         endpoint.hint((request.arrived.prefix,), state.now)
     wait_s = 0.0
     if request.arrived.route is not None:
-        routed.count(state, request)
+        routed.count_first_send(state, request)
     elif request.attempt > 1 and (request.delivered == 0 or request.attempts_without_token > 1):
         failed = request.attempts_without_token or request.attempt - 1
         wait_s = retries.back_off(failed, routing.stable_hash(identity))
@@ -216,7 +218,7 @@
     return [*effects, sent]
 
 
-def current(state: NodeState, request_id: str, attempt: int) -> RequestState | None:
+def find_running(state: NodeState, request_id: str, attempt: int) -> RequestState | None:
     """Return the request if this attempt of it runs now; None for an event of an earlier one."""
     request = state.requests.get(request_id)
     if request is None or request.attempt != attempt or not request.running:
@@ -227,7 +229,7 @@
 @handles(AttemptStarted)
 def note_start(state: NodeState, event: AttemptStarted) -> Effects:
     """Note that from now on the endpoint may have received a byte of the request."""
-    request = current(state, event.request_id, event.attempt)
+    request = find_running(state, event.request_id, event.attempt)
     if request is not None:
         request.sent = True
     return []
@@ -240,7 +242,7 @@
     The first ones show that the prompt was read; the time that took is measured if the endpoint
     had no other prompt to read and was not busy.
     """
-    request = current(state, event.request_id, event.attempt)
+    request = find_running(state, event.request_id, event.attempt)
     if request is not None:
         request.delivered += event.tokens
         request.attempts_without_token = 0
@@ -252,9 +254,11 @@
             endpoint.answered(request.dispatched_at)
         if request.delivered == event.tokens and request.endpoint_was_idle:
             took_s = state.now - request.dispatched_at
-            state.paces.note(request.arrived.target, request.arrived.prompt_tokens, took_s)
+            state.paces.note_first_event(
+                request.arrived.target, request.arrived.prompt_tokens, took_s
+            )
         if request.arrived.route is not None:
-            return routed.end_prompt(state, request) + pump(state)
+            return routed.end_prompt(state, request) + dispatch_waiting(state)
     return []
 
 
@@ -264,7 +268,7 @@
 
     Requests that wait for the same key get the same answer.
     """
-    request = current(state, event.request_id, event.attempt)
+    request = find_running(state, event.request_id, event.attempt)
     if request is None:
         return []
     endpoint = state.endpoints.get(request.endpoint)
@@ -272,37 +276,37 @@
         endpoint.succeed(state.now)
         endpoint.answered(request.dispatched_at)
     if not request.arrived.service:
-        state.paces.note_whole(state.now - request.dispatched_at)
+        state.paces.note_answer(state.now - request.dispatched_at)
     state.retry_budget.earn()
     effects = suspect_handlers.clear_suspect(state, request)
     key = request.arrived.once_key
     if key is not None:
-        for waiter in state.once.settle(key, "ran", event.status, event.answer):
+        for waiter in state.once.record_outcome(key, "ran", event.status, event.answer):
             effects.append(Replay(waiter, event.status, event.answer))
     effects += _close(state, request)
-    return effects + pump(state)
+    return effects + dispatch_waiting(state)
 
 
-def wait_routed(
-    state: NodeState, request: RequestState, queue: admission.AdmissionQueue
+def enqueue_routed(
+    state: NodeState, request: RequestState, queue: admission_queue.AdmissionQueue
 ) -> Effects:
     """Queue a routed request, or refuse it if all its endpoints cool down for longer."""
     effects = slotting.ask(state, request)
-    queued = routed.place(state, request.arrived, state.now, bool(effects))
-    if routed.rest_left_s(state, request.arrived) > queued.deadline_at - state.now:
+    queued = routed.make_queue_entry(state, request.arrived, state.now, bool(effects))
+    if routed.cooldown_left_s(state, request.arrived) > queued.deadline_at - state.now:
         return _refuse_cooling_down(state, request)
     queue.push(queued)
     return effects
 
 
-def end_hopeless(state: NodeState) -> Effects:
+def refuse_cooling_down(state: NodeState) -> Effects:
     """Refuse queued requests whose endpoints all cool down for longer than they may wait."""
     effects: Effects = []
     for queue in list(state.queues.values()):
         head = queue.peek()
         if head is None:
             continue
-        left_s = routed.rest_left_s(state, state.requests[head.request_id].arrived)
+        left_s = routed.cooldown_left_s(state, state.requests[head.request_id].arrived)
         for queued in queue.waiting() if left_s > 0.0 else ():
             if left_s > queued.deadline_at - state.now:
                 queue.remove(queued.request_id)
@@ -316,7 +320,7 @@
     return end_waiting(state, request)
 
 
-def give_up(
+def fail_request(
     state: NodeState,
     request: RequestState,
     status: int,
@@ -341,7 +345,7 @@
         if outcome == "not_run":
             waiters = state.once.release(arrived.once_key)
         else:
-            waiters = state.once.settle(arrived.once_key, "unknown", status, b"")
+            waiters = state.once.record_outcome(arrived.once_key, "unknown", status, b"")
         effects += [refusal._replace(request_id=waiter) for waiter in waiters]
     return effects + _close(state, request)
 
@@ -361,7 +365,7 @@
 
 
 @handles(CallerLeft)
-def leave_request(state: NodeState, event: CallerLeft) -> Effects:
+def handle_caller_left(state: NodeState, event: CallerLeft) -> Effects:
     """End a request whose caller has left, and cancel its attempt.
 
     A request with a key that is running is not cancelled.
@@ -388,30 +392,30 @@
         refusal = Refuse("", 503, "caller_left", "not_run", text, 0.1)
         waiters = state.once.release(key)
         effects += [refusal._replace(request_id=waiter) for waiter in waiters]
-    return effects + _close(state, request) + pump(state)
+    return effects + _close(state, request) + dispatch_waiting(state)
 
 
-def sweep(state: NodeState, passed: float) -> Effects:
+def sweep(state: NodeState, elapsed_s: float) -> Effects:
     """Refuse queued requests that can no longer meet their deadline, and send what has room.
 
     :param passed: since the last call, in seconds.
     """
     effects: Effects = []
     for pool in state.pools.values():
-        pool.measure(passed)
+        pool.measure(elapsed_s)
     for target, queue in list(state.queues.items()):
         effects += _expire(state, target, queue)
         if len(queue) == 0:
             del state.queues[target]
-    return effects + pump(state)
+    return effects + dispatch_waiting(state)
 
 
-def _expire(state: NodeState, target: str, queue: admission.AdmissionQueue) -> Effects:
+def _expire(state: NodeState, target: str, queue: admission_queue.AdmissionQueue) -> Effects:
     token_s = 0.0
     if state.admission_on:
         token_s = service_time(state, target, target in state.catalogue.services, 1)
     effects: Effects = []
-    for queued in queue.hopeless(state.now, token_s):
+    for queued in queue.infeasible(state.now, token_s):
         request = state.requests[queued.request_id]
         queue.remove(queued.request_id)
         effects += end_waiting(state, request)
@@ -422,13 +426,15 @@
     """Refuse a queued request that was not sent within its time, or would not be."""
     status = 502 if request.sent else 503
     if request.arrived.route is not None:
-        reason, text = routed.lacking(state, request.arrived)
-        routed.note_missed(state, request.arrived, reason)
-        return give_up(state, request, status, reason, text, comebacks.come_back(state, request))
+        reason, text = routed.explain_refusal(state, request.arrived)
+        routed.meter_missed_demand(state, request.arrived, reason)
+        return fail_request(
+            state, request, status, reason, text, retry_after.predict_retry_after_s(state, request)
+        )
     text = "cannot be served before its deadline any more"
-    return give_up(state, request, status, "late", text, 1.0)
+    return fail_request(state, request, status, "late", text, 1.0)
 
 
-def waiting(state: NodeState) -> t.Mapping[str, int]:
+def queue_lengths(state: NodeState) -> t.Mapping[str, int]:
     """Return the length of each queue by name."""
     return {target: len(queue) for target, queue in state.queues.items()}
--- a/packages/rookspring-core/src/rookspring_core/residency.py
+++ b/packages/rookspring-core/src/rookspring_core/residency.py
@@ -327,4 +327,4 @@
     report = report._replace(order_token=(0, order.taken_before + 1))
     effects: Effects = [put_report(state, view, report)]
     effects += attaching.serve_wants(state)
-    return effects + requests.pump(state)
+    return effects + requests.dispatch_waiting(state)
--- a/packages/rookspring-core/src/rookspring_core/retries.py
+++ b/packages/rookspring-core/src/rookspring_core/retries.py
@@ -10,10 +10,10 @@
 
 import collections
 import typing as t
-
 from . import defaults
 
 
+
 class RetryBudget:
     """A token bucket: each success adds ``share`` of a retry, each retry takes a whole one."""
 
@@ -92,11 +92,11 @@
             self._resends.popleft()
 
 
-def back_off(attempt: int, spread: int) -> float:
+def back_off(attempt: int, jitter_seed: int) -> float:
     """Return the wait before an attempt, in seconds: exponential with jitter.
 
     :param attempt: how many attempts failed before.
     :param jitter_seed: any number that differs by request, used in place of a random one.
     """
     longest_s = defaults.RETRY_BACKOFF_S * float(2 ** min(attempt, 6))
-    return longest_s * (0.5 + 0.5 * (spread % 1024) / 1024.0)
+    return longest_s * (0.5 + 0.5 * (jitter_seed % 1024) / 1024.0)
--- a/packages/rookspring-core/src/rookspring_core/comebacks.py
+++ b/packages/rookspring-core/src/rookspring_core/retry_after.py
@@ -13,18 +13,18 @@
 
 
 
-def come_back(state: NodeState, request: RequestState) -> float:
+def predict_retry_after_s(state: NodeState, request: RequestState) -> float:
     """Predict in how many seconds a refused request is likely to be served.
 
     Later where its model is still to be loaded; 0 where a byte may have reached an endpoint.
     """
     if request.sent:
         return 0.0
-    rest_s = rest_back_s(state, request)
+    rest_s = cooldown_retry_after_s(state, request)
     if rest_s > 0.0:
         return rest_s
     arrived = request.arrived
-    if request.permits_due and routed.turnless(state, request):
+    if request.permits_due and routed.lacks_permit(state, request):
         # An owner gives each request a different time, so no jitter is needed.
         due_s = max(defaults.PERMIT_RETRY_S, min(request.permits_due.values()) - state.now)
         return min(due_s, (arrived.deadline_at - state.now) * defaults.RETRY_AFTER_MAX_SHARE)
@@ -37,22 +37,22 @@
     # Jitter by request, so that callers refused together do not retry together.
     jitter = stable_hash("come back", arrived.request_id) % 1000 / 1000.0
     least_s, most_s = defaults.RETRY_AFTER_NO_ROOM_S
-    if arrived.route is not None and not arrived.service and not routed.stands(state, arrived):
-        ready_s = routed.ready_in_s(state, arrived.route.service, arrived.target)
+    if arrived.route is not None and not arrived.service and not routed.is_resident(state, arrived):
+        ready_s = routed.predict_model_ready_s(state, arrived.route.service, arrived.target)
         least_s = min(ready_s, defaults.RETRY_AFTER_ABSENT_MAX_S)
         most_s = least_s + defaults.RETRY_AFTER_SPREAD_S
     after_s = least_s + (most_s - least_s) * jitter
     return min(after_s, (arrived.deadline_at - state.now) * defaults.RETRY_AFTER_MAX_SHARE)
 
 
-def rest_back_s(state: NodeState, request: RequestState) -> float:
+def cooldown_retry_after_s(state: NodeState, request: RequestState) -> float:
     """Return the retry-after time while all endpoints that hold the model cool down, in seconds.
 
     0 where one of them does not, or where a byte may have reached an endpoint. Jitter by request
     over ``COME_BACK_SPREAD_S`` keeps callers from reaching the first endpoint that is available
     again all at once.
     """
-    left_s = routed.rest_left_s(state, request.arrived)
+    left_s = routed.cooldown_left_s(state, request.arrived)
     if left_s <= 0.0 or request.sent:
         return 0.0
     jitter = stable_hash("come back", request.arrived.request_id) % 1000 / 1000.0
--- a/packages/rookspring-core/src/rookspring_core/routed.py
+++ b/packages/rookspring-core/src/rookspring_core/routed.py
@@ -5,7 +5,7 @@
 """
 
 import math
-from . import admission
+from . import admission_queue
 from . import defaults
 from .effects import Effect
 from .effects import Refuse
@@ -36,9 +36,9 @@
     return None
 
 
-def place(
+def make_queue_entry(
     state: NodeState, arrived: RequestArrived, now: float, slot_asked: bool = False
-) -> admission.Queued:
+) -> admission_queue.Queued:
     """Make a request's queue entry: sorted by rank and arrival, with the time it may wait until.
 
     :param now: start of the wait.
@@ -49,15 +49,15 @@
     rank = arrived.route.rank
     sort_key = arrived.at + rank * defaults.RANK_HEADSTART_S
     patience_s = arrived.route.max_wait_s
-    if not arrived.service and not stands(state, arrived):
+    if not arrived.service and not is_resident(state, arrived):
         patience_s = _wait_for_model_s(state, arrived)
     if slot_asked:
         patience_s = arrived.route.objective_s
     until = min(arrived.deadline_at, now + patience_s)
-    return admission.Queued(sort_key, arrived.at, arrived.request_id, 0, rank, until)
+    return admission_queue.Queued(sort_key, arrived.at, arrived.request_id, 0, rank, until)
 
 
-def meter(state: NodeState, arrived: RequestArrived, work: float) -> None:
+def meter_demand(state: NodeState, arrived: RequestArrived, work: float) -> None:
     """Count a request's work as demand for its adapter, and as urgent demand for its model.
 
     Demand is urgent where the model could not be loaded within the route's objective.
@@ -75,7 +75,7 @@
         state.control.urgent_demand.meter.add(arrived.target, work)
 
 
-def note_missed(state: NodeState, arrived: RequestArrived, reason: str) -> None:
+def meter_missed_demand(state: NodeState, arrived: RequestArrived, reason: str) -> None:
     """Count a refused request as missed demand, if another replica of its model would help.
 
     That is so where endpoints that hold the model had no room, or none of them had a place
@@ -83,10 +83,10 @@
 
     :param reason: as :func:`explain_refusal` gives it.
     """
-    lacks_place = reason == "absent" and bool(arrived.adapter) and stands(state, arrived)
+    lacks_place = reason == "absent" and bool(arrived.adapter) and is_resident(state, arrived)
     lacks_room = reason in ("no_room", "no_turn", "resting")
     if (lacks_room or lacks_place) and not arrived.service:
-        work = arrived.tokens * state.paces.relative(arrived.target)
+        work = arrived.tokens * state.paces.relative_cost(arrived.target)
         state.control.refused_demand.meter.add(arrived.target, work)
 
 
@@ -105,12 +105,12 @@
     """
     terms = arrived.route
     assert terms is not None
-    wait_s = ready_in_s(state, terms.service, arrived.target) * defaults.READY_MARGIN
+    wait_s = predict_model_ready_s(state, terms.service, arrived.target) * defaults.READY_MARGIN
     in_time = wait_s <= terms.objective_s * defaults.READY_SHARE
     return max(terms.max_wait_s, wait_s) if in_time else 0.0
 
 
-def ready_in_s(state: NodeState, service: str, model: str) -> float:
+def predict_model_ready_s(state: NodeState, service: str, model: str) -> float:
     """Predict the seconds until a model that is on no endpoint is loaded on one; may be inf."""
     coming = [
         in_s
@@ -130,7 +130,7 @@
     return defaults.SWAP_S + min(times, default=math.inf)
 
 
-def window(state: NodeState, service: str) -> RetryWindow:
+def resend_window(state: NodeState, service: str) -> RetryWindow:
     """Return the resend window of a service at this node.
 
     The slack is divided by the most nodes that were ever seen, and some more that may join,
@@ -143,7 +143,7 @@
     return resends
 
 
-def choose_among(state: NodeState, request: RequestState) -> list[EndpointView]:
+def list_candidates(state: NodeState, request: RequestState) -> list[EndpointView]:
     """List the endpoints that may get a request now.
 
     Prefill of long prompts stalls all streams of an endpoint, so one with many unread prompt
@@ -159,21 +159,23 @@
     ]
     if arrived.adapter:
         holding = [view for view in holding if view.has_adapter(arrived.adapter)]
-    usable = [view for view in holding if _is_usable(state, view) and not _spared(state, view)]
+    usable = [
+        view for view in holding if _is_usable(state, view) and not _is_cooling_down(state, view)
+    ]
     ready = [view for view in usable if view.accepts_work(state.now)] or usable
-    reserved = {view.name: _kept_slots(state, view, arrived) for view in ready}
+    reserved = {view.name: _reserved_slots(state, view, arrived) for view in ready}
     ready = [
         view for view in ready if view.load(state.now) < 1.0 - reserved[view.name] / view.slots()
     ]
     if any(view.rate is not None for view in ready):
-        ready = _with_turns(state, request, ready)
+        ready = _exclude_rate_limited(state, request, ready)
     if arrived.service:
         return ready
     work = _prompt_work(state, arrived)
     return [view for view in ready if _has_prompt_room(view, work, reserved[view.name] > 0)]
 
 
-def _kept_slots(state: NodeState, endpoint: EndpointView, arrived: RequestArrived) -> int:
+def _reserved_slots(state: NodeState, endpoint: EndpointView, arrived: RequestArrived) -> int:
     """Return how many of an endpoint's slots are reserved for other adapters' requests.
 
     Each adapter that has just been attached gets a reserved slot. Otherwise requests for
@@ -194,7 +196,7 @@
     return not endpoint.leaving and not endpoint.gone and endpoint.may_listen(state.now)
 
 
-def _spared(state: NodeState, endpoint: EndpointView) -> bool:
+def _is_cooling_down(state: NodeState, endpoint: EndpointView) -> bool:
     """Return whether an endpoint is in a cool-down, or has not answered the first request after it.
 
     An endpoint that rejects requests at once has the lowest load, and would attract them all.
@@ -202,7 +204,7 @@
     return endpoint.in_backoff(state.now) or endpoint.probing_after_backoff(state.now)
 
 
-def _with_turns(
+def _exclude_rate_limited(
     state: NodeState, request: RequestState, ready: list[EndpointView]
 ) -> list[EndpointView]:
     """Leave out the rate-limited endpoints at which no permit may be requested now.
@@ -213,12 +215,12 @@
     """
     if request.arrived.service:
         return [view for view in ready if view.rate is None]
-    if all_rated(state, request.arrived):
+    if all_rate_limited(state, request.arrived):
         return [view for view in ready if view.rate is None or view.name not in request.permits_due]
     return [view for view in ready if view.rate is None or view.turn_at <= state.now]
 
 
-def _rated_hosts(state: NodeState, arrived: RequestArrived) -> list[EndpointView]:
+def _rate_limited_hosts(state: NodeState, arrived: RequestArrived) -> list[EndpointView]:
     """List the endpoints that may serve a request if all are rate-limited; else an empty list."""
     assert arrived.route is not None
     usable = [
@@ -231,18 +233,18 @@
     return [] if any(view.rate is None for view in usable) else usable
 
 
-def all_rated(state: NodeState, arrived: RequestArrived) -> bool:
+def all_rate_limited(state: NodeState, arrived: RequestArrived) -> bool:
     """Return whether all endpoints that may serve a request are rate-limited."""
-    return bool(_rated_hosts(state, arrived))
+    return bool(_rate_limited_hosts(state, arrived))
 
 
-def turnless(state: NodeState, request: RequestState) -> bool:
+def lacks_permit(state: NodeState, request: RequestState) -> bool:
     """Return whether all endpoints that may serve a request have no permit for it in time."""
-    hosts = _rated_hosts(state, request.arrived)
+    hosts = _rate_limited_hosts(state, request.arrived)
     return bool(hosts) and all(view.name in request.permits_due for view in hosts)
 
 
-def rest_left_s(state: NodeState, arrived: RequestArrived) -> float:
+def cooldown_left_s(state: NodeState, arrived: RequestArrived) -> float:
     """Return the seconds until one of the endpoints that hold a request's model is available.
 
     0 where one of them is not in a cool-down, or no endpoint holds the model.
@@ -256,7 +258,7 @@
     return max(0.0, min(ends) - state.now) if ends else 0.0
 
 
-def stands(state: NodeState, arrived: RequestArrived) -> bool:
+def is_resident(state: NodeState, arrived: RequestArrived) -> bool:
     """Return whether a request's model is resident on an endpoint that may get requests."""
     assert arrived.route is not None
     return any(
@@ -267,7 +269,7 @@
 
 def _prompt_work(state: NodeState, arrived: RequestArrived) -> int:
     """Return a prompt's size in tokens of the slowest model that take the same prefill time."""
-    return round(arrived.prompt_tokens * state.paces.relative(arrived.target))
+    return round(arrived.prompt_tokens * state.paces.relative_cost(arrived.target))
 
 
 def _has_prompt_room(endpoint: EndpointView, tokens: int, others_first: bool) -> bool:
@@ -298,11 +300,11 @@
     return [SharePrompts(endpoint.name, endpoint.own_prompts())]
 
 
-def count(state: NodeState, request: RequestState) -> None:
+def count_first_send(state: NodeState, request: RequestState) -> None:
     """Count a request's first send, which earns its service a part of a resend."""
     terms = request.arrived.route
     if terms is not None and request.sends == 0 and request.attempt == 1:
-        window(state, terms.service).earn(state.now)
+        resend_window(state, terms.service).earn(state.now)
 
 
 def may_retry(state: NodeState, request: RequestState, event: AttemptFailed) -> bool:
@@ -324,7 +326,7 @@
         return False
     if request.sends >= terms.attempts:
         return False
-    return window(state, terms.service).spend(state.now)
+    return resend_window(state, terms.service).spend(state.now)
 
 
 def _resend_is_safe(request: RequestState) -> bool:
@@ -332,7 +334,7 @@
     return request.arrived.repeatable or request.sends == 0 or request.attempt_not_run
 
 
-def lacking(state: NodeState, arrived: RequestArrived) -> tuple[str, str]:
+def explain_refusal(state: NodeState, arrived: RequestArrived) -> tuple[str, str]:
     """Return why no endpoint took a request: a reason code, and a text for logs and the caller."""
     assert arrived.route is not None
     service = arrived.route.service
@@ -343,9 +345,9 @@
     fitting = [view for view in hosts if not arrived.adapter or view.has_adapter(arrived.adapter)]
     if not fitting:
         return "absent", f"{arrived.adapter} is on none of {len(hosts)} endpoints with its model"
-    if rest_left_s(state, arrived) > 0.0:
+    if cooldown_left_s(state, arrived) > 0.0:
         return "resting", f"all {len(hosts)} endpoints that hold it asked for rest"
-    if all_rated(state, arrived):
+    if all_rate_limited(state, arrived):
         rate = sum(view.rate or 0.0 for view in hosts)
         return "no_turn", f"all {len(hosts)} endpoints that hold it take {rate:g} requests a second"
     ready = [view for view in fitting if view.accepts_work(state.now)]
--- a/packages/rookspring-core/src/rookspring_core/routing.py
+++ b/packages/rookspring-core/src/rookspring_core/routing.py
@@ -26,17 +26,17 @@
     data_centre: str
 
 
-Route = t.Callable[[RouteQuery, list[EndpointView]], EndpointView]
-ROUTING: dict[str, Route] = {}
+RoutingPolicy = t.Callable[[RouteQuery, list[EndpointView]], EndpointView]
+ROUTING: dict[str, RoutingPolicy] = {}
 
 
-def routing(name: str) -> t.Callable[[Route], Route]:
+def routing(name: str) -> t.Callable[[RoutingPolicy], RoutingPolicy]:
     """Register a routing policy.
 
     :param name: its value in ``Policy.routing``.
     """
 
-    def register(function: Route) -> Route:
+    def register(function: RoutingPolicy) -> RoutingPolicy:
         ROUTING[name] = function
         REGISTERED["routing"].append(name)
         return function
@@ -44,7 +44,7 @@
     return register
 
 
-def find_routing(name: str) -> Route:
+def find_routing(name: str) -> RoutingPolicy:
     """Look up a policy.
 
     :raises UnknownPolicy: when no module registered the name.
--- a/packages/rookspring-core/src/rookspring_core/state.py
+++ b/packages/rookspring-core/src/rookspring_core/state.py
@@ -3,8 +3,8 @@
 import typing as t
 from . import defaults
 from .adapter_waits import AdapterWaits
-from .admission import AdmissionQueue
-from .admission import Pace
+from .admission_queue import AdmissionQueue
+from .admission_queue import ThroughputMeter
 from .allotments import Allotments
 from .catalogue import Catalogue
 from .control import ControlState
@@ -14,12 +14,12 @@
 from .freshness import Freshness
 from .freshness import ProofTerms
 from .invariant_checkers import NoticeChecker
+from .latencies import LatencyTable
 from .limits import LimitTable
 from .membership import Membership
 from .notices import NoticeTable
 from .once import OnceTable
 from .owners import OwnerTable
-from .paces import PaceTable
 from .request_rates import RateTable
 from .retries import RetryBudget
 from .retries import RetryWindow
@@ -180,14 +180,14 @@
         self.endpoints: dict[str, EndpointView] = {}
         self.hosts: dict[str, dict[str, EndpointView]] = {}
         self.peers_work = PeerLoad()
-        self.paces = PaceTable()
+        self.paces = LatencyTable()
         self.suspects = SuspectTable()
         self.notices = NoticeTable()
         self.rates = RateTable()
         self.adapter_waits = AdapterWaits()
         self.requests: dict[str, RequestState] = {}
         self.queues: dict[str, AdmissionQueue] = {}
-        self.pools: dict[str, Pace] = {}
+        self.pools: dict[str, ThroughputMeter] = {}
         self.limits = LimitTable()
         self.freshness = Freshness()
         self.proof_terms = ProofTerms()
--- a/packages/rookspring-core/src/rookspring_core/streams.py
+++ b/packages/rookspring-core/src/rookspring_core/streams.py
@@ -40,11 +40,11 @@
         self.offset += len(fresh)
         return fresh
 
-    def renew(self, attempt: int) -> None:
+    def switch_attempt(self, attempt: int) -> None:
         """Switch to another attempt; chunks of the previous one are dropped from now on."""
         self.attempt = attempt
 
-    def whole(self, total: int) -> bool:
+    def is_complete(self, total: int) -> bool:
         """Return whether all tokens of the answer were passed on.
 
         :param total: the answer's length in tokens, as its last chunk gives it.
--- a/packages/rookspring-core/src/rookspring_core/wants.py
+++ b/packages/rookspring-core/src/rookspring_core/wants.py
@@ -1,6 +1,6 @@
 """Wants: requests for models or adapters that no endpoint holds, sent to the lease holder."""
 
-from . import comebacks
+from . import retry_after
 from .effects import Effect
 from .effects import RequestLoad
 from .events import RequestArrived
@@ -21,5 +21,5 @@
     request = state.requests[event.request_id]
     if event.adapter:
         state.adapter_waits.begin(event.adapter, state.now)
-    back_s = terms.max_wait_s + comebacks.come_back(state, request)
+    back_s = terms.max_wait_s + retry_after.predict_retry_after_s(state, request)
     return [RequestLoad(terms.service, event.target, event.adapter, back_s)]
--- a/packages/rookspring/src/rookspring/attempts.py
+++ b/packages/rookspring/src/rookspring/attempts.py
@@ -141,7 +141,7 @@
 ) -> None:
     """Pass chunks on under the stream's guard; tell the reducer of them in batches."""
     guard = exchange.guard
-    guard.renew(effect.attempt)
+    guard.switch_attempt(effect.attempt)
     pending = 0
 
     def progress() -> None:
@@ -154,7 +154,7 @@
     try:
         async for chunk in chunks:
             if chunk.total >= 0:
-                if not guard.whole(chunk.total):
+                if not guard.is_complete(chunk.total):
                     raise EndpointError("the answer is shorter than its total", sent=True)
                 progress()
                 await _conclude(node, effect, exchange)
--- a/packages/rookspring/src/rookspring/operators.py
+++ b/packages/rookspring/src/rookspring/operators.py
@@ -4,23 +4,8 @@
 within seconds and shows in each resource's ``status``.
 """
 
-import typing as t
-
 import orjson
-from returns.result import Failure
-from sanic import Blueprint
-from sanic import Request
-from sanic.response import HTTPResponse
-from sanic.response import raw
-
-from rookspring_core import Resource
-from rookspring_core import ResourceInvalid
-from rookspring_core import check_resource
-from rookspring_core import governing
-from rookspring_core import requests as core_requests
-from rookspring_core.organisations import digest_of
-from rookspring_core.resources import KINDS
-
+import typing as t
 from . import clock
 from .callers import json_answer
 from .exceptions import CallerError
@@ -31,6 +16,21 @@
 from .exceptions import PlatformTooOld
 from .node_context import NodeContext
 from .platform import Stored
+from returns.result import Failure
+from rookspring_core import Resource
+from rookspring_core import ResourceInvalid
+from rookspring_core import check_resource
+from rookspring_core import governing
+from rookspring_core import requests as core_requests
+from rookspring_core.organisations import digest_of
+from rookspring_core.resources import KINDS
+from sanic import Blueprint
+from sanic import Request
+from sanic.response import HTTPResponse
+from sanic.response import raw
+
+
+
 
 _STATUS: dict[type[PlatformError], int] = {
     PlatformConflict: 409,
@@ -318,7 +318,7 @@
         "models_not_resident": sorted(unplaced),
         "platform_reachable": state.platform_reachable,
         "requests": len(state.requests),
-        "waiting": dict(core_requests.waiting(state)),
+        "waiting": dict(core_requests.queue_lengths(state)),
         "sessions": sessions,
         "keys": keys,
         "moves": state.control.moves,
