--- a/bench/passing_mutants.py
+++ b/bench/passing_mutants.py
@@ -38,7 +38,7 @@
 
 
 def _forgets_line(state: t.Any, view: t.Any, room: t.Any, adapter: str) -> list[t.Any]:
-    stay = room.stays.pop(adapter, None)
+    stay = room.attachments.pop(adapter, None)
     if stay is None:
         return []
     return [AdapterLeft(view.name, adapter, state.now - stay.since, stay.used)]
@@ -74,10 +74,14 @@
     Mutant("waits anew", "reach", Lease, "_turn_after_release", _waits_anew, HANDOVER),
     Mutant("orders at once", "ONE", Lease, "_turn_after_release", _at_once, HANDOVER),
     Mutant("asks upon what is outdated", "reach", Lease, "_note_outdated", _asks_later, HANDOVER),
-    Mutant("forgets who was in line", "reach", attaching, "_end_stay", _forgets_line, ADAPTERS),
+    Mutant(
+        "forgets who was in line", "reach", attaching, "_end_attachment", _forgets_line, ADAPTERS
+    ),
     Mutant("gives no first call", "reach", routed, "_reserved_slots", _keeps_none, ADAPTERS),
-    Mutant("keeps what nobody wants", "reach", residency, "_kept_until", _keeps_for_long, RELAY),
-    Mutant("keeps nothing", "reach", residency, "_kept_until", _keeps_nothing, RELAY),
+    Mutant(
+        "keeps what nobody wants", "reach", residency, "_protected_until", _keeps_for_long, RELAY
+    ),
+    Mutant("keeps nothing", "reach", residency, "_protected_until", _keeps_nothing, RELAY),
     Mutant(
         "has callers back too soon",
         "callers",
--- a/bench/relay_mutants.py
+++ b/bench/relay_mutants.py
@@ -36,6 +36,7 @@
 from rookspring_core import restarts
 from rookspring_core import routed
 from rookspring_core import swapping
+from rookspring_core.accounts import EndpointAccount
 from rookspring_core.adapter_waits import AdapterWaits
 from rookspring_core.endpoints import EndpointView
 from rookspring_core.events import RouteTableSeen
@@ -45,7 +46,6 @@
 from rookspring_core.placement import PlanInput
 from rookspring_core.reducer import HANDLERS
 from rookspring_core.retries import RetryWindow
-from rookspring_core.rooms import Room
 from rookspring_core.topology import Topology
 from rookspring_platform import dialect
 from rookspring_platform import store
@@ -77,7 +77,7 @@
 
 def _all_near(self: swapping.SwapBoard, given: t.Any) -> None:
     _open_board(self, given)
-    self.quick = set(given.models)
+    self.quick_to_load = set(given.models)
 
 
 def _nobody(state: t.Any) -> set[t.Any]:
@@ -93,7 +93,7 @@
 
 
 def _free_though_ordered(state: t.Any, view: EndpointView) -> bool:
-    room = state.residency.rooms.get(view.name)
+    room = state.residency.accounts.get(view.name)
     return room is not None and view.report is not None
 
 
@@ -101,11 +101,13 @@
     return not self.leaving
 
 
-def _no_names(self: Room) -> list[str]:
+def _no_names(self: EndpointAccount) -> list[str]:
     return []
 
 
-def _alone(self: swapping.SwapBoard, model: str, runner: str, pairs: bool = True) -> float:
+def _alone(
+    self: swapping.SwapBoard, model: str, runner: str, value_redundancy: bool = True
+) -> float:
     return 0.0
 
 
@@ -175,8 +177,8 @@
     return "new" if known is not None and known.started_ms != event.started_ms else "same"
 
 
-def _blank_room(before: Room) -> Room:
-    return Room()
+def _blank_room(before: EndpointAccount) -> EndpointAccount:
+    return EndpointAccount()
 
 
 def _nothing_awaited(state: t.Any, service: str, models: t.Any) -> dict[str, float]:
@@ -184,11 +186,11 @@
 
 
 def _gone_or_not(state: t.Any, view: EndpointView) -> bool:
-    room = state.residency.rooms.get(view.name)
+    room = state.residency.accounts.get(view.name)
     return room is not None and room.trusted and view.report is not None
 
 
-def _none_kept(self: Room, now: float) -> frozenset[str]:
+def _none_kept(self: EndpointAccount, now: float) -> frozenset[str]:
     return frozenset()
 
 
@@ -224,13 +226,26 @@
     Mutant(
         "forgets orders to the life before", "memory", restarts, "_reset_room", _blank_room, LIVES
     ),
-    Mutant("keeps no adapter for its callers", "reachable", Room, "keeps", _never, ADAPTERS),
-    Mutant("keeps no model for its callers", "reachable", Room, "kept_models", _none_kept),
+    Mutant(
+        "keeps no adapter for its callers",
+        "reachable",
+        EndpointAccount,
+        "protects",
+        _never,
+        ADAPTERS,
+    ),
+    Mutant(
+        "keeps no model for its callers",
+        "reachable",
+        EndpointAccount,
+        "protected_models",
+        _none_kept,
+    ),
     Mutant(
         "loads where adapters wait",
         "reachable",
         planning,
-        "_sum_awaited",
+        "_sum_unattached_demand",
         _nothing_awaited,
         ADAPTERS,
     ),
@@ -255,7 +270,7 @@
     ),
     Mutant("takes older entries", "drain", EndpointList, "_keep", _keep_any, SIZE),
     Mutant("sums relays as followers", "placement", relay_beats, "group_of", _everyone_known, SIZE),
-    Mutant("lets no claim grow", "reachable", PlanInput, "claim", PlanInput.asked_for),
+    Mutant("lets no claim grow", "reachable", PlanInput, "aged_demand", PlanInput.requested_rate),
     Mutant("takes no load for none", "attainment", EndpointView, "_others", _others_of_report),
     Mutant("resends what may have run", "at most once", routed, "may_retry", _resend_always),
     Mutant("resends without a budget", "retry budget", RetryWindow, "spend", _always),
@@ -263,14 +278,14 @@
     Mutant("takes an older table", "never reverts", cluster, "take_table", _older_table),
     Mutant("orders without a gap", "one holder", Lease, "_next_turn", _at_once),
     Mutant("takes a lease that is held", "one holder", Lease, "_own", _always),
-    Mutant("orders one upon another", "memory", attaching, "usable", _free_though_ordered),
-    Mutant("forgets late orders", "memory", planning, "doubted_mb", _zero),
-    Mutant("forgets late adapters", "memory", attaching, "doubted_places", _zero),
+    Mutant("orders one upon another", "memory", attaching, "accepts_orders", _free_though_ordered),
+    Mutant("forgets late orders", "memory", planning, "unanswered_mb", _zero),
+    Mutant("forgets late adapters", "memory", attaching, "unanswered_slots", _zero),
     Mutant("unloads what is in use", "attainment", attaching, "list_used", _nobody),
     Mutant("counts no memory", "memory", planning, "used_mb", _zero),
-    Mutant("spends no store rate", "load ceiling", planning, "from_store", _never),
+    Mutant("spends no store rate", "load ceiling", planning, "loads_from_store", _never),
     Mutant("drops a last far copy", "reachable", swapping.SwapBoard, "__init__", _all_near),
-    Mutant("takes rows as they come", "memory", residency, "refine", _as_told),
+    Mutant("takes rows as they come", "memory", residency, "complete_report", _as_told),
     Mutant("sends to what has gone", "drain", EndpointView, "accepts_work", _open_though_gone),
     Mutant("sends to the silent", "attainment", EndpointView, "silent", _never),
     Mutant(
@@ -283,7 +298,13 @@
     Mutant("never lets the lease be", "platform calls", governing, "holder_heard", _never),
     Mutant("passes on what only we may set", "unasked", dialect, "SYSTEM_HEADERS", frozenset()),
     Mutant("sends to what is down", "attainment", EndpointView, "may_listen", _always),
-    Mutant("forgets a withdrawn model's adapters", "memory", Room, "withdrawn_adapters", _no_names),
+    Mutant(
+        "forgets a withdrawn model's adapters",
+        "memory",
+        EndpointAccount,
+        "withdrawn_adapters",
+        _no_names,
+    ),
     Mutant(
         "unloads models that are in use", "attainment", planning.attaching, "list_used", _nobody
     ),
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -34,7 +34,7 @@
 from rookspring_core.events import RevisionSeen
 from rookspring_core.events import Ticked
 from rookspring_core.placement import PlanInput
-from rookspring_core.placement import RunnerRoom
+from rookspring_core.placement import RunnerSnapshot
 from rookspring_core.placement import find_placement
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
@@ -195,7 +195,7 @@
 def _plan_input(models: int, runners: int) -> PlanInput:
     specs = {f"m-{number:04d}": ModelSpec("v1", 10.0, "e") for number in range(models)}
     rooms = tuple(
-        RunnerRoom(
+        RunnerSnapshot(
             f"r-{number}",
             f"dc-{number % 7}",
             "e",
--- a/features/placement_world.py
+++ b/features/placement_world.py
@@ -8,14 +8,14 @@
 import dataclasses
 import math
 import random
-
 from rookspring_core import defaults
 from rookspring_core.placement import PlanInput
-from rookspring_core.placement import RunnerRoom
+from rookspring_core.placement import RunnerSnapshot
 from rookspring_core.placement import find_placement
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
+
 PLAN_S = 0.5
 MODEL_GB = 95.0
 RUNNER_GB = 200.0
@@ -160,7 +160,7 @@
             self.levels,
             urgent={name: level / 2.0 for name, level in self.levels.items()},
             longest_s=2.0,
-            owed=dict(self.deficits),
+            deficit=dict(self.deficits),
             declined={},
         )
 
@@ -168,14 +168,14 @@
         order = runner.order
         left_s = order.due_at + defaults.RUNNER_BUSY_S - self.now if order else 0.0
         coming = {order.model} if order is not None and order.action == "load" else set()
-        return RunnerRoom(
+        return RunnerSnapshot(
             name=name,
             data_centre="z",
             engine="llm",
             free_gb=RUNNER_GB - MODEL_GB * len(runner.held | coming),
             token_rate=RUNNER_RATE,
             resident=frozenset((model, "") for model in runner.held),
-            coming=frozenset((model, "") for model in coming),
+            loading=frozenset((model, "") for model in coming),
             busy=order is not None,
             load_s={model: self._load_time_s(runner, model) for model in self.models},
             free_in_s=left_s if left_s >= 0.0 else math.inf,
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -1,15 +1,15 @@
 import re
-
 from behave import given
 from behave import then
 from behave import when
-from samples import report
-
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LeaseWritten
 from rookspring_core.leases import Lease
 from rookspring_core.memory import Ledger
 from rookspring_core.memory import PendingOrder
+from samples import report
+
+
 
 
 class Registry:
@@ -26,11 +26,11 @@
     def read(self):
         for name, lease in self.leases.items():
             if name not in self.paused:
-                lease.see(LeaseSeen(self.now, self.version, *self.value), name)
+                lease.take_read(LeaseSeen(self.now, self.version, *self.value), name)
 
     def write(self, name, answered=True):
         lease = self.leases[name]
-        wish = lease.wish(self.now, name, name, True)
+        wish = lease.due_write(self.now, name, name, True)
         if wish is None:
             return
         won = wish.version == self.version
@@ -70,7 +70,7 @@
 
 
 def give_up(registry):
-    wish = registry.leases["one"].give_up(registry.now)
+    wish = registry.leases["one"].release(registry.now)
     assert wish.version == registry.version
     registry.version += 1
     registry.value = ("", wish.epoch, "")
@@ -84,7 +84,8 @@
 
 def write_both(registry):
     wishes = {
-        name: lease.wish(registry.now, name, name, True) for name, lease in registry.leases.items()
+        name: lease.due_write(registry.now, name, name, True)
+        for name, lease in registry.leases.items()
     }
     for name, wish in wishes.items():
         won = wish.version == registry.version
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -1,13 +1,13 @@
 from behave import given
 from behave import then
 from behave import when
+from rookspring_core.accounts import unanswered_mb
 from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
 from rookspring_core.events import DownReceived
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LoadRequested
 from rookspring_core.events import Ticked
-from rookspring_core.rooms import doubted_mb
 
 
 BORN = 1_700_000_000_000
@@ -64,7 +64,7 @@
 def _load(holder):
     holder.answer = "none"
     holder.submit(Ticked(holder.now))
-    room = holder.state.residency.rooms["e1"]
+    room = holder.state.residency.accounts["e1"]
     for _ in range(40):
         holder.demand("n", 60_000.0)
         holder.pass_time(0.1)
@@ -87,7 +87,7 @@
     want(holder, "a1")
     want(holder, "a3")
     holder.pass_time(0.2)
-    assert holder.state.residency.rooms["e1"].withdrawn
+    assert holder.state.residency.accounts["e1"].withdrawn
 
 
 @state("it is leaving")
@@ -237,9 +237,9 @@
 def counts_as_taken(context):
     holder = context.holder
     engine = holder.state.table.services["llm"].engine
-    room = holder.state.residency.rooms["e1"]
-    assert doubted_mb(engine, room, holder.now, "") == 60_000.0
-    assert doubted_mb(engine, room, holder.now + 13.0, "") == 0.0
+    room = holder.state.residency.accounts["e1"]
+    assert unanswered_mb(engine, room, holder.now, "") == 60_000.0
+    assert unanswered_mb(engine, room, holder.now + 13.0, "") == 0.0
 
 
 ENDPOINT = "e0"
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -2,17 +2,17 @@
 
 import collections
 import random
-
 from behave import given
 from behave import then
 from behave import when
-
 from rookspring_core import defaults
 from rookspring_core import placement
 from rookspring_core import swapping as swapping
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
+
+
 MODEL_GB = 70.0
 RUNNER_GB = 230.0
 MODELS_PER_RUNNER = 3
@@ -35,14 +35,14 @@
     def snapshot(self, specs, now):
         coming = {(self.order[1], "")} if self.order and self.order[0] == "load" else set()
         held = len(self.models) + len(coming)
-        return placement.RunnerRoom(
+        return placement.RunnerSnapshot(
             name=self.name,
             data_centre="z",
             engine="llm",
             free_gb=RUNNER_GB - MODEL_GB * held,
             token_rate=4000.0,
             resident=frozenset((one, "") for one in self.models),
-            coming=frozenset(coming),
+            loading=frozenset(coming),
             busy=self.order is not None,
             load_s={name: DISK_S if name in self.copies else STORE_S for name in specs},
             free_in_s=self.order[2] - now if self.order else 0.0,
@@ -114,7 +114,9 @@
             context.demand,
             PolicySpec(loads_per_s=13.0),
             urgent=context.demand,
-            owed={model: (now - at) * context.demand[model] for model, at in absent_since.items()},
+            deficit={
+                model: (now - at) * context.demand[model] for model, at in absent_since.items()
+            },
         )
         by_name = {runner.name: runner for runner in context.pool}
         for move in placement.find_placement(defaults.RELAY_PLACEMENT)(given_):
--- a/features/steps/relay_lease_steps.py
+++ b/features/steps/relay_lease_steps.py
@@ -27,7 +27,7 @@
     node = context.relay_node
     heard = HeartbeatReceived(node.now, "p0", "i", "a", "c", "z", 1, False, uptime_s=100.0)
     node.submit(heard._replace(lease_epoch=3 if held == "holds" else 0))
-    node.state.control.lease.see(LeaseSeen(node.now, 7, "p0", 3, "x"), "n")
+    node.state.control.lease.take_read(LeaseSeen(node.now, 7, "p0", 3, "x"), "n")
     node.state.now = node.now + ago
 
 
@@ -66,7 +66,7 @@
         seen = LeaseSeen(100.0, 7, "", 3, "", turn_in_s=turn_in_s)
     else:
         seen = LeaseSeen(100.0, 7, holder, 3, "old/1", "no orders" not in before)
-    context.lease.see(seen, "n")
+    context.lease.take_read(seen, "n")
     if before.endswith("has ended"):
         context.lease.note_end(3, 100.0)
 
@@ -95,7 +95,7 @@
     lease = context.lease
     for tenth in range(100):
         now = 100.0 + tenth / 10
-        wish = lease.wish(now, "n", "n#2", True)
+        wish = lease.due_write(now, "n", "n#2", True)
         if wish is not None:
             assert wish.epoch == lease.epoch + 1
             assert lease.answer(LeaseWritten(now, now, wish.nonce, True, 8), "n")
--- a/features/steps/relay_order_steps.py
+++ b/features/steps/relay_order_steps.py
@@ -15,7 +15,7 @@
 from rookspring_core.events import LoadRequested
 from rookspring_core.events import OrderAnswered
 from rookspring_core.events import RouteTableSeen
-from rookspring_core.orders import usable
+from rookspring_core.orders import accepts_orders
 
 
 
@@ -108,7 +108,7 @@
     holder.answer = {"never": "lost always"}.get(answer, answer)
     want(holder, "a1")
     holder.answer = "taken"
-    holder.state.residency.wanted.clear()
+    holder.state.residency.wants.clear()
     holder.pass_time(0.5)
     if then.startswith("the list tells less"):
         holder.submit(holder.report("e1", ["m"], ["m/a2"], (0, -1)))
@@ -171,7 +171,7 @@
         holder.pass_time(0.1)
     assert holder.orders[0].model == "x", holder.orders
     # From here on orders are carried out; the loads of x may still arrive.
-    for room in holder.state.residency.rooms.values():
+    for room in holder.state.residency.accounts.values():
         room.order = None
     holder.answer = "taken"
     holder.orders.clear()
@@ -338,7 +338,7 @@
 @when("m goes from the runner by a late order, and its report is read")
 def goes_late(context):
     holder = context.holder
-    assert holder.state.residency.rooms["e1"].withdrawn_models() == ["m"]
+    assert holder.state.residency.accounts["e1"].withdrawn_models() == ["m"]
     runner = holder.runners["e1"]
     runner["models"].remove("m")
     runner["taken"] += 1
@@ -347,7 +347,7 @@
 
 @then("the holder counts nothing of m there any more")
 def nothing_of_m(context):
-    assert not context.holder.state.residency.rooms["e1"].withdrawn
+    assert not context.holder.state.residency.accounts["e1"].withdrawn
 
 
 @when("a runner answers a load of x that it holds it already, and counts no order")
@@ -371,7 +371,7 @@
     name = context.ordered.endpoint
     holder.pass_time(seconds)
     assert [endpoint for endpoint, _ in holder.reads] == [name], holder.reads
-    assert usable(holder.state, holder.state.endpoints[name])
+    assert accepts_orders(holder.state, holder.state.endpoints[name])
 
 
 @when("the request ends")
@@ -384,7 +384,7 @@
 def order_taken(context, order, times):
     holder = context.holder
     for _ in range(times):
-        holder.state.residency.note_lag()
+        holder.state.residency.raise_report_lag()
     holder.reads.clear()
     if order == "a load":
         holder.submit(RouteTableSeen(holder.now, make_table(2, sizes={**SIZES, "x": 50_000.0})))
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -317,28 +317,28 @@
         holder.demand("n", 3000.0)
         holder.pass_time(0.1)
         holder.submit(LoadRequested(holder.now, "llm", "n", "", max(0.0, back)))
-        if any(one.order and one.order.taken for one in holder.state.residency.rooms.values()):
+        if any(one.order and one.order.taken for one in holder.state.residency.accounts.values()):
             break
     # No caller asks for n from here on; the load takes 8 s.
-    rooms = holder.state.residency.rooms
+    rooms = holder.state.residency.accounts
     for _ in range(150):
-        wants = holder.state.residency.wanted
+        wants = holder.state.residency.wants
         for key, want in wants.items():
             back_at = holder.now + back
-            wants[key] = want._replace(asked_at=holder.now, back_at=back_at)
+            wants[key] = want._replace(asked_at=holder.now, callers_back_by=back_at)
         holder.demand("n", 3000.0)
         holder.pass_time(0.1)
-        if any(room.kept for room in rooms.values()):
+        if any(room.protected for room in rooms.values()):
             break
     context.loaded_at = holder.now
 
 
 @then("it is still kept after {kept:g} s, and no longer after {free:g} s")
 def kept_until(context, kept, free):
-    rooms = [one for one in context.holder.state.residency.rooms.values() if one.kept]
+    rooms = [one for one in context.holder.state.residency.accounts.values() if one.protected]
     assert len(rooms) == 1, "n was not loaded"
-    assert rooms[0].kept_models(context.loaded_at + kept) == {"n"}
-    assert not rooms[0].kept_models(context.loaded_at + free)
+    assert rooms[0].protected_models(context.loaded_at + kept) == {"n"}
+    assert not rooms[0].protected_models(context.loaded_at + free)
 
 
 @then("its retry-after time is {least} to {most} s")
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -344,4 +344,4 @@
 @then("the holder has it within {seconds:g} s")
 def holder_has(context, seconds):
     context.fleet.run(seconds)
-    assert ("llm", "x", "x/a1") in context.holder.state.residency.wanted
+    assert ("llm", "x", "x/a1") in context.holder.state.residency.wants
--- a/features/steps/swapping_steps.py
+++ b/features/steps/swapping_steps.py
@@ -37,21 +37,21 @@
         place, _, models = note.partition(" ")
         if place in LOAD_S:
             copy_places.update(dict.fromkeys(models.split(","), place))
-    return placement.RunnerRoom(
+    return placement.RunnerSnapshot(
         name=name,
         data_centre="z",
         engine="llm",
         free_gb=RUNNER_GB - sum(MODELS[one] for one in resident),
         token_rate=RUNNER_RATE,
         resident=frozenset((one, "") for one in resident),
-        coming=frozenset((one, "") for one in read_names(notes, "coming")),
+        loading=frozenset((one, "") for one in read_names(notes, "coming")),
         busy=bool(busy),
         load_s={model: LOAD_S[place] for model, place in copy_places.items()},
         free_in_s=free_in_s,
         room_for=next((note[5:] for note in notes if note.startswith("room ")), ""),
         in_use=read_names(notes, "use"),
-        kept=read_names(notes, "kept"),
-        awaited=sum(float(note[8:]) for note in notes if note.startswith("awaited ")),
+        protected=read_names(notes, "kept"),
+        unattached_demand=sum(float(note[8:]) for note in notes if note.startswith("awaited ")),
     )
 
 
@@ -173,13 +173,13 @@
 
 @then("its deficit is between {least:d} and {most:d} tokens")
 def has_deficit(context, least, most):
-    deficits = context.holder.state.residency.owed
+    deficits = context.holder.state.residency.deficits
     assert least <= deficits["x"] <= most, deficits
 
 
 @then("m has no deficit")
 def no_deficit(context):
-    assert "m" not in context.holder.state.residency.owed
+    assert "m" not in context.holder.state.residency.deficits
 
 
 @given("prompts of {tokens} tokens with a first event after {took} ms")
--- a/features/steps/trusted_report_steps.py
+++ b/features/steps/trusted_report_steps.py
@@ -2,9 +2,9 @@
 from behave import then
 from behave import when
 from relay_harness import HolderHarness
-from rookspring_core.orders import put_report
-from rookspring_core.orders import usable
-from rookspring_core.rooms import without
+from rookspring_core.accounts import report_without
+from rookspring_core.orders import accepts_orders
+from rookspring_core.orders import apply_and_share_report
 
 
 SUSPENDED_S = 6.0
@@ -29,8 +29,8 @@
     runner["taken"] += 1
     holder.submit(holder.report("e1", runner["models"], token=(0, runner["taken"]), polled=True))
     view = holder.state.endpoints["e1"]
-    holder.state.residency.rooms["e1"].withdraw("n", holder.now)
-    put_report(holder.state, view, without(view.report, "n", ""))
+    holder.state.residency.accounts["e1"].withdraw("n", holder.now)
+    apply_and_share_report(holder.state, view, report_without(view.report, "n", ""))
 
 
 @when("it acquires the lease again, and the runner's report {report}")
@@ -51,12 +51,12 @@
 @then("the holder gives the runner no order")
 def no_order(context):
     state = context.holder.state
-    assert not usable(state, state.endpoints["e1"])
+    assert not accepts_orders(state, state.endpoints["e1"])
 
 
 @then("the holder counts n as held there")
 def counts_held(context):
     state = context.holder.state
     view = state.endpoints["e1"]
-    assert usable(state, view)
+    assert accepts_orders(state, view)
     assert {name for name, _ in view.report.resident} == {"m", "n"}, view.report.resident
--- a/packages/rookspring-core/src/rookspring_core/rooms.py
+++ b/packages/rookspring-core/src/rookspring_core/accounts.py
@@ -27,10 +27,10 @@
     taken_before: int
     sent_at: float
     taken: bool = False
-    lost: bool = False
+    unanswered: bool = False
     length_s: float = 0.0
     sends: int = 1
-    back_at: float = -1e9
+    callers_back_by: float = -1e9
     wanted_at: float = math.inf
 
     def ends_at(self) -> float:
@@ -57,19 +57,21 @@
     times: int = 1
     declined: str = ""
     given_up: bool = False
-    back_at: float = -1e9
+    callers_back_by: float = -1e9
 
     def ask_again(self, now: float, back_s: float) -> "OpenWant":
         """Count another request."""
-        back_at = max(self.back_at, now + back_s)
-        return self._replace(asked_at=now, times=self.times + 1, given_up=False, back_at=back_at)
+        callers_back_by = max(self.callers_back_by, now + back_s)
+        return self._replace(
+            asked_at=now, times=self.times + 1, given_up=False, callers_back_by=callers_back_by
+        )
 
-    def live(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Tell whether a caller waits for it or is expected to retry."""
-        return now <= max(self.asked_at + defaults.LOAD_REQUEST_TTL_S, self.back_at)
+        return now <= max(self.asked_at + defaults.LOAD_REQUEST_TTL_S, self.callers_back_by)
 
 
-class Stay(t.NamedTuple):
+class Attachment(t.NamedTuple):
     """The time that an adapter is attached to an endpoint.
 
     :param since: when it was attached.
@@ -80,12 +82,12 @@
     """
 
     since: float
-    kept_until: float
+    protected_until: float
     used: bool = False
     wanted_at: float = math.inf
 
 
-class Room:
+class EndpointAccount:
     """The lease holder's account of one endpoint.
 
     :param trusted: the endpoint's own report was applied under this lease.
@@ -99,12 +101,12 @@
     """
 
     __slots__ = (
-        "asked_at",
-        "doubts",
-        "kept",
+        "report_requested_at",
+        "unanswered_loads",
+        "protected",
         "order",
         "room_for",
-        "stays",
+        "attachments",
         "trusted",
         "withdrawn",
     )
@@ -113,18 +115,18 @@
         self.trusted = False
         self.room_for = ""
         self.withdrawn: dict[str, float] = {}
-        self.stays: dict[str, Stay] = {}
-        self.kept: dict[str, float] = {}
+        self.attachments: dict[str, Attachment] = {}
+        self.protected: dict[str, float] = {}
         self.order: Order | None = None
-        self.asked_at = -1e9
+        self.report_requested_at = -1e9
         # Loads without an answer, which may still be carried out.
-        self.doubts: list[Order] = []
+        self.unanswered_loads: list[Order] = []
 
     def withdrawn_adapters(self) -> list[str]:
         """Return the adapters that no new request may use."""
         return [name for name in self.withdrawn if "/" in name]
 
-    def going_adapters(self) -> list[str]:
+    def adapters_withdrawn_alone(self) -> list[str]:
         """Return the withdrawn adapters whose model is not withdrawn."""
         return [
             name for name in self.withdrawn_adapters() if split_name(name)[0] not in self.withdrawn
@@ -142,15 +144,15 @@
             if split_name(adapter)[0] == name:
                 self.withdrawn[adapter] = now
 
-    def keeps(self, adapter: str, now: float) -> bool:
+    def protects(self, adapter: str, now: float) -> bool:
         """Tell whether an adapter is protected for the callers for whom it was attached."""
-        attachment = self.stays.get(adapter)
-        return attachment is not None and now < attachment.kept_until
+        attachment = self.attachments.get(adapter)
+        return attachment is not None and now < attachment.protected_until
 
-    def kept_models(self, now: float) -> frozenset[str]:
+    def protected_models(self, now: float) -> frozenset[str]:
         """Return the models that are protected for their callers, and drop expired ones."""
-        self.kept = {model: until for model, until in self.kept.items() if now < until}
-        return frozenset(self.kept)
+        self.protected = {model: until for model, until in self.protected.items() if now < until}
+        return frozenset(self.protected)
 
     def withdrawn_models(self) -> list[str]:
         """Return the models that no new request may use."""
@@ -162,24 +164,25 @@
 
     def __init__(self) -> None:
         self.epoch = 0
-        self.rooms: dict[str, Room] = {}
-        self.wanted: dict[WantKey, OpenWant] = {}
+        self.accounts: dict[str, EndpointAccount] = {}
+        self.wants: dict[WantKey, OpenWant] = {}
         self.planned_at = -1e9
         self.used_noted_at = -1e9
         # Tokens requested of each model while it is resident nowhere.
-        self.owed: dict[str, float] = {}
+        self.deficits: dict[str, float] = {}
         # Why the last plan did not load requested models.
         self.declined: dict[str, str] = {}
-        self.summed_at = -1e9
+        self.deficits_updated_at = -1e9
         # Delay until endpoints' reports show the end of an order, learnt so far, in seconds.
-        self.look_s = defaults.ORDER_CHECK_S
+        self.report_lag_s = defaults.ORDER_CHECK_S
 
-    def note_lag(self) -> None:
+    def raise_report_lag(self) -> None:
         """Read reports later from now on, as one was too early to show an order's end."""
-        self.look_s = min(defaults.ORDER_CHECK_MAX_S, self.look_s + defaults.ORDER_CHECK_STEP_S)
+        self.report_lag_s = min(
+            defaults.ORDER_CHECK_MAX_S, self.report_lag_s + defaults.ORDER_CHECK_STEP_S)
 
 
-def still_there(order: Order, report: EndpointReported) -> bool:
+def still_held(order: Order, report: EndpointReported) -> bool:
     """Tell whether a report still shows what an order was to unload."""
     if order.action != "unload":
         return False
@@ -193,7 +196,7 @@
     return name.partition("/")[0], name if "/" in name else ""
 
 
-def without(report: EndpointReported, model: str, adapter: str) -> EndpointReported:
+def report_without(report: EndpointReported, model: str, adapter: str) -> EndpointReported:
     """Return a report without an adapter, or without a model and all its adapters."""
     if adapter:
         return report._replace(adapters=tuple(one for one in report.adapters if one != adapter))
@@ -223,7 +226,7 @@
     return models + sum(adapter_mb(engine, adapter) for adapter in report.adapters)
 
 
-def withdrawn_mb(engine: EngineSize, account: Room) -> float:
+def withdrawn_mb(engine: EngineSize, account: EndpointAccount) -> float:
     """Return the memory of withdrawn models and adapters, in megabytes."""
     adapters = sum(adapter_mb(engine, name) for name in account.withdrawn_adapters())
     return adapters + sum(model_mb(engine, name) for name in account.withdrawn_models())
@@ -236,7 +239,7 @@
     return model_mb(engine, order.model)
 
 
-def from_store(size: ModelSize, report: EndpointReported) -> bool:
+def loads_from_store(size: ModelSize, report: EndpointReported) -> bool:
     """Tell whether an endpoint would load a model from the weight store."""
     return size.name not in report.in_memory and size.name not in report.on_disk
 
@@ -253,20 +256,26 @@
     return size.load_s
 
 
-def list_doubts(account: Room, now: float, but: str) -> list[Order]:
+def list_unanswered_loads(account: EndpointAccount, now: float, except_name: str) -> list[Order]:
     """Return the unanswered loads that may still be carried out, and drop expired ones.
 
-    :param but: name of a model or adapter whose loads are left out.
+    :param except_name: name of a model or adapter whose loads are left out.
     """
-    account.doubts = [one for one in account.doubts if now - one.sent_at <= defaults.LATE_ORDER_S]
-    return [one for one in account.doubts if (one.adapter or one.model) != but]
+    account.unanswered_loads = [
+        one for one in account.unanswered_loads if now - one.sent_at <= defaults.LATE_ORDER_S
+    ]
+    return [one for one in account.unanswered_loads if (one.adapter or one.model) != except_name]
 
 
-def doubted_mb(engine: EngineSize, account: Room, now: float, but: str) -> float:
+def unanswered_mb(
+    engine: EngineSize, account: EndpointAccount, now: float, except_name: str
+) -> float:
     """Return the memory that unanswered loads may still take, in megabytes."""
-    return sum(order_mb(engine, order) for order in list_doubts(account, now, but))
+    return sum(
+        order_mb(engine, order) for order in list_unanswered_loads(account, now, except_name)
+    )
 
 
-def doubted_places(account: Room, now: float, but: str) -> int:
+def unanswered_slots(account: EndpointAccount, now: float, except_name: str) -> int:
     """Return the number of adapter slots that unanswered loads may still take."""
-    return sum(1 for order in list_doubts(account, now, but) if order.adapter)
+    return sum(1 for order in list_unanswered_loads(account, now, except_name) if order.adapter)
--- a/packages/rookspring-core/src/rookspring_core/admitting.py
+++ b/packages/rookspring-core/src/rookspring_core/admitting.py
@@ -51,7 +51,7 @@
             routed.meter_demand(state, event, work)
     effects = arrival_checks.check_limits(state, event) or _enqueue(state, event, charge)
     effects += requests.dispatch_waiting(state)
-    return effects + wants.miss(state, event)
+    return effects + wants.send_want(state, event)
 
 
 @handles(AllotmentAnswered)
--- a/packages/rookspring-core/src/rookspring_core/attaching.py
+++ b/packages/rookspring-core/src/rookspring_core/attaching.py
@@ -16,27 +16,27 @@
 """
 
 from . import defaults
+from .accounts import Attachment
+from .accounts import EndpointAccount
+from .accounts import OpenWant
+from .accounts import WantKey
+from .accounts import report_without
+from .accounts import split_name
+from .accounts import unanswered_mb
+from .accounts import unanswered_slots
+from .accounts import used_mb
+from .accounts import withdrawn_mb
 from .effects import AdapterLeft
 from .effects import Effect
 from .effects import LoadRequestDeclined
 from .effects import LoadRequestEnded
 from .endpoints import EndpointView
+from .orders import accepts_orders
 from .orders import adapters_at
+from .orders import apply_and_share_report
 from .orders import engine_of
 from .orders import give_order
-from .orders import put_report
-from .orders import settled
-from .orders import usable
-from .rooms import OpenWant
-from .rooms import Room
-from .rooms import Stay
-from .rooms import WantKey
-from .rooms import doubted_mb
-from .rooms import doubted_places
-from .rooms import split_name
-from .rooms import used_mb
-from .rooms import withdrawn_mb
-from .rooms import without
+from .orders import handover_gap_passed
 from .state import NodeState
 
 Effects = list[Effect]
@@ -44,13 +44,13 @@
 
 def serve_wants(state: NodeState) -> Effects:
     """Order the adapters that requests wait for; models are left to the planner."""
-    if not settled(state):
+    if not handover_gap_passed(state):
         return []
     effects = _update_wants(state)
-    wanted = state.residency.wanted
+    wants = state.residency.wants
     under_way = _list_under_way(state)
-    waiting = [key for key, want in wanted.items() if key[2] and not want.given_up]
-    for key in sorted(waiting, key=lambda one: (wanted[one].first_at, one)):
+    waiting = [key for key, want in wants.items() if key[2] and not want.given_up]
+    for key in sorted(waiting, key=lambda one: (wants[one].first_at, one)):
         if key[2] not in under_way:
             effects += _serve(state, key)
     return effects + _keep_standby(state)
@@ -63,17 +63,17 @@
     queue if it is requested again: callers come and go while it waits.
     """
     effects: Effects = []
-    for key, want in list(state.residency.wanted.items()):
+    for key, want in list(state.residency.wants.items()):
         adapter = key[2]
         quiet_s = state.now - want.asked_at
-        active = want.live(state.now)
+        active = want.is_active(state.now)
         if adapter and any(one.has_adapter(adapter) for one in _open_hosts(state, key)):
             effects += _end_want(state, key, "attached")
         elif quiet_s > defaults.LOAD_REQUEST_KEPT_S or (not adapter and not active):
-            del state.residency.wanted[key]
+            del state.residency.wants[key]
         elif not active and not want.given_up:
             effects += _end_want(state, key, "given up")
-            state.residency.wanted[key] = want._replace(given_up=True)
+            state.residency.wants[key] = want._replace(given_up=True)
     return effects
 
 
@@ -87,7 +87,7 @@
 
 
 def _end_want(state: NodeState, key: WantKey, outcome: str) -> Effects:
-    want = state.residency.wanted.pop(key)
+    want = state.residency.wants.pop(key)
     return [LoadRequestEnded(key[2], outcome, state.now - want.first_at, want.times)]
 
 
@@ -95,13 +95,13 @@
     """Give the order for one want, or log the reason why none is given, once."""
     _, model, adapter = key
     hosts = _open_hosts(state, key)
-    ready = [one for one in hosts if usable(state, one)]
-    want = state.residency.wanted[key]
+    ready = [one for one in hosts if accepts_orders(state, one)]
+    want = state.residency.wants[key]
     effects = _reinstate(state, hosts, adapter, want) or _attach(state, ready, key, want)
     why = "" if effects else _decline_reason(state, hosts, ready)
     if why == want.declined:
         return effects
-    state.residency.wanted[key] = want._replace(declined=why)
+    state.residency.wants[key] = want._replace(declined=why)
     return [*effects, LoadRequestDeclined(adapter, why)] if why else effects
 
 
@@ -113,7 +113,7 @@
         return "no adapter slot can be freed"
     busy = []
     for view in hosts:
-        account = state.residency.rooms.get(view.name)
+        account = state.residency.accounts.get(view.name)
         order = account.order if account else None
         if order is not None:
             busy.append(f"{view.name}: {order.action} {order.adapter or order.model} is under way")
@@ -122,11 +122,11 @@
 
 def _list_under_way(state: NodeState) -> set[str]:
     """Return the adapters for which a load is under way at some endpoint."""
-    orders = (account.order for account in state.residency.rooms.values())
+    orders = (account.order for account in state.residency.accounts.values())
     return {one.adapter for one in orders if one is not None and one.action == "load"}
 
 
-def note_used(state: NodeState) -> None:
+def mark_used_adapters(state: NodeState) -> None:
     """Mark the attached adapters that requests use, about as often as nodes report their use."""
     residency = state.residency
     if state.now - residency.used_noted_at < defaults.USE_SCAN_INTERVAL_S:
@@ -134,10 +134,10 @@
     residency.used_noted_at = state.now
     for rows in (used_rows(state), *state.control.peer_used.values()):
         for name, adapter in rows:
-            account = residency.rooms.get(name)
-            attachment = account.stays.get(adapter) if account is not None else None
+            account = residency.accounts.get(name)
+            attachment = account.attachments.get(adapter) if account is not None else None
             if account is not None and attachment is not None and not attachment.used:
-                account.stays[adapter] = attachment._replace(used=True)
+                account.attachments[adapter] = attachment._replace(used=True)
 
 
 def _attach(state: NodeState, hosts: list[EndpointView], key: WantKey, want: OpenWant) -> Effects:
@@ -149,61 +149,69 @@
     engine = engine_of(state, view)
     if engine is None or view.report is None or model not in engine.models:
         return []
-    account = state.residency.rooms[view.name]
+    account = state.residency.accounts[view.name]
     size = engine.models[model]
-    used = used_mb(engine, view.report) + doubted_mb(engine, account, state.now, adapter)
+    used = used_mb(engine, view.report) + unanswered_mb(engine, account, state.now, adapter)
     used += withdrawn_mb(engine, account)
     slots_taken = _count_slots(state, view, account, adapter)
     if used + size.adapter_mb <= engine.memory_mb and slots_taken < engine.adapters_max:
         order = give_order(state, view, "load", model, adapter)
         assert account.order is not None
-        account.order = account.order._replace(back_at=want.back_at, wanted_at=want.first_at)
+        account.order = account.order._replace(
+            callers_back_by=want.callers_back_by, wanted_at=want.first_at
+        )
         return [order]
     return _free_slot(state, view, account)
 
 
-def _count_slots(state: NodeState, view: EndpointView, account: Room, but: str = "") -> int:
+def _count_slots(
+    state: NodeState, view: EndpointView, account: EndpointAccount, except_name: str = ""
+) -> int:
     """Count the adapter slots that are taken, or may be by unanswered loads of other adapters."""
-    doubted = doubted_places(account, state.now, but)
-    return len(adapters_at(view)) + doubted + len(account.withdrawn_adapters())
+    unanswered = unanswered_slots(account, state.now, except_name)
+    return len(adapters_at(view)) + unanswered + len(account.withdrawn_adapters())
 
 
-def _free_slot(state: NodeState, view: EndpointView, account: Room) -> Effects:
+def _free_slot(state: NodeState, view: EndpointView, account: EndpointAccount) -> Effects:
     """Unload an adapter on standby, or withdraw one more: at most as many as wants wait.
 
     Withdrawn adapters that are still in use don't count against that limit for idle ones;
     otherwise a few of them would block all adapter slots of an endpoint.
     """
     in_use = list_used(state)
-    idle = [one for one in account.going_adapters() if (view.name, one) not in in_use]
+    idle = [one for one in account.adapters_withdrawn_alone() if (view.name, one) not in in_use]
     for adapter in sorted(idle, key=lambda one: account.withdrawn[one]):
         if state.now - account.withdrawn[adapter] >= defaults.WITHDRAWN_PROPAGATION_S:
-            left = _end_stay(state, view, account, adapter)
+            left = _end_attachment(state, view, account, adapter)
             return [*left, give_order(state, view, "unload", *split_name(adapter))]
-    waiting = sum(1 for key, want in state.residency.wanted.items() if key[2] and not want.given_up)
+    waiting = sum(1 for key, want in state.residency.wants.items() if key[2] and not want.given_up)
     ranked = _list_least_missed(state, view, account, in_use)
     if not ranked or len(idle) >= waiting:
         return []
     if (view.name, ranked[0]) in in_use:
-        if len(account.going_adapters()) >= min(defaults.WITHDRAWN_MAX, waiting):
+        if len(account.adapters_withdrawn_alone()) >= min(defaults.WITHDRAWN_MAX, waiting):
             return []
         state.record(view.name, f"withdraw {ranked[0]}", "all adapter slots are in use")
     return [_withdraw_adapter(state, view, account, ranked[0])]
 
 
 def _list_least_missed(
-    state: NodeState, view: EndpointView, account: Room, in_use: set[tuple[str, str]]
+    state: NodeState, view: EndpointView, account: EndpointAccount, in_use: set[tuple[str, str]]
 ) -> list[str]:
     """List the adapters that may be withdrawn: idle ones first, then by demand, lowest first."""
     levels = state.control.forecast.levels
-    free = [one for one in adapters_at(view) if not account.keeps(one, state.now)]
+    free = [one for one in adapters_at(view) if not account.protects(one, state.now)]
     return sorted(free, key=lambda one: ((view.name, one) in in_use, levels.get(one, 0.0), one))
 
 
-def _withdraw_adapter(state: NodeState, view: EndpointView, account: Room, adapter: str) -> Effect:
+def _withdraw_adapter(
+    state: NodeState, view: EndpointView, account: EndpointAccount, adapter: str
+) -> Effect:
     assert view.report is not None
     account.withdraw(adapter, state.now)
-    return put_report(state, view, without(view.report, split_name(adapter)[0], adapter))
+    return apply_and_share_report(
+        state, view, report_without(view.report, split_name(adapter)[0], adapter)
+    )
 
 
 def _keep_standby(state: NodeState) -> Effects:
@@ -215,17 +223,19 @@
     effects: Effects = []
     contended = {
         view.name: view
-        for key, want in state.residency.wanted.items()
+        for key, want in state.residency.wants.items()
         if key[2] and state.now - want.asked_at <= defaults.ADAPTER_PRESSURE_S
         for view in _open_hosts(state, key)
     }
     in_use = list_used(state) if contended else set()
     for name, view in contended.items():
-        account = state.residency.rooms.get(name)
+        account = state.residency.accounts.get(name)
         engine = engine_of(state, view)
         if account is None or not account.trusted or engine is None or view.report is None:
             continue
-        idle_going = [one for one in account.going_adapters() if (name, one) not in in_use]
+        idle_going = [
+            one for one in account.adapters_withdrawn_alone() if (name, one) not in in_use
+        ]
         lacking = defaults.STANDBY_ADAPTERS - len(idle_going)
         if lacking <= 0 or _count_slots(state, view, account) < engine.adapters_max:
             continue
@@ -235,21 +245,23 @@
     return effects
 
 
-def _end_stay(state: NodeState, view: EndpointView, account: Room, adapter: str) -> Effects:
+def _end_attachment(
+    state: NodeState, view: EndpointView, account: EndpointAccount, adapter: str
+) -> Effects:
     """End the attachment of an adapter that is to be unloaded, and report whether it was used.
 
     If no request used it, the callers that waited for it are still unserved. Its want then
     keeps the time at which it began, so that it is not last in the queue when they retry.
     """
-    attachment = account.stays.pop(adapter, None)
+    attachment = account.attachments.pop(adapter, None)
     if attachment is None:
         return []
     if not attachment.used and attachment.wanted_at < state.now:
         key = (view.service, split_name(adapter)[0], adapter)
-        want = state.residency.wanted.get(key)
+        want = state.residency.wants.get(key)
         want = want or OpenWant(attachment.wanted_at, state.now, times=0, given_up=True)
         first_at = min(want.first_at, attachment.wanted_at)
-        state.residency.wanted[key] = want._replace(first_at=first_at)
+        state.residency.wants[key] = want._replace(first_at=first_at)
     return [AdapterLeft(view.name, adapter, state.now - attachment.since, attachment.used)]
 
 
@@ -261,19 +273,23 @@
     That needs no order, so it is possible even while a model is being loaded there.
     """
     for view in hosts:
-        account = state.residency.rooms.get(view.name)
-        if account is None or view.report is None or adapter not in account.going_adapters():
+        account = state.residency.accounts.get(view.name)
+        if (
+            account is None
+            or view.report is None
+            or adapter not in account.adapters_withdrawn_alone()
+        ):
             continue
         if account.order is not None and account.order.adapter == adapter:
             continue
         del account.withdrawn[adapter]
-        kept_until = max(state.now, want.back_at) + defaults.KEEP_AFTER_RETRY_S
-        attachment = account.stays.get(
-            adapter, Stay(state.now, kept_until, wanted_at=want.first_at)
+        protected_until = max(state.now, want.callers_back_by) + defaults.KEEP_AFTER_RETRY_S
+        attachment = account.attachments.get(
+            adapter, Attachment(state.now, protected_until, wanted_at=want.first_at)
         )
-        account.stays[adapter] = attachment._replace(kept_until=kept_until)
+        account.attachments[adapter] = attachment._replace(protected_until=protected_until)
         report = view.report._replace(adapters=(*view.report.adapters, adapter))
-        return [put_report(state, view, report)]
+        return [apply_and_share_report(state, view, report)]
     return []
 
 
@@ -282,13 +298,13 @@
     effects: Effects = []
     accounts = {
         name: account
-        for name, account in state.residency.rooms.items()
+        for name, account in state.residency.accounts.items()
         if account.withdrawn_models()
     }
     in_use = list_used(state) if accounts else set()
     for name, account in accounts.items():
         view = state.endpoints.get(name)
-        if view is None or not usable(state, view):
+        if view is None or not accepts_orders(state, view):
             continue
         for model in account.withdrawn_models():
             known_to_all = state.now - account.withdrawn[model] >= defaults.WITHDRAWN_PROPAGATION_S
--- a/packages/rookspring-core/src/rookspring_core/cluster.py
+++ b/packages/rookspring-core/src/rookspring_core/cluster.py
@@ -62,7 +62,7 @@
         _update_owners(state)
         allotting.watch(state, was_relay)
         state.adapter_waits.forget_old(event.at)
-        effects += residency.steer(state, passed)
+        effects += residency.run_control_tick(state, passed)
     else:
         effects += governing.govern(state, passed)
     return effects + _stop_due(state)
@@ -120,12 +120,12 @@
             notice_handlers.note_listed(state, event.endpoint, event.started_ms)
         if event.order_token[1] >= 0 and _is_outdated(view, event):
             return ended
-        event = residency.refine(state, view, event)
+        event = residency.complete_report(state, view, event)
     # A report that this node read itself proves that the endpoint can be reached.
     view.down = view.down and not event.polled
     if not view.take_report(event):
         return ended
-    residency.trust(state, event)
+    residency.trust_runner(state, event)
     notice_handlers.restore_notices(state, view)
     state.index(view, before, view.targets())
     state.adapter_waits.end(event.adapters, state.now)
@@ -340,7 +340,7 @@
         return _stop_due(state)
     state.draining_since = event.at
     effects: Effects = [Announce("leaving")]
-    release = state.control.lease.give_up(event.at)
+    release = state.control.lease.release(event.at)
     if release is not None:
         effects.append(WriteLease(*release))
     return effects
--- a/packages/rookspring-core/src/rookspring_core/control.py
+++ b/packages/rookspring-core/src/rookspring_core/control.py
@@ -96,8 +96,8 @@
         """Store another node's demand, and what its requests use, from its heartbeat."""
         self.peer_demand[event.name] = dict(event.demand)
         self.peer_used[event.name] = event.used
-        self.urgent_demand.hear(event.name, event.urgent_demand)
-        self.refused_demand.hear(event.name, event.refused_demand)
+        self.urgent_demand.take_peer_rates(event.name, event.urgent_demand)
+        self.refused_demand.take_peer_rates(event.name, event.refused_demand)
 
     def forget(self, name: str) -> None:
         """Drop the data of a node that is gone."""
--- a/packages/rookspring-core/src/rookspring_core/demand.py
+++ b/packages/rookspring-core/src/rookspring_core/demand.py
@@ -7,11 +7,11 @@
 
 import math
 import typing as t
-
 from . import defaults
 
 
-class Pace(t.NamedTuple):
+
+class SmoothingTimes(t.NamedTuple):
     """Time constants of the smoothing of demand, in seconds."""
 
     rise_s: float = defaults.DEMAND_RISE_TAU_S
@@ -22,8 +22,8 @@
 class Forecast:
     """Smoothed demand by model, in tokens a second."""
 
-    def __init__(self, pace: Pace | None = None) -> None:
-        self.pace = pace or Pace()
+    def __init__(self, smoothing: SmoothingTimes | None = None) -> None:
+        self.smoothing = smoothing or SmoothingTimes()
         self.levels: dict[str, float] = {}
 
     def update(self, measured: t.Mapping[str, float], passed: float) -> None:
@@ -34,7 +34,7 @@
         for model in set(self.levels) | set(measured):
             level = self.levels.get(model, 0.0)
             rate = measured.get(model, 0.0)
-            tau = self.pace.rise_s if rate > level else self.pace.fall_s
+            tau = self.smoothing.rise_s if rate > level else self.smoothing.fall_s
             level += (rate - level) * (1.0 - math.exp(-passed / tau))
             if level < 1e-3 and rate <= 0.0:
                 self.levels.pop(model, None)
@@ -45,8 +45,8 @@
 class DemandMeter:
     """Smoothed rate of the tokens requested at this node, by model."""
 
-    def __init__(self, pace: Pace | None = None) -> None:
-        self.pace = pace or Pace()
+    def __init__(self, smoothing: SmoothingTimes | None = None) -> None:
+        self.smoothing = smoothing or SmoothingTimes()
         self._sums: dict[str, float] = {}
         self.rates: dict[str, float] = {}
 
@@ -56,7 +56,7 @@
 
     def roll(self, passed: float) -> None:
         """Update the rates with the sums of the last ``passed`` seconds."""
-        gain = min(1.0, passed / self.pace.meter_s)
+        gain = min(1.0, passed / self.smoothing.meter_s)
         for model in set(self._sums) | set(self.rates):
             rate = self._sums.get(model, 0.0) / max(passed, 1e-6)
             level = self.rates.get(model, 0.0)
@@ -80,17 +80,17 @@
 class DemandStream:
     """One kind of demand: measured here, received from the other nodes, and forecast."""
 
-    def __init__(self, pace: Pace | None = None) -> None:
-        self.meter = DemandMeter(pace)
-        self.forecast = Forecast(pace)
+    def __init__(self, smoothing: SmoothingTimes | None = None) -> None:
+        self.meter = DemandMeter(smoothing)
+        self.forecast = Forecast(smoothing)
         self._peer_rates: dict[str, dict[str, float]] = {}
 
-    def use_pace(self, pace: Pace) -> None:
+    def use_smoothing(self, smoothing: SmoothingTimes) -> None:
         """Use other time constants from now on."""
-        self.meter.pace = pace
-        self.forecast.pace = pace
+        self.meter.smoothing = smoothing
+        self.forecast.smoothing = smoothing
 
-    def hear(self, peer: str, rates: t.Iterable[tuple[str, float]]) -> None:
+    def take_peer_rates(self, peer: str, rates: t.Iterable[tuple[str, float]]) -> None:
         """Store another node's rates, in tokens a second by model."""
         self._peer_rates[peer] = dict(rates)
 
@@ -105,8 +105,8 @@
 
     def restart(self) -> None:
         """Start the forecast anew, as a new lease holder does."""
-        self.forecast = Forecast(self.forecast.pace)
+        self.forecast = Forecast(self.forecast.smoothing)
 
-    def sum_up(self, passed: float) -> None:
+    def update_forecast(self, passed: float) -> None:
         """Move the forecast towards the sum of all nodes' rates."""
         self.forecast.update(add_rates([self.meter.rates, *self._peer_rates.values()]), passed)
--- a/packages/rookspring-core/src/rookspring_core/governing.py
+++ b/packages/rookspring-core/src/rookspring_core/governing.py
@@ -34,7 +34,7 @@
 def see_lease(state: NodeState, event: LeaseSeen) -> Effects:
     """Update the lease from a read of the lease object."""
     control = state.control
-    control.lease.see(event, state.identity.name)
+    control.lease.take_read(event, state.identity.name)
     return _begin_if_new(state)
 
 
@@ -68,7 +68,7 @@
     control.planned_at = -1e9
     control.intents_known = False
     control.publication = type(control.publication)()
-    control.forecast = type(control.forecast)(control.forecast.pace)
+    control.forecast = type(control.forecast)(control.forecast.smoothing)
     control.urgent_demand.restart()
     control.refused_demand.restart()
     control.ledgers = {}
@@ -226,7 +226,7 @@
     """Write the lease if due, to renew it or to take it over."""
     identity = state.identity
     candidate = may_hold(state) and not (state.relaying and holder_heard(state))
-    wish = state.control.lease.wish(state.now, identity.name, identity.incarnation, candidate)
+    wish = state.control.lease.due_write(state.now, identity.name, identity.incarnation, candidate)
     if wish is None:
         return []
     return [WriteLease(*wish)]
@@ -247,7 +247,7 @@
         if view.role == "runner" and name not in control.ledgers:
             ledger = control.ledgers[name] = Ledger(name)
             if control.intents_known:
-                ordering.inherit_doubts(state, ledger)
+                ordering.inherit_late_orders(state, ledger)
     for name in [name for name in control.ledgers if name not in state.endpoints]:
         del control.ledgers[name]
     effects += publish_due(state)
@@ -263,8 +263,8 @@
         rates for peer, rates in state.control.peer_demand.items() if peer in state.membership.peers
     )
     state.control.forecast.update(add_rates([state.control.meter.rates, *peer_rates]), passed)
-    state.control.urgent_demand.sum_up(passed)
-    state.control.refused_demand.sum_up(passed)
+    state.control.urgent_demand.update_forecast(passed)
+    state.control.refused_demand.update_forecast(passed)
 
 
 def resident_models(state: NodeState) -> t.Mapping[str, list[str]]:
--- a/packages/rookspring-core/src/rookspring_core/invariants.py
+++ b/packages/rookspring-core/src/rookspring_core/invariants.py
@@ -99,12 +99,12 @@
 
 
 def _check_relayed_memory(state: "NodeState", effects: list[Effect]) -> str:
-    from .residency import promised_mb
+    from .residency import memory_after_load_mb
 
     for effect in effects:
         if not isinstance(effect, SendOrder) or effect.action != "load":
             continue
-        promised, held = promised_mb(state, effect)
+        promised, held = memory_after_load_mb(state, effect)
         if promised > held + 1e-6:
             return f"{effect.endpoint}: {promised - held:.0f} MB overallocated"
     return ""
--- a/packages/rookspring-core/src/rookspring_core/leases.py
+++ b/packages/rookspring-core/src/rookspring_core/leases.py
@@ -20,7 +20,7 @@
 
 
 
-class LeaseWish(t.NamedTuple):
+class DueWrite(t.NamedTuple):
     """A lease write that is due.
 
     :param settled: the holder's turn has begun, so it may give orders.
@@ -120,7 +120,7 @@
         """Tell whether this is a later era than the first and its lease is not written yet."""
         return self.version == 0 and self.era > 0
 
-    def see(self, event: LeaseSeen, name: str) -> None:
+    def take_read(self, event: LeaseSeen, name: str) -> None:
         """Apply the lease object as read; this also settles a write of unknown outcome."""
         if event.era != self.era:
             return
@@ -177,7 +177,9 @@
         self.held_until = asked_at + self.terms.ttl_s - self.terms.margin_s
         return new
 
-    def wish(self, now: float, name: str, incarnation: str, candidate: bool) -> LeaseWish | None:
+    def due_write(
+        self, now: float, name: str, incarnation: str, candidate: bool
+    ) -> DueWrite | None:
         """Return the lease write that is due now, if any.
 
         :param candidate: whether this node may take a free lease.
@@ -195,7 +197,7 @@
         self._pending = (nonce, now, epoch)
         self._asked_at = now
         self._asked_version = self.version
-        return LeaseWish(self.version, epoch, nonce, now >= self.turn_at, self.era)
+        return DueWrite(self.version, epoch, nonce, now >= self.turn_at, self.era)
 
     def _next_epoch(self) -> int:
         """Return an epoch that was never used, even in the seconds that a restored copy lacks."""
@@ -258,11 +260,11 @@
         if epoch > self._end[0]:
             self._end = (epoch, at)
 
-    def give_up(self, now: float) -> LeaseWish | None:
+    def release(self, now: float) -> DueWrite | None:
         """Release the lease at a planned stop, so that its successor need not await expiry."""
         if self.held_until < 0:
             return None
         self.held_until = -1e9
         self._pending = None
         turn_in_s = self.turn_at - now if now < self.turn_at else self.terms.gap_s
-        return LeaseWish(self.version, self.own_epoch, "", era=self.era, turn_in_s=turn_in_s)
+        return DueWrite(self.version, self.own_epoch, "", era=self.era, turn_in_s=turn_in_s)
--- a/packages/rookspring-core/src/rookspring_core/memory.py
+++ b/packages/rookspring-core/src/rookspring_core/memory.py
@@ -6,10 +6,10 @@
 """
 
 import typing as t
-
 from . import defaults
 from .events import EndpointReported
 
+
 Weights = tuple[str, str]
 
 
@@ -31,7 +31,7 @@
         self.answered_at: float | None = None
 
 
-class Doubt(t.NamedTuple):
+class LateOrder(t.NamedTuple):
     """An order that may still arrive at an endpoint that does not check orders.
 
     A late load may take memory; a late unload may remove a replica.
@@ -54,7 +54,7 @@
         self.resident: set[Weights] = set()
         self.pending: PendingOrder | None = None
         self.accepted: list[PendingOrder] = []
-        self.doubts: list[Doubt] = []
+        self.late_orders: list[LateOrder] = []
         self.sealed = False
         self.seal_token = (0, 0)
         self.claimed = False
@@ -73,7 +73,7 @@
     def committed(self) -> float:
         """Return the memory that is held, or that sent or late orders may take, in gigabytes."""
         amounts = dict(self.held)
-        for late_order in self.doubts:
+        for late_order in self.late_orders:
             if late_order.action != "unload":
                 amounts[late_order.key] = max(amounts.get(late_order.key, 0.0), late_order.gb)
         for order in self.orders():
@@ -89,13 +89,13 @@
         """Return the weights of the orders of one action that no report reflects yet."""
         return {order.key for order in self.orders() if order.action == action}
 
-    def uncertain(self) -> set[Weights]:
+    def late_unloads(self) -> set[Weights]:
         """Return the weights that a late unload may still remove."""
-        return {late_order.key for late_order in self.doubts if late_order.action == "unload"}
+        return {late_order.key for late_order in self.late_orders if late_order.action == "unload"}
 
     def staying(self) -> set[Weights]:
         """Return the resident weights that no order, sent or late, removes."""
-        return self.resident - self.keys_of("unload") - self.uncertain()
+        return self.resident - self.keys_of("unload") - self.late_unloads()
 
     def free(self) -> float:
         """Return the memory that may still be promised, in gigabytes."""
@@ -157,7 +157,7 @@
         if key in sizes:
             return sizes[key]
         ordered_sizes = [order.gb for order in self.orders() if order.key == key and order.gb]
-        late_sizes = [late_order.gb for late_order in self.doubts if late_order.key == key]
+        late_sizes = [late_order.gb for late_order in self.late_orders if late_order.key == key]
         return max([*ordered_sizes, *late_sizes, self.held.get(key, 0.0)])
 
     def _restart(self, report: EndpointReported) -> None:
@@ -174,7 +174,9 @@
         if order is not None and self._settled(order, made_at, report):
             self.pending = None
         self.accepted = [one for one in self.accepted if not self._settled(one, made_at, report)]
-        self.doubts = [late_order for late_order in self.doubts if made_at <= late_order.until]
+        self.late_orders = [
+            late_order for late_order in self.late_orders if made_at <= late_order.until
+        ]
 
     def _settled(self, order: PendingOrder, made_at: float, report: EndpointReported) -> bool:
         if report.checks_orders:
@@ -189,7 +191,7 @@
         """Count an order as one that may arrive late, or a second time."""
         if order.action in ("load", "attach", "unload"):
             until = order.sent_at + defaults.LATE_ORDER_BOUND_S
-            self.doubts.append(Doubt(order.action, order.key, order.gb, until))
+            self.late_orders.append(LateOrder(order.action, order.key, order.gb, until))
 
     def intent_rows(self) -> tuple[tuple[str, str, str, float], ...]:
         """Return all orders that may still arrive, for the endpoint's record in the platform.
@@ -197,7 +199,7 @@
         Orders that were given up are listed beside later ones, since the next holder must
         count each of them.
         """
-        rows = {(one.action, *one.key, one.gb) for one in self.doubts}
+        rows = {(one.action, *one.key, one.gb) for one in self.late_orders}
         order = self.pending
         if order is not None and order.action in ("load", "attach", "unload"):
             rows.add((order.action, *order.key, order.gb))
--- a/packages/rookspring-core/src/rookspring_core/ordering.py
+++ b/packages/rookspring-core/src/rookspring_core/ordering.py
@@ -11,13 +11,13 @@
 from .events import IntentWritten
 from .events import IntentsSeen
 from .events import OrderAnswered
-from .memory import Doubt
+from .memory import LateOrder
 from .memory import Ledger
 from .memory import PendingOrder
 from .memory import Weights
 from .placement import Move
 from .placement import PlanInput
-from .placement import RunnerRoom
+from .placement import RunnerSnapshot
 from .placement import find_placement
 from .reducer import handles
 from .state import NodeState
@@ -45,7 +45,7 @@
             effects.append(_send(state, ledger, "seal", ("", ""), 0.0))
         elif ledger.checks_orders or not control.intents_known:
             continue
-        elif not ledger.claimed or (ledger.recorded and not ledger.doubts):
+        elif not ledger.claimed or (ledger.recorded and not ledger.late_orders):
             effects.append(_claim(state, ledger))
     return effects
 
@@ -77,15 +77,15 @@
     state.control.intents_known = True
     state.control.inherited_intents = dict(event.intents)
     for ledger in state.control.ledgers.values():
-        inherit_doubts(state, ledger)
+        inherit_late_orders(state, ledger)
     return []
 
 
-def inherit_doubts(state: NodeState, ledger: Ledger) -> None:
+def inherit_late_orders(state: NodeState, ledger: Ledger) -> None:
     """Add the orders that earlier holders recorded for one endpoint to its ledger."""
     for action, model, version, gb in state.control.inherited_intents.get(ledger.endpoint, ()):
         until = state.now + defaults.LATE_ORDER_BOUND_S
-        ledger.doubts.append(Doubt(action, (model, version), gb, until))
+        ledger.late_orders.append(LateOrder(action, (model, version), gb, until))
 
 
 @handles(IntentWritten)
@@ -191,25 +191,25 @@
     return effects
 
 
-def _snapshot_runners(state: NodeState) -> tuple[RunnerRoom, ...]:
-    snapshots: list[RunnerRoom] = []
+def _snapshot_runners(state: NodeState) -> tuple[RunnerSnapshot, ...]:
+    snapshots: list[RunnerSnapshot] = []
     for ledger in state.control.ledgers.values():
         view = state.endpoints.get(ledger.endpoint)
         if view is None or view.gone or view.leaving or view.report is None or not ledger.usable:
             continue
-        coming = (set(ledger.held) - ledger.resident) | ledger.keys_of("load")
+        loading = (set(ledger.held) - ledger.resident) | ledger.keys_of("load")
         busy = not ledger.ready()
         snapshots.append(
-            RunnerRoom(
+            RunnerSnapshot(
                 name=ledger.endpoint,
                 data_centre=view.data_centre,
                 engine=view.service,
                 free_gb=ledger.free(),
                 token_rate=view.report.token_rate,
                 resident=frozenset(ledger.staying()),
-                coming=frozenset(coming),
+                loading=frozenset(loading),
                 busy=busy,
-                barred=frozenset(ledger.uncertain()),
+                barred=frozenset(ledger.late_unloads()),
             )
         )
     return tuple(sorted(snapshots))
--- a/packages/rookspring-core/src/rookspring_core/orders.py
+++ b/packages/rookspring-core/src/rookspring_core/orders.py
@@ -4,28 +4,28 @@
 """
 
 from . import defaults
+from .accounts import Order
+from .accounts import load_time_s
+from .accounts import report_without
 from .effects import Effect
 from .effects import SendOrder
 from .effects import ShareReport
 from .endpoints import EndpointView
 from .events import EndpointReported
-from .rooms import Order
-from .rooms import load_time_s
-from .rooms import without
 from .routes import EngineSize
 from .state import NodeState
 
 Effects = list[Effect]
 
 
-def settled(state: NodeState) -> bool:
+def handover_gap_passed(state: NodeState) -> bool:
     """Tell whether the gap since the last order of the previous lease holder has passed."""
     return state.now >= state.control.lease.turn_at
 
 
-def usable(state: NodeState, view: EndpointView) -> bool:
+def accepts_orders(state: NodeState, view: EndpointView) -> bool:
     """Tell whether an endpoint can be given an order now."""
-    account = state.residency.rooms.get(view.name)
+    account = state.residency.accounts.get(view.name)
     return (
         account is not None
         and account.trusted
@@ -56,13 +56,13 @@
     """Send an endpoint an order, conditional on the number of orders that it has taken."""
     assert view.report is not None
     count = view.report.order_token[1]
-    account = state.residency.rooms[view.name]
+    account = state.residency.accounts[view.name]
     length_s = 0.0
     engine = engine_of(state, view)
     if action == "load" and not adapter and engine is not None:
         length_s = load_time_s(engine.models[model], view.report)
     account.order = Order(action, model, adapter, count, state.now, length_s=length_s)
-    account.asked_at = state.now
+    account.report_requested_at = state.now
     token = (state.control.acting_epoch, count)
     return SendOrder(view.name, view.address, token, action, model, adapter)
 
@@ -73,14 +73,16 @@
     return SendOrder(view.name, view.address, token, order.action, order.model, order.adapter)
 
 
-def withdraw(state: NodeState, view: EndpointView, model: str, adapter: str) -> Effects:
+def withdraw_and_unload(state: NodeState, view: EndpointView, model: str, adapter: str) -> Effects:
     """Withdraw a model or adapter from new requests, and order its unload."""
     assert view.report is not None
     order = give_order(state, view, "unload", model, adapter)
-    return [put_report(state, view, without(view.report, model, adapter)), order]
+    return [apply_and_share_report(state, view, report_without(view.report, model, adapter)), order]
 
 
-def put_report(state: NodeState, view: EndpointView, report: EndpointReported) -> Effect:
+def apply_and_share_report(
+    state: NodeState, view: EndpointView, report: EndpointReported
+) -> Effect:
     """Apply a report that this lease holder derived for an endpoint, and share it."""
     before = view.targets()
     # It takes precedence over a report that arrived at the same time.
--- a/packages/rookspring-core/src/rookspring_core/placement.py
+++ b/packages/rookspring-core/src/rookspring_core/placement.py
@@ -20,7 +20,7 @@
 Weights = tuple[str, str]
 
 
-class RunnerRoom(t.NamedTuple):
+class RunnerSnapshot(t.NamedTuple):
     """State of one runner as input to placement; rates in tokens a second, memory in GB.
 
     :param loading: weights that are being loaded there.
@@ -44,15 +44,15 @@
     free_gb: float
     token_rate: float
     resident: frozenset[Weights]
-    coming: frozenset[Weights]
+    loading: frozenset[Weights]
     busy: bool
     barred: frozenset[Weights] = frozenset()
     load_s: t.Mapping[str, float] = types.MappingProxyType({})
     free_in_s: float = math.inf
     room_for: str = ""
     in_use: frozenset[str] = frozenset()
-    awaited: float = 0.0
-    kept: frozenset[str] = frozenset()
+    unattached_demand: float = 0.0
+    protected: frozenset[str] = frozenset()
 
 
 class Move(t.NamedTuple):
@@ -87,27 +87,27 @@
     """
 
     models: t.Mapping[str, ModelSpec]
-    runners: tuple[RunnerRoom, ...]
+    runners: tuple[RunnerSnapshot, ...]
     demand: t.Mapping[str, float]
     policy: PolicySpec
-    asked: t.Mapping[str, float] = types.MappingProxyType({})
+    requested: t.Mapping[str, float] = types.MappingProxyType({})
     urgent: t.Mapping[str, float] = types.MappingProxyType({})
     missed: t.Mapping[str, float] = types.MappingProxyType({})
     longest_s: float = 0.0
-    owed: t.Mapping[str, float] = types.MappingProxyType({})
+    deficit: t.Mapping[str, float] = types.MappingProxyType({})
     declined: dict[str, str] | None = None
 
-    def claim(self, model: str) -> float:
+    def aged_demand(self, model: str) -> float:
         """Return the demand of a model without a replica, aged by its deficit, in tokens a second.
 
         The demand of a rarely requested model falls to nothing between two requests, so by
         demand alone it could never replace another rarely requested one. Its deficit stays.
         """
-        return self.asked_for(model) + self.owed.get(model, 0.0) / defaults.UNSERVED_DEMAND_S
+        return self.requested_rate(model) + self.deficit.get(model, 0.0) / defaults.UNSERVED_DEMAND_S
 
-    def asked_for(self, model: str) -> float:
+    def requested_rate(self, model: str) -> float:
         """Return what callers request of a model, in tokens a second."""
-        return self.asked.get(model, self.demand.get(model, 0.0))
+        return self.requested.get(model, self.demand.get(model, 0.0))
 
 
 Planner = t.Callable[[PlanInput], list[Move]]
@@ -147,15 +147,15 @@
     """
 
     def __init__(self, plan_input: PlanInput) -> None:
-        self.given = plan_input
+        self.plan_input = plan_input
         self.runners = {runner.name: runner for runner in plan_input.runners}
         self.free = {runner.name: runner.free_gb for runner in plan_input.runners}
         self.hosts: dict[str, set[str]] = {name: set() for name in plan_input.models}
         self.ready: dict[str, set[str]] = {name: set() for name in plan_input.models}
         self.moves: list[Move] = []
-        self.touched = {runner.name for runner in plan_input.runners if runner.busy}
+        self.unavailable = {runner.name for runner in plan_input.runners if runner.busy}
         for runner in plan_input.runners:
-            for model, version in runner.resident | runner.coming:
+            for model, version in runner.resident | runner.loading:
                 spec = plan_input.models.get(model)
                 if spec is not None and spec.version == version:
                     self.hosts[model].add(runner.name)
@@ -164,11 +164,11 @@
 
     def load(self, model: str, runner: str, why: str) -> None:
         """Plan a load; its memory counts as taken for later moves."""
-        spec = self.given.models[model]
+        spec = self.plan_input.models[model]
         self.moves.append(Move("load", runner, (model, spec.version), spec.memory_gb, why))
         self.free[runner] -= spec.memory_gb
         self.hosts[model].add(runner)
-        self.touched.add(runner)
+        self.unavailable.add(runner)
 
     def unload(self, key: Weights, runner: str, gb: float, why: str, room_for: str = "") -> None:
         """Plan an unload; its memory is not free until a report shows it gone."""
@@ -176,38 +176,40 @@
         self.moves.append(Move("unload", runner, key, gb, why, last, room_for))
         self.hosts.get(key[0], set()).discard(runner)
         self.ready.get(key[0], set()).discard(runner)
-        self.touched.add(runner)
+        self.unavailable.add(runner)
 
-    def open_to(self, model: str) -> list[RunnerRoom]:
+    def candidate_runners(self, model: str) -> list[RunnerSnapshot]:
         """List the runners that could take another replica if they had the memory."""
-        spec = self.given.models[model]
+        spec = self.plan_input.models[model]
         return [
             runner
-            for runner in self.given.runners
+            for runner in self.plan_input.runners
             if runner.engine == spec.engine
             and runner.name not in self.hosts[model]
-            and runner.name not in self.touched
+            and runner.name not in self.unavailable
             and (model, spec.version) not in runner.barred
         ]
 
-    def fitting(self, model: str) -> list[RunnerRoom]:
+    def runners_with_room(self, model: str) -> list[RunnerSnapshot]:
         """List the runners with room for another replica, most free memory first."""
-        need_gb = self.given.models[model].memory_gb
+        need_gb = self.plan_input.models[model].memory_gb
         open_runners = [
-            runner for runner in self.open_to(model) if self.free[runner.name] >= need_gb
+            runner for runner in self.candidate_runners(model) if self.free[runner.name] >= need_gb
         ]
         return sorted(
             open_runners, key=lambda one: (-self.free[one.name], stable_hash(model, one.name))
         )
 
-    def spread(self, model: str, runners: list[RunnerRoom]) -> list[RunnerRoom]:
+    def prefer_new_data_centres(
+        self, model: str, runners: list[RunnerSnapshot]
+    ) -> list[RunnerSnapshot]:
         """Sort runners in data centres without the model first."""
         places = {self.runners[name].data_centre for name in self.hosts[model]}
         return sorted(runners, key=lambda one: one.data_centre in places)
 
-    def spare(self, model: str) -> bool:
+    def has_spare_replica(self, model: str) -> bool:
         """Tell whether a replica can be unloaded without going below one or ``replicas_min``."""
-        spec = self.given.models[model]
+        spec = self.plan_input.models[model]
         return len(self.ready[model]) > max(1, spec.replicas_min)
 
 
@@ -216,7 +218,7 @@
 
     :param with_demand_only: of the models without a replica, load only those with demand.
     """
-    plan_input = board.given
+    plan_input = board.plan_input
     lacking = [model for model in plan_input.models if not board.hosts[model]]
     if with_demand_only:
         lacking = [model for model in lacking if plan_input.demand.get(model, 0.0) > 0.0]
@@ -232,7 +234,7 @@
 
 
 def _add_replica(board: Board, model: str, why: str) -> bool:
-    fitting = board.spread(model, board.fitting(model))
+    fitting = board.prefer_new_data_centres(model, board.runners_with_room(model))
     if fitting:
         board.load(model, fitting[0].name, why)
         return True
@@ -241,13 +243,13 @@
 
 def _make_room(board: Board, model: str, why: str) -> bool:
     """Unload spare replicas on the runner where the fewest, with the least demand, must go."""
-    spec = board.given.models[model]
+    spec = board.plan_input.models[model]
     best: tuple[int, float, str, list[tuple[Weights, float]]] | None = None
-    for runner in board.open_to(model):
+    for runner in board.candidate_runners(model):
         evictions = _evictable(board, runner, spec.memory_gb - board.free[runner.name])
         if evictions is None:
             continue
-        lost = sum(board.given.demand.get(key[0], 0.0) for key, _ in evictions)
+        lost = sum(board.plan_input.demand.get(key[0], 0.0) for key, _ in evictions)
         if best is None or (len(evictions), lost) < best[:2]:
             best = (len(evictions), lost, runner.name, evictions)
     if best is None:
@@ -258,14 +260,14 @@
 
 
 def _evictable(
-    board: Board, runner: RunnerRoom, need_gb: float
+    board: Board, runner: RunnerSnapshot, need_gb: float
 ) -> list[tuple[Weights, float]] | None:
     """Choose spare replicas to unload, lowest demand first; None if they free too little."""
     evictions: list[tuple[Weights, float]] = []
     by_demand = sorted(
         runner.resident,
         key=lambda key: (
-            board.given.demand.get(key[0], 0.0) / max(1, len(board.ready.get(key[0], ()))),
+            board.plan_input.demand.get(key[0], 0.0) / max(1, len(board.ready.get(key[0], ()))),
             # Without any demand yet, models with more replicas go first.
             -len(board.ready.get(key[0], ())),
             key,
@@ -274,8 +276,8 @@
     for key in by_demand:
         if need_gb <= 0:
             break
-        spec = board.given.models.get(key[0])
-        if spec is None or not board.spare(key[0]):
+        spec = board.plan_input.models.get(key[0])
+        if spec is None or not board.has_spare_replica(key[0]):
             continue
         evictions.append((key, spec.memory_gb))
         need_gb -= spec.memory_gb
@@ -284,10 +286,10 @@
 
 def _retire_old(board: Board) -> None:
     """Unload models that are no longer declared, and versions whose successor is resident."""
-    for runner in board.given.runners:
+    for runner in board.plan_input.runners:
         for key in sorted(runner.resident):
-            spec = board.given.models.get(key[0])
-            if runner.name in board.touched or key[0].startswith("adapter/"):
+            spec = board.plan_input.models.get(key[0])
+            if runner.name in board.unavailable or key[0].startswith("adapter/"):
                 continue
             if spec is None:
                 board.unload(key, runner.name, 0.0, "no longer declared")
@@ -295,7 +297,7 @@
                 board.unload(key, runner.name, spec.memory_gb, "newer version is resident")
 
 
-class Split(t.NamedTuple):
+class DemandSplit(t.NamedTuple):
     """Demand as distributed over the replicas, in tokens a second.
 
     :param load: demand at each runner.
@@ -308,9 +310,9 @@
     share: dict[tuple[str, str], float]
 
 
-def serve_split(board: Board) -> Split:
+def split_demand(board: Board) -> DemandSplit:
     """Distribute each model's demand over its replicas so that relative load evens out."""
-    plan_input = board.given
+    plan_input = board.plan_input
     load = dict.fromkeys(board.runners, 0.0)
     share: dict[tuple[str, str], float] = {}
     for _ in range(6):
@@ -333,14 +335,14 @@
         over = load[host] - board.runners[host].token_rate
         if over > 0:
             unserved[model] = unserved.get(model, 0.0) + over * part / load[host]
-    return Split(load, unserved, share)
+    return DemandSplit(load, unserved, share)
 
 
 def _water_fill(
     model_demand: float,
     hosts: list[str],
     load: t.Mapping[str, float],
-    runners: t.Mapping[str, RunnerRoom],
+    runners: t.Mapping[str, RunnerSnapshot],
 ) -> list[float]:
     """Distribute one model's demand over its hosts by water-filling.
 
@@ -377,8 +379,8 @@
 
     :return: whether a load, or the unloads before it, were planned.
     """
-    plan_input = board.given
-    load, unserved, _ = serve_split(board)
+    plan_input = board.plan_input
+    load, unserved, _ = split_demand(board)
     for model, missed in sorted(unserved.items(), key=lambda item: -item[1]):
         spec = plan_input.models.get(model)
         if spec is None or missed <= 0 or len(board.hosts[model]) >= spec.replicas_max:
@@ -404,10 +406,10 @@
 
 def _list_spare_rates(
     board: Board, load: t.Mapping[str, float], model: str
-) -> list[tuple[RunnerRoom, float]]:
+) -> list[tuple[RunnerSnapshot, float]]:
     rows = [
         (runner, runner.token_rate - load[runner.name])
-        for runner in board.open_to(model)
+        for runner in board.candidate_runners(model)
         if runner.token_rate > load[runner.name]
     ]
     return sorted(rows, key=lambda row: (-row[1], row[0].name))
@@ -415,7 +417,7 @@
 
 def _add_second_data_centre(board: Board) -> None:
     """Load models into free memory of a second data centre, highest demand first."""
-    plan_input = board.given
+    plan_input = board.plan_input
     if any(len(hosts) == 0 for hosts in board.hosts.values()):
         return
     for model in sorted(
@@ -424,7 +426,7 @@
         places = {board.runners[name].data_centre for name in board.hosts[model]}
         if len(places) != 1 or plan_input.models[model].replicas_max < 2:
             continue
-        others = [one for one in board.fitting(model) if one.data_centre not in places]
+        others = [one for one in board.runners_with_room(model) if one.data_centre not in places]
         if others:
             board.load(model, others[0].name, "second data centre")
 
--- a/packages/rookspring-core/src/rookspring_core/planning.py
+++ b/packages/rookspring-core/src/rookspring_core/planning.py
@@ -10,24 +10,24 @@
 from . import defaults
 from . import placement
 from . import swapping as swapping
+from .accounts import load_time_s
+from .accounts import loads_from_store
+from .accounts import order_mb
+from .accounts import report_without
+from .accounts import split_name
+from .accounts import unanswered_mb
+from .accounts import used_mb
+from .accounts import withdrawn_mb
 from .effects import Effect
 from .effects import LoadRequestDeclined
 from .endpoints import EndpointView
+from .orders import accepts_orders
 from .orders import adapters_at
+from .orders import apply_and_share_report
 from .orders import give_order
-from .orders import put_report
-from .orders import usable
-from .orders import withdraw
+from .orders import withdraw_and_unload
 from .resources import ModelSpec
 from .resources import PolicySpec
-from .rooms import doubted_mb
-from .rooms import from_store
-from .rooms import load_time_s
-from .rooms import order_mb
-from .rooms import split_name
-from .rooms import used_mb
-from .rooms import withdrawn_mb
-from .rooms import without
 from .routes import EngineSize
 from .state import NodeState
 
@@ -43,7 +43,7 @@
     for service, size in state.table.services.items():
         if size.engine is not None:
             effects += _plan_service(state, service, size.engine)
-    state.residency.summed_at = state.now
+    state.residency.deficits_updated_at = state.now
     return effects
 
 
@@ -59,11 +59,11 @@
     part = sum(levels.values()) / max(1, len(views)) * defaults.EVEN_MARGIN
     rate = max(defaults.RUNNER_TOKENS_PER_S, part)
     used = attaching.list_used(state)
-    unattached = _sum_awaited(state, service, models)
+    unattached = _sum_unattached_demand(state, service, models)
     snapshots = tuple(
         _snapshot_runner(state, engine, view, rate)._replace(
             in_use=frozenset(name for endpoint, name in used if endpoint == view.name),
-            awaited=sum(unattached.get(model, 0.0) for model in view.resident),
+            unattached_demand=sum(unattached.get(model, 0.0) for model in view.resident),
         )
         for view in views
     )
@@ -81,7 +81,7 @@
         urgent=state.control.urgent_demand.forecast.levels,
         missed=state.control.refused_demand.forecast.levels,
         longest_s=state.paces.longest_answer_s,
-        owed=_update_deficits(state, requested, snapshots),
+        deficit=_update_deficits(state, requested, snapshots),
         declined={},
     )
     effects: Effects = []
@@ -99,13 +99,17 @@
         why = declined.get(model, "")
         if why and logged.get(model, "") != why:
             effects.append(
-                LoadRequestDeclined(model, f"{why}; {plan_input.claim(model):.0f} tokens/s of aged demand")
+                LoadRequestDeclined(
+                    model, f"{why}; {plan_input.aged_demand(model):.0f} tokens/s of aged demand"
+                )
             )
         logged[model] = why
     return effects
 
 
-def _sum_awaited(state: NodeState, service: str, models: t.Container[str]) -> dict[str, float]:
+def _sum_unattached_demand(
+    state: NodeState, service: str, models: t.Container[str]
+) -> dict[str, float]:
     """Sum the demand for unattached adapters, by their model.
 
     :return: in tokens a second, divided by the number of endpoints that hold the model.
@@ -124,25 +128,25 @@
 def _update_deficits(
     state: NodeState,
     requested: t.Mapping[str, float],
-    snapshots: t.Iterable[placement.RunnerRoom],
+    snapshots: t.Iterable[placement.RunnerSnapshot],
 ) -> dict[str, float]:
     """Accumulate the tokens requested of each model while it is resident nowhere.
 
     :param requested: of each model, in tokens a second.
     """
     residency = state.residency
-    passed = min(state.now - residency.summed_at, defaults.RELAY_PLAN_INTERVAL_S)
+    passed = min(state.now - residency.deficits_updated_at, defaults.RELAY_PLAN_INTERVAL_S)
     resident = {name for one in snapshots for name, _ in one.resident}
     for model, level in requested.items():
         if model in resident:
-            residency.owed.pop(model, None)
+            residency.deficits.pop(model, None)
         elif level > 0.0:
-            residency.owed[model] = residency.owed.get(model, 0.0) + level * passed
-    return {model: residency.owed[model] for model in requested if model in residency.owed}
+            residency.deficits[model] = residency.deficits.get(model, 0.0) + level * passed
+    return {model: residency.deficits[model] for model in requested if model in residency.deficits}
 
 
 def _plannable(state: NodeState, view: EndpointView) -> bool:
-    account = state.residency.rooms.get(view.name)
+    account = state.residency.accounts.get(view.name)
     if account is None or not account.trusted or view.report is None:
         return False
     # A runner that is down has lost its models, so they are placed elsewhere at once,
@@ -153,32 +157,32 @@
 
 def _snapshot_runner(
     state: NodeState, engine: EngineSize, view: EndpointView, token_rate: float
-) -> placement.RunnerRoom:
+) -> placement.RunnerSnapshot:
     assert view.report is not None
-    account = state.residency.rooms[view.name]
+    account = state.residency.accounts[view.name]
     order = account.order
-    coming = (
+    loading = (
         {(order.model, "")} if order and order.action == "load" and not order.adapter else set()
     )
     resident = {(name, "") for name, _ in view.report.resident}
     free_mb = engine.memory_mb - used_mb(engine, view.report) - _adapter_reserve_mb(engine, view)
     # Memory that an unanswered load may still take is not free.
-    free_mb -= doubted_mb(engine, account, state.now, "") + withdrawn_mb(engine, account)
+    free_mb -= unanswered_mb(engine, account, state.now, "") + withdrawn_mb(engine, account)
     if order is not None and order.action == "load" and not order.adapter:
         free_mb -= order_mb(engine, order)
-    return placement.RunnerRoom(
+    return placement.RunnerSnapshot(
         name=view.name,
         data_centre=view.data_centre,
         engine=view.service,
         free_gb=free_mb / 1000.0,
         token_rate=_bounded_rate(state, view, token_rate),
         resident=frozenset(resident),
-        coming=frozenset(coming),
-        busy=not usable(state, view) or bool(account.withdrawn_models()),
+        loading=frozenset(loading),
+        busy=not accepts_orders(state, view) or bool(account.withdrawn_models()),
         load_s={name: load_time_s(size, view.report) for name, size in engine.models.items()},
         free_in_s=_free_in_s(state, engine, view),
         room_for=account.room_for,
-        kept=account.kept_models(state.now),
+        protected=account.protected_models(state.now),
     )
 
 
@@ -197,13 +201,18 @@
 
     :return: infinite if unknown, as its order is overdue or unanswered.
     """
-    account = state.residency.rooms[view.name]
+    account = state.residency.accounts[view.name]
     order = account.order
     if account.withdrawn_models():
         since = min(account.withdrawn[name] for name in account.withdrawn_models())
         left_s = since + state.paces.longest_answer_s + defaults.RUNNER_BUSY_S - state.now
         return left_s if left_s > 0 else math.inf
-    if order is None or order.lost or view.report is None or not view.accepts_work(state.now):
+    if (
+        order is None
+        or order.unanswered
+        or view.report is None
+        or not view.accepts_work(state.now)
+    ):
         return math.inf
     length_s = order.length_s or defaults.UNLOAD_S
     left_s = order.sent_at + length_s + defaults.RUNNER_BUSY_S - state.now
@@ -220,19 +229,19 @@
     """Order one move at its endpoint, if that is safe now."""
     view = state.endpoints[move.endpoint]
     model = move.key[0]
-    if not usable(state, view) or view.report is None:
+    if not accepts_orders(state, view) or view.report is None:
         return []
     if move.action == "load":
         size = engine.models[model]
-        account = state.residency.rooms[view.name]
-        used = used_mb(engine, view.report) + doubted_mb(engine, account, state.now, model)
+        account = state.residency.accounts[view.name]
+        used = used_mb(engine, view.report) + unanswered_mb(engine, account, state.now, model)
         used += withdrawn_mb(engine, account)
         if used + size.memory_mb > engine.memory_mb:
             state.record(
                 view.name, f"cannot load {model}", "an unanswered order may still take its memory"
             )
             return []
-        if from_store(size, view.report) and not state.control.store_limiter.take():
+        if loads_from_store(size, view.report) and not state.control.store_limiter.take():
             return []
         state.record(view.name, f"load {model}", move.why)
         account.room_for = ""
@@ -245,7 +254,7 @@
     if not others and model in engine.models and not move.last:
         state.record(view.name, f"cannot unload {model}", "no other open endpoint holds it")
         return []
-    account = state.residency.rooms[view.name]
+    account = state.residency.accounts[view.name]
     account.room_for = move.room_for
     if (view.name, model) in attaching.list_used(state):
         # An unload waits for the requests that run there and blocks all other orders, for up
@@ -253,6 +262,6 @@
         # unloaded once its requests have ended.
         state.record(view.name, f"withdraw {model}", move.why)
         account.withdraw(model, state.now, adapters_at(view))
-        return [put_report(state, view, without(view.report, model, ""))]
+        return [apply_and_share_report(state, view, report_without(view.report, model, ""))]
     state.record(view.name, f"unload {model}", move.why)
-    return withdraw(state, view, model, "")
+    return withdraw_and_unload(state, view, model, "")
--- a/packages/rookspring-core/src/rookspring_core/residency.py
+++ b/packages/rookspring-core/src/rookspring_core/residency.py
@@ -13,6 +13,15 @@
 from . import ordering
 from . import planning
 from . import requests
+from .accounts import Attachment
+from .accounts import EndpointAccount
+from .accounts import OpenWant
+from .accounts import Order
+from .accounts import report_without
+from .accounts import split_name
+from .accounts import still_held
+from .accounts import used_mb
+from .accounts import withdrawn_mb
 from .control import WeightStoreLimiter
 from .effects import Effect
 from .effects import ReadReport
@@ -24,20 +33,11 @@
 from .events import LoadRequested
 from .events import OrderAnswered
 from .events import OrderDue
+from .orders import apply_and_share_report
 from .orders import engine_of
-from .orders import put_report
+from .orders import handover_gap_passed
 from .orders import resend_order
-from .orders import settled
 from .reducer import handles
-from .rooms import OpenWant
-from .rooms import Order
-from .rooms import Room
-from .rooms import Stay
-from .rooms import split_name
-from .rooms import still_there
-from .rooms import used_mb
-from .rooms import withdrawn_mb
-from .rooms import without
 from .state import NodeState
 
 
@@ -45,17 +45,17 @@
 
 
 @handles(LoadRequested)
-def take_want(state: NodeState, event: LoadRequested) -> Effects:
+def record_want(state: NodeState, event: LoadRequested) -> Effects:
     """Record that a node has a request for a model or adapter that is resident nowhere."""
     if not governing.holding(state):
         return []
     key = (event.service, event.model, event.adapter)
-    known = state.residency.wanted.get(key) or OpenWant(event.at, event.at, times=0)
-    state.residency.wanted[key] = known.ask_again(event.at, event.latest_retry_s)
+    known = state.residency.wants.get(key) or OpenWant(event.at, event.at, times=0)
+    state.residency.wants[key] = known.ask_again(event.at, event.latest_retry_s)
     return attaching.serve_wants(state)
 
 
-def steer(state: NodeState, passed: float) -> Effects:
+def run_control_tick(state: NodeState, passed: float) -> Effects:
     """Do the control work that is due at a tick: the lease, then reports and orders."""
     control = state.control
     for meter in (control.meter, control.urgent_demand.meter, control.refused_demand.meter):
@@ -66,9 +66,9 @@
         return effects
     governing.sum_demand(state, passed)
     effects += _request_reports(state)
-    if not settled(state):
+    if not handover_gap_passed(state):
         return effects
-    attaching.note_used(state)
+    attaching.mark_used_adapters(state)
     effects += attaching.serve_wants(state)
     effects += attaching.unload_withdrawn(state)
     if state.now - state.residency.planned_at >= defaults.RELAY_PLAN_INTERVAL_S:
@@ -82,8 +82,8 @@
     residency = state.residency
     if residency.epoch != state.control.acting_epoch:
         residency.epoch = state.control.acting_epoch
-        residency.rooms = {}
-        residency.wanted = {}
+        residency.accounts = {}
+        residency.wants = {}
         state.control.store_limiter = WeightStoreLimiter(
             defaults.STORE_BURST, defaults.RELAY_PLAN_INTERVAL_S
         )
@@ -92,37 +92,37 @@
     for name, view in state.endpoints.items():
         if view.role != "runner" or view.gone or view.leaving:
             continue
-        account = residency.rooms.setdefault(name, Room())
+        account = residency.accounts.setdefault(name, EndpointAccount())
         if not view.in_backoff(state.now) and _report_due(state, view, account):
-            account.asked_at = state.now
+            account.report_requested_at = state.now
             effects.append(ReadReport(name, 0.0))
-    for name in [name for name in residency.rooms if name not in state.endpoints]:
-        del residency.rooms[name]
+    for name in [name for name in residency.accounts if name not in state.endpoints]:
+        del residency.accounts[name]
     return effects
 
 
-def _report_due(state: NodeState, view: EndpointView, account: Room) -> bool:
+def _report_due(state: NodeState, view: EndpointView, account: EndpointAccount) -> bool:
     """Tell whether a runner's report is to be read now.
 
     A runner that took an order is read when that is expected to have ended, and then often.
     One that is new, or whose state is uncertain, is read once a second.
     """
-    asked_s = state.now - account.asked_at
+    asked_s = state.now - account.report_requested_at
     order = account.order
     if order is not None and order.taken:
-        ended = state.now >= order.ends_at() + state.residency.look_s
-        read_since = account.asked_at > order.sent_at
+        ended = state.now >= order.ends_at() + state.residency.report_lag_s
+        read_since = account.report_requested_at > order.sent_at
         return ended and (not read_since or asked_s >= defaults.ORDER_POLL_S)
     # Until its first order the holder reads again, as orders of the previous one may still end.
     loading = view.report is not None and bool(view.report.loading)
-    due = not account.trusted or order is not None or loading or not settled(state)
+    due = not account.trusted or order is not None or loading or not handover_gap_passed(state)
     # A runner that counts as down is read until its entry lapses, in case it still answers.
     return (due or view.down) and asked_s >= defaults.REPORT_READ_INTERVAL_S
 
 
 def note_report(state: NodeState, event: EndpointReported) -> None:
     """Apply a runner's report, which may show that its order has ended."""
-    account = state.residency.rooms.get(event.endpoint)
+    account = state.residency.accounts.get(event.endpoint)
     if account is None or not governing.holding(state):
         return
     if event.polled:
@@ -131,27 +131,27 @@
     if order is None or not event.polled:
         return
     if event.order_token[1] > order.taken_before:
-        if not event.loading and not still_there(order, event):
+        if not event.loading and not still_held(order, event):
             _complete_order(state, account)
     elif order.taken and not order.adapter:
-        state.residency.note_lag()
-    elif order.lost:
+        state.residency.raise_report_lag()
+    elif order.unanswered:
         _complete_order(state, account)
 
 
-def trust(state: NodeState, event: EndpointReported) -> None:
+def trust_runner(state: NodeState, event: EndpointReported) -> None:
     """Allow orders to a runner whose own report was applied.
 
     A report that was dropped, as it counts fewer orders than are known, does not confirm the
     view: a model that was withdrawn under the previous lease is missing from the view and
     from the account, and its memory would be promised twice.
     """
-    account = state.residency.rooms.get(event.endpoint)
+    account = state.residency.accounts.get(event.endpoint)
     if account is not None and event.polled and governing.holding(state):
         account.trusted = True
 
 
-def _forget_unloaded(account: Room, report: EndpointReported) -> None:
+def _forget_unloaded(account: EndpointAccount, report: EndpointReported) -> None:
     """Forget withdrawn models that an unanswered unload has removed after all.
 
     Adapters of other models are kept: the report may be older than their last change.
@@ -163,7 +163,7 @@
                 account.withdrawn.pop(name)
 
 
-def _complete_order(state: NodeState, account: Room) -> None:
+def _complete_order(state: NodeState, account: EndpointAccount) -> None:
     """Clear an order that has ended, and have the next tick make a plan.
 
     A model that was loaded while there is demand for it is protected until its callers have
@@ -176,24 +176,28 @@
         for name in gone:
             account.withdrawn.pop(name, None)
     elif order is not None and state.control.forecast.levels.get(order.model, 0.0) > 0.0:
-        account.kept[order.model] = _kept_until(state, order.model)
+        account.protected[order.model] = _protected_until(state, order.model)
     account.order = None
     state.residency.planned_at = -1e9
 
 
-def _kept_until(state: NodeState, model: str) -> float:
+def _protected_until(state: NodeState, model: str) -> float:
     """Return the time until which a loaded model is protected: its callers have retried then."""
-    wants = state.residency.wanted.items()
-    back_at = max((want.back_at for key, want in wants if key[1] == model), default=-math.inf)
+    wants = state.residency.wants.items()
+    callers_back_by = max(
+        (want.callers_back_by for key, want in wants if key[1] == model), default=-math.inf
+    )
     most = state.now + defaults.MODEL_KEEP_MAX_S
-    return min(most, max(state.now, back_at) + defaults.KEEP_AFTER_RETRY_S)
+    return min(most, max(state.now, callers_back_by) + defaults.KEEP_AFTER_RETRY_S)
 
 
-def _withdrawn_with(account: Room, model: str) -> set[str]:
+def _withdrawn_with(account: EndpointAccount, model: str) -> set[str]:
     return {name for name in account.withdrawn if split_name(name)[0] == model}
 
 
-def refine(state: NodeState, view: EndpointView, event: EndpointReported) -> EndpointReported:
+def complete_report(
+    state: NodeState, view: EndpointView, event: EndpointReported
+) -> EndpointReported:
     """Complete a report with what is known from the endpoint itself or from orders.
 
     A row of the endpoint list lags behind orders and does not count them, so what it shows
@@ -209,23 +213,23 @@
             loading=known.loading,
             order_token=known.order_token,
         )
-    account = state.residency.rooms.get(view.name)
+    account = state.residency.accounts.get(view.name)
     for name in account.withdrawn if account else ():
-        event = without(event, *split_name(name))
+        event = report_without(event, *split_name(name))
     order = account.order if account else None
     if order is None or order.action != "unload":
         return event
-    return without(event, order.model, order.adapter)
+    return report_without(event, order.model, order.adapter)
 
 
-def promised_mb(state: NodeState, order: SendOrder) -> tuple[float, float]:
+def memory_after_load_mb(state: NodeState, order: SendOrder) -> tuple[float, float]:
     """Return the memory in use after a load, and the endpoint's capacity, in megabytes."""
     view = state.endpoints[order.endpoint]
     engine = engine_of(state, view)
     assert engine is not None and view.report is not None
     size = engine.models[order.model]
     more = size.adapter_mb if order.model_version else size.memory_mb
-    account = state.residency.rooms[view.name]
+    account = state.residency.accounts[view.name]
     held = used_mb(engine, view.report) + withdrawn_mb(engine, account)
     return held + more, engine.memory_mb
 
@@ -237,7 +241,7 @@
 
 
 def _note_answer(state: NodeState, event: OrderAnswered) -> Effects:
-    account = state.residency.rooms.get(event.endpoint)
+    account = state.residency.accounts.get(event.endpoint)
     order = account.order if account else None
     if (
         account is None
@@ -254,17 +258,19 @@
             # Another holder is active: give up the lease at once, though it has not expired.
             state.control.lease.held_until = -1e9
             return []
-        account.asked_at = state.now
+        account.report_requested_at = state.now
         return [ReadReport(event.endpoint, 0.0)]
     # An endpoint takes only one order for each count, so others with this count are void.
-    account.doubts = [one for one in account.doubts if one.taken_before != order.taken_before]
+    account.unanswered_loads = [
+        one for one in account.unanswered_loads if one.taken_before != order.taken_before
+    ]
     account.order = order._replace(taken=True)
     if not order.adapter and event.reason == "done":
         # Nothing had to be done, and the endpoint may not have counted the order. Then no
         # report would show its end.
         _complete_order(state, account)
         account.trusted = False
-        account.asked_at = state.now
+        account.report_requested_at = state.now
         return [ReadReport(event.endpoint, 0.0)]
     if not order.adapter:
         return _share_loading(state, event.endpoint, order)
@@ -276,7 +282,7 @@
 
 
 def _handle_unanswered(
-    state: NodeState, event: OrderAnswered, account: Room, order: Order
+    state: NodeState, event: OrderAnswered, account: EndpointAccount, order: Order
 ) -> Effects:
     """Handle an order without an answer: send it again, or read the endpoint's report.
 
@@ -285,15 +291,15 @@
     can be ordered there.
     """
     if order.action == "load" and order.sends == 1:
-        account.doubts.append(order)
+        account.unanswered_loads.append(order)
     view = state.endpoints.get(event.endpoint)
     # A node that was suspended may learn of this after its lease has expired; it must not
     # order anything then.
     if view is not None and governing.holding(state) and order.sends < defaults.ORDER_SENDS_MAX:
         account.order = order._replace(sends=order.sends + 1)
         return [resend_order(state, view, order)]
-    account.order = order._replace(lost=True)
-    account.asked_at = state.now
+    account.order = order._replace(unanswered=True)
+    account.report_requested_at = state.now
     return [ReadReport(event.endpoint, defaults.ORDER_CHECK_S)]
 
 
@@ -307,9 +313,9 @@
 
 
 @handles(OrderDue)
-def finish_adapter(state: NodeState, event: OrderDue) -> Effects:
+def finish_adapter_order(state: NodeState, event: OrderDue) -> Effects:
     """Complete an adapter's order without a report: it takes less time than reports lag."""
-    account = state.residency.rooms.get(event.endpoint)
+    account = state.residency.accounts.get(event.endpoint)
     view = state.endpoints.get(event.endpoint)
     order = account.order if account else None
     if account is None or order is None or order.taken_before != event.taken_before or view is None:
@@ -319,12 +325,14 @@
     account.order = None
     if order.action == "unload":
         account.withdrawn.pop(order.adapter, None)
-    report = without(view.report, order.model, order.adapter)
+    report = report_without(view.report, order.model, order.adapter)
     if order.action == "load":
         report = report._replace(adapters=(*report.adapters, order.adapter))
-        kept_until = max(state.now, order.back_at) + defaults.KEEP_AFTER_RETRY_S
-        account.stays[order.adapter] = Stay(state.now, kept_until, wanted_at=order.wanted_at)
+        protected_until = max(state.now, order.callers_back_by) + defaults.KEEP_AFTER_RETRY_S
+        account.attachments[order.adapter] = Attachment(
+            state.now, protected_until, wanted_at=order.wanted_at
+        )
     report = report._replace(order_token=(0, order.taken_before + 1))
-    effects: Effects = [put_report(state, view, report)]
+    effects: Effects = [apply_and_share_report(state, view, report)]
     effects += attaching.serve_wants(state)
     return effects + requests.dispatch_waiting(state)
--- a/packages/rookspring-core/src/rookspring_core/restarts.py
+++ b/packages/rookspring-core/src/rookspring_core/restarts.py
@@ -16,11 +16,11 @@
 
 import typing as t
 from . import defaults
+from .accounts import EndpointAccount
 from .effects import Effect
 from .effects import ReadReport
 from .endpoints import EndpointView
 from .events import EndpointReported
-from .rooms import Room
 from .state import NodeState
 
 
@@ -54,15 +54,15 @@
 
     :return: the report, with ``sure`` set if it is verified, and the reads to make.
     """
-    room = state.residency.rooms.get(view.name)
+    room = state.residency.accounts.get(view.name)
     if event.polled and view.unverified_start == event.started_ms:
         return event._replace(start_confirmed=True), []
     if event.polled:
         view.unverified_start = event.started_ms
-    since_asked_s = state.now - room.asked_at if room is not None else 0.0
+    since_asked_s = state.now - room.report_requested_at if room is not None else 0.0
     if room is None or not (event.polled or since_asked_s >= defaults.RESTART_CHECK_S):
         return event, []
-    room.asked_at = state.now
+    room.report_requested_at = state.now
     return event, [ReadReport(view.name, defaults.RESTART_CHECK_S if event.polled else 0.0)]
 
 
@@ -71,24 +71,24 @@
     view.reset_for_restart(state.now)
     state.notices.note_restart(view.name, event.started_ms, event.start_confirmed)
     state.rates.begin(view.name, event.started_ms, event.start_confirmed)
-    room = state.residency.rooms.get(view.name)
+    room = state.residency.accounts.get(view.name)
     if room is not None:
-        state.residency.rooms[view.name] = _reset_room(room)
+        state.residency.accounts[view.name] = _reset_room(room)
     state.record(
         view.name, f"restarted at {event.started_ms}", "it was restarted under its name"
     )
 
 
-def _reset_room(previous: Room) -> Room:
+def _reset_room(previous: EndpointAccount) -> EndpointAccount:
     """Return an empty account of memory and orders for a new process.
 
     An order to the earlier process names only the endpoint, whose name is unchanged, and an
     order count that the new process may reach. So a load that was not answered may still be
     carried out, and its memory is kept among the doubts.
     """
-    room = Room()
-    room.doubts = previous.doubts
+    room = EndpointAccount()
+    room.unanswered_loads = previous.unanswered_loads
     order = previous.order
     if order is not None and order.action == "load" and not order.taken:
-        room.doubts.append(order)
+        room.unanswered_loads.append(order)
     return room
--- a/packages/rookspring-core/src/rookspring_core/routed.py
+++ b/packages/rookspring-core/src/rookspring_core/routed.py
@@ -7,6 +7,7 @@
 import math
 from . import admission_queue
 from . import defaults
+from .accounts import load_time_s
 from .effects import Effect
 from .effects import Refuse
 from .effects import SharePrompts
@@ -14,7 +15,6 @@
 from .events import AttemptFailed
 from .events import RequestArrived
 from .retries import RetryWindow
-from .rooms import load_time_s
 from .routes import ModelSize
 from .state import NodeState
 from .state import RequestState
--- a/packages/rookspring-core/src/rookspring_core/state.py
+++ b/packages/rookspring-core/src/rookspring_core/state.py
@@ -2,6 +2,7 @@
 
 import typing as t
 from . import defaults
+from .accounts import Residency
 from .adapter_waits import AdapterWaits
 from .admission_queue import AdmissionQueue
 from .admission_queue import ThroughputMeter
@@ -24,7 +25,6 @@
 from .retries import RetryBudget
 from .retries import RetryWindow
 from .retries import WindowTerms
-from .rooms import Residency
 from .routes import RouteTable
 from .slot_queues import SlotQueue
 from .suspects import SuspectTable
--- a/packages/rookspring-core/src/rookspring_core/swapping.py
+++ b/packages/rookspring-core/src/rookspring_core/swapping.py
@@ -13,14 +13,14 @@
 from .placement import Board
 from .placement import Move
 from .placement import PlanInput
-from .placement import RunnerRoom
+from .placement import RunnerSnapshot
 from .placement import Weights
 from .placement import placement
-from .placement import serve_split
+from .placement import split_demand
 
 
 
-class Bounds(t.NamedTuple):
+class EvictionBounds(t.NamedTuple):
     """Limits on the loss that an eviction may cause, in tokens a second.
 
     :param spare: loss by evicting a replica of a model that keeps others.
@@ -36,7 +36,7 @@
     value_redundancy: bool = True
 
 
-class Option(t.NamedTuple):
+class LoadOption(t.NamedTuple):
     """A runner that could load a model, and what that costs; options sort by preference.
 
     :param cost_s: ``time_s``, with the runner's load, the loss by the evictions and
@@ -68,29 +68,29 @@
 
     def __init__(self, plan_input: PlanInput) -> None:
         super().__init__(plan_input)
-        self.coming = {key[0] for runner in plan_input.runners for key in runner.coming}
-        self.share_out()
-        self.quick = {
+        self.loading = {key[0] for runner in plan_input.runners for key in runner.loading}
+        self.update_shares()
+        self.quick_to_load = {
             model
             for runner in plan_input.runners
             for model, load_s in runner.load_s.items()
             if load_s <= defaults.QUICK_LOAD_S
         }
-        self.on_way = {
+        self.making_room = {
             runner.room_for
             for runner in plan_input.runners
             if runner.busy and runner.free_in_s <= defaults.ROOM_PENDING_S
         }
 
-    def share_out(self) -> None:
+    def update_shares(self) -> None:
         """Distribute the demand over the replicas as planned so far."""
-        self.load_of, self.unserved, self.share = serve_split(self)
-        plan_input = self.given
+        self.runner_load, self.unserved, self.share = split_demand(self)
+        plan_input = self.plan_input
         for model, demand in plan_input.demand.items():
             if demand <= 0.0:
                 continue
             missed = max(self.unserved.get(model, 0.0), plan_input.missed.get(model, 0.0))
-            known = self.ready.get(model) or model in self.coming
+            known = self.ready.get(model) or model in self.loading
             if known and len(self.hosts[model]) == 1:
                 missed = max(
                     missed, defaults.SINGLE_REPLICA_LOSS_SHARE * plan_input.urgent.get(model, 0.0)
@@ -99,10 +99,12 @@
 
     def urgent(self, model: str) -> float:
         """Return what is requested of a model and cannot wait for a load, in tokens a second."""
-        demand = self.given.demand.get(model, 0.0)
+        demand = self.plan_input.demand.get(model, 0.0)
         if demand <= 0.0:
             return 0.0
-        return self.given.asked_for(model) * min(1.0, self.given.urgent.get(model, 0.0) / demand)
+        return self.plan_input.requested_rate(model) * min(
+            1.0, self.plan_input.urgent.get(model, 0.0) / demand
+        )
 
     def loss(self, model: str, runner: str, value_redundancy: bool = True) -> float:
         """Predict the demand that would go unserved without a replica, in tokens a second.
@@ -113,8 +115,8 @@
 
         :param value_redundancy: count what the second of two replicas is worth by itself.
         """
-        plan_input = self.given
-        requested = plan_input.asked_for(model)
+        plan_input = self.plan_input
+        requested = plan_input.requested_rate(model)
         demand = plan_input.demand.get(model, 0.0)
         if requested <= 0.0 or demand <= 0.0:
             return 0.0
@@ -123,7 +125,7 @@
             urgent = self.urgent(model)
             return urgent + defaults.DEFERRABLE_LOSS_SHARE * (requested - urgent)
         spare = sum(
-            max(0.0, self.runners[other].token_rate - self.load_of[other]) for other in others
+            max(0.0, self.runners[other].token_rate - self.runner_load[other]) for other in others
         )
         over = self.share.get((model, runner), 0.0) - spare
         missed = max(0.0, over, plan_input.missed.get(model, 0.0))
@@ -141,7 +143,7 @@
     for model in _missing_models(board, requested=True):
         _load_requested(board, model)
     for _ in range(max(1, plan_input.policy.loads_at_once)):
-        board.share_out()
+        board.update_shares()
         if not _add_paying_replica(board):
             break
     for model in _missing_models(board, requested=False):
@@ -149,17 +151,17 @@
     return board.moves
 
 
-def _continue_load(board: SwapBoard, runner: RunnerRoom) -> None:
+def _continue_load(board: SwapBoard, runner: RunnerSnapshot) -> None:
     """Load the model that an unload has made room for, before another takes the room.
 
     If the room is still too small, plan the next unload: otherwise the model that was
     unloaded would be loaded into its own room again.
     """
     model = runner.room_for
-    spec = board.given.models.get(model)
-    if spec is None or runner.name in board.touched or runner.name in board.hosts[model]:
+    spec = board.plan_input.models.get(model)
+    if spec is None or runner.name in board.unavailable or runner.name in board.hosts[model]:
         return
-    if board.given.demand.get(model, 0.0) <= 0.0 and board.hosts[model]:
+    if board.plan_input.demand.get(model, 0.0) <= 0.0 and board.hosts[model]:
         # It is resident elsewhere by now, and has no demand for another replica.
         return
     need_gb = spec.memory_gb - board.free[runner.name]
@@ -175,18 +177,18 @@
         _plan_evictions(board, model, runner.name, evictions, "more room")
 
 
-def _bounds_for_first_replica(board: SwapBoard, model: str) -> Bounds:
+def _bounds_for_first_replica(board: SwapBoard, model: str) -> EvictionBounds:
     """Return the loss allowed for the first replica of a model.
 
     Redundancy of other models counts for nothing here: a first replica of one model goes
     before a second of another.
     """
-    share = board.given.claim(model) * defaults.EVICTION_SHARE
+    share = board.plan_input.aged_demand(model) * defaults.EVICTION_SHARE
     most = max(defaults.IDLE_TOKENS_PER_S, share)
-    return Bounds(spare=most, last=most, urgent=most, value_redundancy=False)
+    return EvictionBounds(spare=most, last=most, urgent=most, value_redundancy=False)
 
 
-def _bounds_for_extra_replica(board: SwapBoard, model: str, missed: float) -> Bounds:
+def _bounds_for_extra_replica(board: SwapBoard, model: str, missed: float) -> EvictionBounds:
     """Return the loss allowed for another replica of a model.
 
     Last replicas are evicted only if they are nearly idle; with a higher limit, rarely
@@ -194,11 +196,11 @@
 
     :param missed: in tokens of the slowest model a second.
     """
-    demand = board.given.demand.get(model, 0.0)
-    tokens = missed * board.given.asked_for(model) / demand if demand > 0.0 else 0.0
+    demand = board.plan_input.demand.get(model, 0.0)
+    tokens = missed * board.plan_input.requested_rate(model) / demand if demand > 0.0 else 0.0
     share = tokens * defaults.EVICTION_SHARE
     last = min(share, defaults.IDLE_TOKENS_PER_S)
-    return Bounds(spare=share, last=last, urgent=last)
+    return EvictionBounds(spare=share, last=last, urgent=last)
 
 
 def _missing_models(board: SwapBoard, requested: bool) -> list[str]:
@@ -206,15 +208,15 @@
 
     :param requested: whether to list those with demand or those without.
     """
-    demand = board.given.demand
+    demand = board.plan_input.demand
     lacking = [
         model
-        for model in board.given.models
+        for model in board.plan_input.models
         if not board.hosts[model]
-        and model not in board.on_way
+        and model not in board.making_room
         and (demand.get(model, 0.0) > 0.0) == requested
     ]
-    return sorted(lacking, key=lambda name: (-board.given.claim(name), name))
+    return sorted(lacking, key=lambda name: (-board.plan_input.aged_demand(name), name))
 
 
 def _load_requested(board: SwapBoard, model: str) -> None:
@@ -224,24 +226,26 @@
     nothing is planned until that runner is free.
     """
     bounds = _bounds_for_first_replica(board, model)
-    most = board.given.claim(model) * defaults.SWAP_HORIZON_S
+    most = board.plan_input.aged_demand(model) * defaults.SWAP_HORIZON_S
     options = [
         option
-        for runner in board.given.runners
+        for runner in board.plan_input.runners
         if (option := _evaluate(board, runner, model, bounds)) is not None
         and option.delayed_tokens <= most
     ]
     best = min(options, default=None)
-    if best is not None and best.runner not in board.touched:
+    if best is not None and best.runner not in board.unavailable:
         _plan_option(board, model, best, "no replica")
-    elif board.given.declined is not None:
-        board.given.declined[model] = f"it waits for {best.runner}" if best else "no room for it"
+    elif board.plan_input.declined is not None:
+        board.plan_input.declined[model] = (
+            f"it waits for {best.runner}" if best else "no room for it"
+        )
 
 
-def _unavailable(board: SwapBoard, runner: RunnerRoom) -> bool:
+def _unavailable(board: SwapBoard, runner: RunnerSnapshot) -> bool:
     """Tell whether a runner has a move in this plan, or is busy for an unknown time."""
     unknown = not runner.busy or math.isinf(runner.free_in_s)
-    return runner.name in board.touched and unknown
+    return runner.name in board.unavailable and unknown
 
 
 def _load_idle(board: SwapBoard, model: str) -> None:
@@ -252,12 +256,12 @@
     requested. Runners with demand for unattached adapters are left out, as they could
     attach none during the load.
     """
-    has_local_copy = model in board.quick
-    bounds = Bounds(spare=defaults.IDLE_TOKENS_PER_S, last=None, urgent=0.0)
+    has_local_copy = model in board.quick_to_load
+    bounds = EvictionBounds(spare=defaults.IDLE_TOKENS_PER_S, last=None, urgent=0.0)
     options = [
         option
-        for runner in board.open_to(model)
-        if runner.awaited <= defaults.IDLE_TOKENS_PER_S
+        for runner in board.candidate_runners(model)
+        if runner.unattached_demand <= defaults.IDLE_TOKENS_PER_S
         and (option := _evaluate(board, runner, model, bounds)) is not None
         and (not option.evictions or not has_local_copy)
     ]
@@ -268,12 +272,12 @@
 
 def _evaluate(
     board: SwapBoard,
-    runner: RunnerRoom,
+    runner: RunnerSnapshot,
     model: str,
-    bounds: Bounds,
-) -> Option | None:
+    bounds: EvictionBounds,
+) -> LoadOption | None:
     """Return the cost of loading a model at a runner; None if it cannot be loaded there."""
-    spec = board.given.models[model]
+    spec = board.plan_input.models[model]
     if runner.engine != spec.engine or runner.name in board.hosts[model]:
         return None
     if (model, spec.version) in runner.barred or _unavailable(board, runner):
@@ -284,22 +288,22 @@
     cost_s = runner.load_s.get(model, 0.0) + defaults.UNLOAD_S * len(evictions)
     if any(key[0] in runner.in_use for key, _ in evictions):
         # An unload waits until the last request that uses the model has ended.
-        cost_s += board.given.longest_s
-    if runner.name in board.touched:
+        cost_s += board.plan_input.longest_s
+    if runner.name in board.unavailable:
         cost_s += runner.free_in_s
     time_s = cost_s
     rate = max(runner.token_rate, 1e-9)
     lost = sum(board.loss(key[0], runner.name) for key, _ in evictions)
-    cost_s += defaults.LOADED_RUNNER_S * board.load_of[runner.name] / rate
+    cost_s += defaults.LOADED_RUNNER_S * board.runner_load[runner.name] / rate
     # Lost and delayed tokens become seconds by the requested rate of the model to load.
-    requested = max(board.given.asked_for(model), defaults.IDLE_TOKENS_PER_S)
-    delayed_tokens = runner.awaited * time_s
+    requested = max(board.plan_input.requested_rate(model), defaults.IDLE_TOKENS_PER_S)
+    delayed_tokens = runner.unattached_demand * time_s
     cost_s += (defaults.EVICTED_REPLICA_S * lost + delayed_tokens) / requested
-    return Option(cost_s, time_s, lost, runner.name, evictions, delayed_tokens)
+    return LoadOption(cost_s, time_s, lost, runner.name, evictions, delayed_tokens)
 
 
 def _choose_evictions(
-    board: SwapBoard, runner: RunnerRoom, need_gb: float, bounds: Bounds
+    board: SwapBoard, runner: RunnerSnapshot, need_gb: float, bounds: EvictionBounds
 ) -> tuple[tuple[Weights, float], ...] | None:
     """Choose replicas to unload, smallest loss first; None if they free too little memory."""
     evictions: list[tuple[Weights, float]] = []
@@ -311,8 +315,8 @@
     for key in sorted(runner.resident, key=order):
         if need_gb <= 0:
             break
-        spec = board.given.models.get(key[0])
-        if spec is None or runner.name not in board.ready[key[0]] or key[0] in runner.kept:
+        spec = board.plan_input.models.get(key[0])
+        if spec is None or runner.name not in board.ready[key[0]] or key[0] in runner.protected:
             continue
         most = _loss_limit(board, key[0], bounds)
         if most is not None and board.loss(key[0], runner.name, bounds.value_redundancy) <= most:
@@ -321,15 +325,15 @@
     return tuple(evictions) if need_gb <= 0 else None
 
 
-def _loss_limit(board: SwapBoard, model: str, bounds: Bounds) -> float | None:
+def _loss_limit(board: SwapBoard, model: str, bounds: EvictionBounds) -> float | None:
     """Return the loss allowed for evicting a replica of a model; None if it must stay."""
-    if board.spare(model):
+    if board.has_spare_replica(model):
         return bounds.spare
-    may_go = model in board.quick and board.urgent(model) <= bounds.urgent
+    may_go = model in board.quick_to_load and board.urgent(model) <= bounds.urgent
     return bounds.last if may_go else None
 
 
-def _plan_option(board: SwapBoard, model: str, option: Option, why: str) -> None:
+def _plan_option(board: SwapBoard, model: str, option: LoadOption, why: str) -> None:
     """Plan the load, or the evictions before it; a later plan then adds the load."""
     if not option.evictions:
         board.load(model, option.runner, why)
@@ -345,7 +349,7 @@
     why: str,
 ) -> None:
     """Plan unloads that make room for a model, and reserve the room for it."""
-    board.on_way.add(model)
+    board.making_room.add(model)
     for key, gb in evictions:
         board.unload(key, runner, gb, f"room for {model}: {why}", model)
 
@@ -358,10 +362,10 @@
     :return: whether one was added.
     """
     for model, missed in sorted(board.unserved.items(), key=lambda item: (-item[1], item[0])):
-        spec = board.given.models.get(model)
+        spec = board.plan_input.models.get(model)
         if spec is None or missed <= 0 or len(board.hosts[model]) >= spec.replicas_max:
             continue
-        if model in board.on_way or not board.hosts[model]:
+        if model in board.making_room or not board.hosts[model]:
             # Its first replica is planned, or waits for the runner that has it soonest.
             continue
         options = _list_replica_options(board, model, missed)
@@ -374,7 +378,7 @@
 
 def _list_replica_options(
     board: SwapBoard, model: str, missed: float
-) -> list[tuple[float, Option]]:
+) -> list[tuple[float, LoadOption]]:
     """List the runners that could take another replica, each with the gain in tokens.
 
     The replica serves the missed demand from the end of its load to the horizon. Against
@@ -384,13 +388,13 @@
 
     :param missed: in tokens of the slowest model a second.
     """
-    plan_input = board.given
-    tokens = plan_input.asked_for(model) / plan_input.demand[model]
+    plan_input = board.plan_input
+    tokens = plan_input.requested_rate(model) / plan_input.demand[model]
     bounds = _bounds_for_extra_replica(board, model, missed)
-    options: list[tuple[float, Option]] = []
-    for runner in board.open_to(model):
+    options: list[tuple[float, LoadOption]] = []
+    for runner in board.candidate_runners(model):
         option = _evaluate(board, runner, model, bounds)
-        spare = runner.token_rate - board.load_of[runner.name]
+        spare = runner.token_rate - board.runner_load[runner.name]
         if option is None or spare <= 0:
             continue
         gain = min(missed, spare) * tokens * (defaults.SWAP_HORIZON_S - option.time_s)
--- a/packages/rookspring-core/src/rookspring_core/wants.py
+++ b/packages/rookspring-core/src/rookspring_core/wants.py
@@ -7,7 +7,7 @@
 from .state import NodeState
 
 
-def miss(state: NodeState, event: RequestArrived) -> list[Effect]:
+def send_want(state: NodeState, event: RequestArrived) -> list[Effect]:
     """Send a want if no endpoint that takes requests holds what a waiting request needs."""
     terms = event.route
     if terms is None or event.service or event.request_id not in state.requests:
--- a/packages/rookspring/src/rookspring/relay_node.py
+++ b/packages/rookspring/src/rookspring/relay_node.py
@@ -118,15 +118,15 @@
         state.slots_by_owner = True
         state.capacity = min(settings.cores, settings.link_mbps / defaults.LINK_MBPS_A_CORE)
         state.control.lease.terms = RELAY_TERMS
-        pace = demand.Pace(
+        pace = demand.SmoothingTimes(
             core_defaults.RELAY_DEMAND_RISE_S,
             core_defaults.RELAY_DEMAND_FALL_S,
             core_defaults.RELAY_DEMAND_METER_S,
         )
-        state.control.meter.pace = pace
-        state.control.forecast.pace = pace
-        state.control.urgent_demand.use_pace(pace)
-        state.control.refused_demand.use_pace(
+        state.control.meter.smoothing = pace
+        state.control.forecast.smoothing = pace
+        state.control.urgent_demand.use_smoothing(pace)
+        state.control.refused_demand.use_smoothing(
             pace._replace(fall_s=core_defaults.REFUSED_DEMAND_FALL_S)
         )
         metrics = Metrics(settings.name)
