--- a/bench/clock_mutants.py
+++ b/bench/clock_mutants.py
@@ -5,7 +5,7 @@
 
 from rookspring import clock
 from rookspring.relay import RelayExchange
-from rookspring_core import governing
+from rookspring_core import control_jobs
 from rookspring_core.leases import Lease
 
 from .mutant import CLOCKS
@@ -28,6 +28,6 @@
 MUTANTS = (
     Mutant("counts no suspension", "ONE", clock, "now", time.monotonic, CLOCKS),
     Mutant("keeps no deadline", "callers", RelayExchange, "keep_deadline", _nothing, CLOCKS),
-    Mutant("holds for good", "ONE", governing, "holding", _always, CLOCKS),
+    Mutant("holds for good", "ONE", control_jobs, "holding", _always, CLOCKS),
     Mutant("holds to the end", "ONE", Lease, "holding", _to_the_end, CLOCKS),
 )
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -7,11 +7,11 @@
 import argparse
 import random
 import typing as t
-from .registry import experiment
-from .registry import report
+from unittest import mock
+
 from rookspring_core import InvariantBroken
 from rookspring_core import cluster
-from rookspring_core import governing
+from rookspring_core import control_jobs
 from rookspring_core import ordering
 from rookspring_core import recovering
 from rookspring_core import requests
@@ -20,14 +20,14 @@
 from rookspring_core.memory import Ledger
 from rookspring_core.once import OnceDecision
 from rookspring_core.once import OnceTable
-from rookspring_fakes.disturbances import Calls
 from rookspring_fakes.disturbances import DISTURBANCES
+from rookspring_fakes.disturbances import Calls
 from rookspring_fakes.disturbances import steady
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
-from unittest import mock
-
 
+from .registry import experiment
+from .registry import report
 
 
 class Mutant(t.NamedTuple):
@@ -133,7 +133,7 @@
         "a runner is leaving",
     ),
     Mutant("stop with work in flight", cluster, "_stop_due", _stop_at_once, "a node is drained"),
-    Mutant("apply an older revision", governing, "apply_revision", _apply_any, "old revision"),
+    Mutant("apply an older revision", control_jobs, "apply_revision", _apply_any, "old revision"),
     Mutant(
         "deny what was sent", requests, "fail_request", _believe_unsent, "a service breaks answers"
     ),
--- a/bench/notice_mutants.py
+++ b/bench/notice_mutants.py
@@ -1,21 +1,21 @@
 """Wrong decisions about what endpoints say of themselves."""
 
 import typing as t
-from .mutant import Mutant
-from .mutant import NOTICES
+
 from rookspring import relay_merged
 from rookspring import relay_notices
 from rookspring_core import notice_handlers
 from rookspring_core import notices
 from rookspring_core import retry_after
 from rookspring_core import routed
-from rookspring_core import slotting
+from rookspring_core import slot_requests
 from rookspring_core.endpoints import EndpointView
 from rookspring_core.notices import Notice
 from rookspring_core.notices import NoticeTable
 from rookspring_core.notices import RequestedBackoff
 
-
+from .mutant import NOTICES
+from .mutant import Mutant
 
 
 def _nothing(*given: t.Any) -> None:
@@ -100,7 +100,7 @@
     Mutant(
         "rests for as long as asked", "reach", Notice, "requested_backoff_s", _uncapped, NOTICES
     ),
-    Mutant("a slot is a slot", "BUDGET", slotting, "usable", _usable, NOTICES),
+    Mutant("a slot is a slot", "BUDGET", slot_requests, "usable", _usable, NOTICES),
     Mutant(
         "all back at one moment",
         "callers",
--- a/bench/organisation_mutants.py
+++ b/bench/organisation_mutants.py
@@ -3,18 +3,18 @@
 import typing as t
 
 from rookspring import relay_proofs
-from rookspring_core import allotting
+from rookspring_core import allotment_checks
 from rookspring_core import keys
 from rookspring_core import requests
-from rookspring_core import slotting
+from rookspring_core import slot_requests
 from rookspring_core.allotments import Allotments
 from rookspring_core.events import TableProved
 from rookspring_core.freshness import Freshness
 from rookspring_core.freshness import ProofTerms
 from rookspring_core.keys import KeyVerdict
 from rookspring_core.owners import OwnerTable
-from rookspring_core.slot_queues import SlotAsk
 from rookspring_core.slot_queues import SlotQueue
+from rookspring_core.slot_queues import SlotRequest
 from rookspring_core.topology import Topology
 from rookspring_platform import PlatformDialect
 from rookspring_platform import dialect
@@ -23,8 +23,8 @@
 from .mutant import SLOTS
 from .mutant import Mutant
 
-_JUDGE = keys.judge
-_ASK = SlotQueue.ask
+_JUDGE = keys.check_key
+_ASK = SlotQueue.request_slot
 _ERRAND_HEADERS = PlatformDialect.errand_headers
 
 
@@ -33,7 +33,7 @@
 
 
 def _note_any(self: Freshness, as_of: float, version: int, applied: int) -> None:
-    self.at = max(self.at, as_of)
+    self.proved_at = max(self.proved_at, as_of)
 
 
 def _never(*given: t.Any) -> bool:
@@ -54,7 +54,7 @@
 
 def _denies_at_once(*given: t.Any) -> KeyVerdict:
     verdict = _JUDGE(*given)
-    return KeyVerdict(401, "unknown_key") if verdict.waits else verdict
+    return KeyVerdict(401, "unknown_key") if verdict.may_wait else verdict
 
 
 def _passes_the_key(self: PlatformDialect, headers: t.Any, errand: t.Any) -> list[t.Any]:
@@ -69,7 +69,7 @@
     return next(iter(self._open), None)
 
 
-def _takes_no_turns(self: SlotQueue, ask: SlotAsk, now: float) -> list[t.Any]:
+def _takes_no_turns(self: SlotQueue, ask: SlotRequest, now: float) -> list[t.Any]:
     return _ASK(self, ask._replace(organisation=""), now)
 
 
@@ -91,10 +91,12 @@
         _proved_when_heard,
         ORGANISATIONS,
     ),
-    Mutant("proves what it has not got", "keys", Freshness, "note", _note_any, ORGANISATIONS),
+    Mutant(
+        "proves what it has not got", "keys", Freshness, "record_proof", _note_any, ORGANISATIONS
+    ),
     Mutant("is never cut off", "keys", ProofTerms, "stale", _never, ORGANISATIONS),
     Mutant("asks for keys at arrival alone", "keys", keys, "find_fault", _nothing, ORGANISATIONS),
-    Mutant("denies new keys", "keys", keys, "judge", _denies_at_once, ORGANISATIONS),
+    Mutant("denies new keys", "keys", keys, "check_key", _denies_at_once, ORGANISATIONS),
     Mutant(
         "passes keys on", "keys", PlatformDialect, "errand_headers", _passes_the_key, ORGANISATIONS
     ),
@@ -106,12 +108,19 @@
         frozenset(),
         ORGANISATIONS,
     ),
-    Mutant("hears of nobody's use", "allotments", Allotments, "hear", _nothing, ORGANISATIONS),
+    Mutant(
+        "hears of nobody's use",
+        "allotments",
+        Allotments,
+        "record_reported",
+        _nothing,
+        ORGANISATIONS,
+    ),
     Mutant(
         "counts its grants alone", "allotments", Allotments, "_used", _granted_alone, ORGANISATIONS
     ),
     Mutant(
-        "grants all when cut", "allotments", OwnerTable, "note_visible", _nothing, ORGANISATIONS
+        "grants all when cut", "allotments", OwnerTable, "record_visible", _nothing, ORGANISATIONS
     ),
     Mutant(
         "knows nothing at a start",
@@ -122,12 +131,26 @@
         ORGANISATIONS,
     ),
     Mutant("owns everything itself", "allotments", Topology, "owners", _old_and_new, ORGANISATIONS),
-    Mutant("gives nothing back", "allotments", allotting, "give_back", _no_effects, ORGANISATIONS),
+    Mutant(
+        "gives nothing back",
+        "allotments",
+        allotment_checks,
+        "refund",
+        _no_effects,
+        ORGANISATIONS,
+    ),
     Mutant("gives slots without count", "slots", SlotQueue, "_choose", _any_endpoint, SLOTS),
     Mutant(
-        "lets organisations crowd others out", "slots", SlotQueue, "ask", _takes_no_turns, SLOTS
+        "lets organisations crowd others out",
+        "slots",
+        SlotQueue,
+        "request_slot",
+        _takes_no_turns,
+        SLOTS,
+    ),
+    Mutant("keeps slots", "slots", slot_requests, "free", _no_effects, SLOTS),
+    Mutant(
+        "waits for silent owners", "slots", slot_requests, "awaits_owner", _waits_for_ever, SLOTS
     ),
-    Mutant("keeps slots", "slots", slotting, "free", _no_effects, SLOTS),
-    Mutant("waits for silent owners", "slots", slotting, "waits", _waits_for_ever, SLOTS),
-    Mutant("asks for no slot", "slots", requests.slotting, "ask", _no_effects, SLOTS),
+    Mutant("asks for no slot", "slots", requests.slot_requests, "ask", _no_effects, SLOTS),
 )
--- a/bench/passing_mutants.py
+++ b/bench/passing_mutants.py
@@ -2,12 +2,7 @@
 
 import math
 import typing as t
-from .mutant import ADAPTERS
-from .mutant import HANDOVER
-from .mutant import Mutant
-from .mutant import RELAY
-from .mutant import SLOTS
-from .mutant import STORE
+
 from rookspring_core import attaching
 from rookspring_core import defaults
 from rookspring_core import residency
@@ -19,7 +14,12 @@
 from rookspring_core.slot_queues import SlotAnswer
 from rookspring_core.slot_queues import SlotQueue
 
-
+from .mutant import ADAPTERS
+from .mutant import HANDOVER
+from .mutant import RELAY
+from .mutant import SLOTS
+from .mutant import STORE
+from .mutant import Mutant
 
 _refuse = SlotQueue._refuse
 _come_back = retry_after.predict_retry_after_s
--- a/bench/rate_mutants.py
+++ b/bench/rate_mutants.py
@@ -1,8 +1,7 @@
 """Wrong decisions about the requests a second that endpoints name."""
 
 import typing as t
-from .mutant import Mutant
-from .mutant import RATES
+
 from rookspring import relay_notices
 from rookspring import relay_owners
 from rookspring_core import defaults as core_defaults
@@ -10,7 +9,7 @@
 from rookspring_core import planning
 from rookspring_core import request_rates
 from rookspring_core import routed
-from rookspring_core import slotting
+from rookspring_core import slot_requests
 from rookspring_core.endpoints import EndpointView
 from rookspring_core.membership import Membership
 from rookspring_core.owners import OwnerTable
@@ -18,9 +17,10 @@
 from rookspring_core.request_rates import RateTable
 from rookspring_core.slot_queues import SlotQueue
 
+from .mutant import RATES
+from .mutant import Mutant
 
-
-_USE = SlotQueue.use
+_USE = SlotQueue.set_endpoints
 _BUCKET = RateBucket.__init__
 
 
@@ -54,7 +54,7 @@
 
 
 def _keeps_all(self: OwnerTable, nodes: t.Any, now: float) -> None:
-    self._kept_at = now
+    self._updated_at = now
 
 
 def _begins_full(self: RateBucket, rate: float, opens_at: float) -> None:
@@ -68,7 +68,7 @@
 
 
 def _always_back(self: RateBucket, before: float, taken_at: float, now: float) -> bool:
-    self._turns += 1.0
+    self._permits += 1.0
     return True
 
 
@@ -93,19 +93,23 @@
 MUTANTS = (
     Mutant("reads no rates", "LIMIT", notice_handlers, "_note_rate", _no_effects, RATES),
     Mutant("each node heeds the rate alone", "LIMIT", relay_owners, "ask_owner", _itself, RATES),
-    Mutant("owns for good", "LIMIT", OwnerTable, "keep", _keeps_all, RATES),
+    Mutant("owns for good", "LIMIT", OwnerTable, "update_nodes", _keeps_all, RATES),
     Mutant("begins with all in hand", "LIMIT", RateBucket, "__init__", _begins_full, RATES),
-    Mutant("settles at once", "LIMIT", SlotQueue, "use", _whole_of_a_part, RATES),
+    Mutant("settles at once", "LIMIT", SlotQueue, "set_endpoints", _whole_of_a_part, RATES),
     Mutant("tells nobody of rates", "LIMIT", relay_notices, "share_rates", _nothing, RATES),
-    Mutant("a rate never ends", "reach", RateTable, "cease", _no_words, RATES),
+    Mutant("a rate never ends", "reach", RateTable, "end_limit", _no_words, RATES),
     Mutant("any word is newer", "LIMIT", request_rates, "_after", _always, RATES),
-    Mutant("believes each end", "LIMIT", RateTable, "_doubts", _never, RATES),
-    Mutant("rates outlast their life", "reach", RateTable, "begin", _nothing, RATES),
-    Mutant("rates are kept for good", "reach", RateTable, "tick", _nothing, RATES),
-    Mutant("a slot is a turn", "LIMIT", slotting, "usable", _any_slot, RATES),
-    Mutant("sends without a turn", "LIMIT", slotting, "find_turnless", _no_reason, RATES),
-    Mutant("takes late answers", "LIMIT", slotting, "answers", _always, RATES),
-    Mutant("counts given back turns twice", "LIMIT", RateBucket, "put_back", _always_back, RATES),
+    Mutant("believes each end", "LIMIT", RateTable, "_contradicts", _never, RATES),
+    Mutant("rates outlast their life", "reach", RateTable, "begin_incarnation", _nothing, RATES),
+    Mutant("rates are kept for good", "reach", RateTable, "expire", _nothing, RATES),
+    Mutant("a slot is a turn", "LIMIT", slot_requests, "usable", _any_slot, RATES),
+    Mutant(
+        "sends without a turn", "LIMIT", slot_requests, "find_missing_permit", _no_reason, RATES
+    ),
+    Mutant("takes late answers", "LIMIT", slot_requests, "is_current_answer", _always, RATES),
+    Mutant(
+        "counts given back turns twice", "LIMIT", RateBucket, "return_permit", _always_back, RATES
+    ),
     Mutant("plans by looks", "callers", planning, "_bounded_rate", _as_idle_as_it_looks, RATES),
     Mutant("answers by any node", "callers", Membership, "reporter_of", _any_voucher, RATES),
     Mutant(
--- a/bench/relay_mutants.py
+++ b/bench/relay_mutants.py
@@ -7,30 +7,19 @@
 import argparse
 import contextlib
 import io
-import orjson
 import typing as t
-from . import clock_mutants
-from . import era_mutants
-from . import notice_mutants
-from . import organisation_mutants
-from . import passing_mutants
-from . import rate_mutants
-from . import suspect_mutants
-from .mutant import ADAPTERS
-from .mutant import ENTRIES
-from .mutant import LIVES
-from .mutant import Mutant
-from .mutant import SIZE
-from .registry import experiment
-from .registry import report
+from unittest import mock
+
+import orjson
 from behave.__main__ import main as behave
+
 from rookspring import relay_beats
 from rookspring import relay_members
 from rookspring.relay_lists import EndpointList
 from rookspring_core import attaching
 from rookspring_core import cluster
+from rookspring_core import control_jobs
 from rookspring_core import defaults as core_defaults
-from rookspring_core import governing
 from rookspring_core import planning
 from rookspring_core import residency
 from rookspring_core import restarts
@@ -50,10 +39,21 @@
 from rookspring_platform import dialect
 from rookspring_platform import store
 from rookspring_platform.dialect import PlatformDialect
-from unittest import mock
-
-
 
+from . import clock_mutants
+from . import era_mutants
+from . import notice_mutants
+from . import organisation_mutants
+from . import passing_mutants
+from . import rate_mutants
+from . import suspect_mutants
+from .mutant import ADAPTERS
+from .mutant import ENTRIES
+from .mutant import LIVES
+from .mutant import SIZE
+from .mutant import Mutant
+from .registry import experiment
+from .registry import report
 
 
 def _always(*given: t.Any) -> bool:
@@ -295,7 +295,7 @@
         "relative_cost",
         lambda self, name: 1.0,
     ),
-    Mutant("never lets the lease be", "platform calls", governing, "holder_heard", _never),
+    Mutant("never lets the lease be", "platform calls", control_jobs, "holder_alive", _never),
     Mutant("passes on what only we may set", "unasked", dialect, "SYSTEM_HEADERS", frozenset()),
     Mutant("sends to what is down", "attainment", EndpointView, "may_listen", _always),
     Mutant(
--- a/bench/request_rates.py
+++ b/bench/request_rates.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 from rookspring.logs import configure
-from rookspring_core import slotting
+from rookspring_core import slot_requests
 from rookspring_core.events import SlotAnswered
 from rookspring_core.owners import OwnerTable
 from rookspring_core.slot_queues import SlotQueue
@@ -58,7 +58,7 @@
 ) -> contextlib.AbstractContextManager[t.Any]:
     """Have each node be the owner for itself, of a part of the rate."""
     part = share(len(callers.names()))
-    use = SlotQueue.use
+    use = SlotQueue.set_endpoints
 
     def take(self: SlotQueue, endpoints: t.Any, since: float = -1e9, now: float = 0.0) -> None:
         rows = [
@@ -70,12 +70,12 @@
         peers.context.loop.call_soon(fleet_node.relay_slots.take_question, peers, asked, None)
 
     def keep(self: OwnerTable, nodes: t.Any, now: float) -> None:
-        self._kept_at = now
+        self._updated_at = now
 
     stack = contextlib.ExitStack()
-    stack.enter_context(mock.patch.object(SlotQueue, "use", take))
+    stack.enter_context(mock.patch.object(SlotQueue, "set_endpoints", take))
     stack.enter_context(mock.patch.object(fleet_node.relay_slots.relay_owners, "ask_owner", ask))
-    stack.enter_context(mock.patch.object(OwnerTable, "keep", keep))
+    stack.enter_context(mock.patch.object(OwnerTable, "update_nodes", keep))
     return stack
 
 
@@ -95,7 +95,7 @@
     held: dict[tuple[str, str], list[float]] = collections.defaultdict(list)
     asked_at: dict[tuple[str, str], list[float]] = collections.defaultdict(list)
     give = SlotQueue._grant
-    ask = slotting.ask_turn
+    ask = slot_requests.ask_permit
 
     def grant(self: SlotQueue, now: float) -> list[t.Any]:
         answers = give(self, now)
@@ -107,7 +107,7 @@
             # What it asks in half a lease's time is likely to be asked again.
             recent = asked_at[key] = [at for at in asked_at[key] if now - at < LEASE_S / 2.0]
             for _ in range(min(LEASE_MOST, len(recent))):
-                if served.bucket.turns(now) < 1.0:
+                if served.bucket.permits(now) < 1.0:
                     break
                 served.bucket.take(now)
                 held[key].append(now + LEASE_S)
@@ -123,7 +123,7 @@
         held[key].pop()
         identity = request.arrived.request_id
         told = SlotAnswered(
-            state.now, identity, slotting.ENDPOINT_MARK + view.name, view.name, 0.0, True
+            state.now, identity, slot_requests.ENDPOINT_PREFIX + view.name, view.name, 0.0, True
         )
         node = fleet.nodes[state.identity.name]
         fleet.at(fleet.now, lambda: node.submit(told))
@@ -131,7 +131,7 @@
 
     stack = contextlib.ExitStack()
     stack.enter_context(mock.patch.object(SlotQueue, "_grant", grant))
-    stack.enter_context(mock.patch.object(slotting, "ask_turn", ask_turn))
+    stack.enter_context(mock.patch.object(slot_requests, "ask_permit", ask_turn))
     return stack
 
 
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -9,8 +9,8 @@
 import functools
 import random
 import typing as t
-from .registry import experiment
-from .registry import report
+from unittest import mock
+
 from rookspring.logs import configure
 from rookspring_core import notice_handlers
 from rookspring_core import notices
@@ -18,9 +18,9 @@
 from rookspring_core.hashing import stable_hash
 from rookspring_core.notices import NoticeTable
 from rookspring_fakes.fleet_callers import FleetCallers
-from unittest import mock
-
 
+from .registry import experiment
+from .registry import report
 
 ENDPOINTS = 6
 SLOTS = 12
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -9,9 +9,8 @@
 import time
 import tracemalloc
 import typing as t
-from .registry import experiment
-from .registry import report
 from functools import partial
+
 from rookspring import gossip
 from rookspring import peers
 from rookspring_core import Entry
@@ -26,8 +25,8 @@
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import EndpointReported
 from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import RequestArrived
@@ -39,7 +38,8 @@
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
-
+from .registry import experiment
+from .registry import report
 
 REPLICAS = 4
 
--- a/bench/suspect_mutants.py
+++ b/bench/suspect_mutants.py
@@ -1,15 +1,15 @@
 """Wrong decisions about requests under which endpoints end."""
 
 import typing as t
-from .mutant import CRASHES
-from .mutant import Mutant
+
 from rookspring import relay_merged
 from rookspring import relay_suspects
 from rookspring_core import suspect_handlers
 from rookspring_core.suspects import Evidence
 from rookspring_core.suspects import SuspectTable
 
-
+from .mutant import CRASHES
+from .mutant import Mutant
 
 
 def _no_effects(*given: t.Any) -> list[t.Any]:
--- a/features/adapter_stage.py
+++ b/features/adapter_stage.py
@@ -10,12 +10,14 @@
 import itertools
 import random
 import typing as t
+
 from adapter_runner import ADAPTER_SLOTS
 from adapter_runner import DISK_LOAD_S
-from adapter_runner import Runner
 from adapter_runner import STORE_LOAD_S
+from adapter_runner import Runner
 from relay_harness import LIMITS
 from relay_harness import RelayHarness
+
 from rookspring_core import attaching
 from rookspring_core.effects import AdapterLeft
 from rookspring_core.effects import Dispatch
@@ -31,13 +33,13 @@
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LeaseWritten
-from rookspring_core.events import LoadRequested
 from rookspring_core.events import LoadingReceived
+from rookspring_core.events import LoadRequested
 from rookspring_core.events import NoticeReceived
 from rookspring_core.events import OrderAnswered
 from rookspring_core.events import OrderDue
@@ -51,8 +53,6 @@
 from rookspring_core.routes import RouteTable
 from rookspring_core.routes import ServiceSize
 
-
-
 NETWORK_S = 0.001
 BEAT_S = 0.4
 TICK_S = 0.1
--- a/features/entry_copy_simulations.py
+++ b/features/entry_copy_simulations.py
@@ -1,13 +1,13 @@
 """Random simulations of endpoints that change, with a store that is restored from copies."""
 
 import random
+
 from rookspring_core import notice_handlers
 from rookspring_fakes.fleet import AGAIN_S
 from rookspring_fakes.fleet import Fleet
 from rookspring_fakes.fleet import FleetPlan
 from rookspring_fakes.fleet_store import ENDPOINTS
 
-
 # Length of a run, interval between two disturbances, interval of the checks, greatest age of a
 # copy, and time until all nodes know an endpoint's change, in seconds.
 LENGTH_S = 40.0
--- a/features/key_stories.py
+++ b/features/key_stories.py
@@ -6,11 +6,12 @@
 """
 
 import random
+
 from rookspring_core import keys
 from rookspring_core.events import RequestArrived
+from rookspring_core.organisations import TOKENS
 from rookspring_core.organisations import Allotment
 from rookspring_core.organisations import Organisation
-from rookspring_core.organisations import TOKENS
 from rookspring_core.organisations import digest_of
 from rookspring_core.organisations import make_directory
 from rookspring_core.routes import Route
@@ -18,7 +19,6 @@
 from rookspring_fakes.fleet import Fleet
 from rookspring_fakes.fleet import FleetPlan
 
-
 BOUND_S = 5.0
 KEYS = {"key-a1": "org-a", "key-a2": "org-a", "key-b1": "org-b"}
 STEP_S = 0.1
@@ -88,7 +88,7 @@
                 continue
             self.checks += 1
             digest = digest_of(key.encode())
-            verdict = keys.judge(node.state, ROUTE, digest, now, now)
+            verdict = keys.check_key(node.state, ROUTE, digest, now, now)
             if verdict.status == 0 and verdict.organisation.name == name:
                 self.wrong.append((node.name, key, "accepted", now - at))
             node.state.now = max(node.state.now, now)
@@ -100,7 +100,7 @@
         """Return a node's status codes for requests that arrived at a given time."""
         now = self.fleet.now
         return {
-            key: keys.judge(node.state, ROUTE, digest_of(key.encode()), asked_at, now).status
+            key: keys.check_key(node.state, ROUTE, digest_of(key.encode()), asked_at, now).status
             for key in ("key-a1", "key-b1")
         }
 
--- a/features/notice_stories.py
+++ b/features/notice_stories.py
@@ -7,12 +7,12 @@
 
 import functools
 import random
+
 from key_stories import troubles as node_troubles
+
 from rookspring_fakes.fleet_callers import FATAL
 from rookspring_fakes.fleet_callers import FleetCallers
 
-
-
 # For how long after a node got the notice its requests may arrive at a leaving endpoint.
 LEFT_S = 2.0
 # How many requests may arrive during a back-off, from half a second after its notice.
--- a/features/placement_world.py
+++ b/features/placement_world.py
@@ -8,6 +8,7 @@
 import dataclasses
 import math
 import random
+
 from rookspring_core import defaults
 from rookspring_core.placement import PlanInput
 from rookspring_core.placement import RunnerSnapshot
@@ -15,7 +16,6 @@
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
-
 PLAN_S = 0.5
 MODEL_GB = 95.0
 RUNNER_GB = 200.0
--- a/features/relay_harness.py
+++ b/features/relay_harness.py
@@ -17,8 +17,8 @@
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import EndpointReported
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LeaseWritten
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -4,15 +4,15 @@
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
+
 from rookspring_core.effects import AdapterLeft
 from rookspring_core.effects import LoadRequestDeclined
 from rookspring_core.effects import LoadRequestEnded
 from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import LoadRequested
 from rookspring_core.events import LoadingReceived
+from rookspring_core.events import LoadRequested
 from rookspring_core.events import Ticked
 
-
 # How long requests wait by the harness's route, in seconds; how often each wait is repeated.
 PATIENCE_S = 0.1
 WAIT_REPEATS = 12
--- a/features/steps/allotment_steps.py
+++ b/features/steps/allotment_steps.py
@@ -1,8 +1,10 @@
 import random
+
 from behave import then
 from behave import when
 from key_stories import KEYS
 from key_stories import directory_of
+
 from rookspring_core.allotments import WindowTolerance
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTerms
@@ -11,8 +13,6 @@
 from rookspring_fakes.fleet import Fleet
 from rookspring_fakes.fleet import FleetPlan
 
-
-
 TOLERANCE = WindowTolerance(8.0, 0.1, 11_000.0)
 
 
@@ -205,7 +205,7 @@
     assert not fleet.runs
     assert {one.reason for _, one in fleet.refusals} <= {"absent", "none_open", "no_room"}
     fleet.run(1.0)
-    sums = [node.state.allotments.sums(fleet.now).get("org-a", 0.0) for node in fleet.live()]
+    sums = [node.state.allotments.usage(fleet.now).get("org-a", 0.0) for node in fleet.live()]
     assert max(sums) == 0.0, sums
 
 
@@ -214,5 +214,5 @@
     fleet = context.fleet
     before = sum(node.store_calls for node in fleet.live())
     fleet.run(4.0)
-    assert all(node.state.freshness.at == float("-inf") for node in fleet.live())
+    assert all(node.state.freshness.proved_at == float("-inf") for node in fleet.live())
     assert before > 0
--- a/features/steps/clock_steps.py
+++ b/features/steps/clock_steps.py
@@ -65,7 +65,7 @@
         table = node.state.table
         route = table.match("h.example", "/safe/x")
         now = node.now()
-        return keys.judge(node.state, route, digest_of(b"key-a"), now, now)
+        return keys.check_key(node.state, route, digest_of(b"key-a"), now, now)
 
     verdict = evaluate_first(context, judge)
     assert verdict.status == (0 if outcome == "admitted" else 503), verdict
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -1,15 +1,15 @@
 import re
+
 from behave import given
 from behave import then
 from behave import when
+from samples import report
+
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LeaseWritten
 from rookspring_core.leases import Lease
 from rookspring_core.memory import Ledger
 from rookspring_core.memory import PendingOrder
-from samples import report
-
-
 
 
 class Registry:
--- a/features/steps/crash_end_steps.py
+++ b/features/steps/crash_end_steps.py
@@ -2,12 +2,13 @@
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
+
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import EvidenceReceived
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTerms
@@ -16,7 +17,6 @@
 from rookspring_core.suspects import Evidence
 from rookspring_fakes.fleet_callers import FATAL
 
-
 # Which events count as a crash, and how they are detected.
 
 
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -1,4 +1,5 @@
 import asyncio
+
 from behave import given
 from behave import then
 from behave import when
@@ -8,6 +9,7 @@
 from key_stories import leaf_of
 from relay_stage import RelayStage
 from relay_stage import request as relay_request
+
 from rookspring_core.fingerprints import make_fingerprint
 from rookspring_core.suspects import Cleared
 from rookspring_core.suspects import CrashRecord
@@ -15,14 +17,12 @@
 from rookspring_core.suspects import Evidence
 from rookspring_core.suspects import SuspectTable
 from rookspring_fakes.fleet_callers import AGAIN_S
+from rookspring_fakes.fleet_callers import FATAL
 from rookspring_fakes.fleet_callers import EndsDay
 from rookspring_fakes.fleet_callers import EndsPlayed
-from rookspring_fakes.fleet_callers import FATAL
 from rookspring_fakes.fleet_callers import FleetCallers
 
 
-
-
 @given("{nodes:d} nodes, and a request that crashes each endpoint that runs it")
 def fatal_request(context, nodes):
     context.stage = FleetCallers(nodes)
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -1,7 +1,10 @@
+from functools import partial
+
 from behave import given
 from behave import then
 from behave import when
-from functools import partial
+from samples import report
+
 from rookspring_core import Catalogue
 from rookspring_core import Identity
 from rookspring_core import NodeState
@@ -13,8 +16,8 @@
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import CallerLeft
 from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import NoticeReceived
@@ -29,9 +32,6 @@
 from rookspring_core.resources import TeamSpec
 from rookspring_core.retries import RetryBudget
 from rookspring_core.streams import StreamGuard
-from samples import report
-
-
 
 
 class Harness:
@@ -282,12 +282,12 @@
                 if table.admit("t", spec, now) == 0.0:
                     table.release("t")
                     admitted += int(now >= 10.0)
-            table.tick(0.1)
+            table.decay_demand(0.1)
         if step % 10 == 0:
             for number, table in enumerate(context.tables):
                 for other, peer in enumerate(context.tables):
                     if other != number:
-                        table.hear(str(other), peer.demand())
+                        table.record_demand(str(other), peer.demand())
     context.rate = admitted / 10.0
 
 
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -1,7 +1,8 @@
 import asyncio
 import json
-import orjson
 import time
+
+import orjson
 from aiohttp import web
 from behave import given
 from behave import then
@@ -12,6 +13,7 @@
 from hypothesis import strategies
 from relay_stage import RelayStage
 from relay_stage import request
+
 from rookspring.platform import Stored
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
@@ -22,8 +24,6 @@
 from rookspring_platform.endpoints import read_entry
 from rookspring_platform.endpoints import read_report
 
-
-
 GOOD = {
     "service": "llm",
     "address": "10.1.64.1:8122",
--- a/features/steps/life_steps.py
+++ b/features/steps/life_steps.py
@@ -1,15 +1,15 @@
 from behave import given
 from behave import then
 from behave import when
+
 from rookspring_core.accounts import unanswered_mb
-from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import DownReceived
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LoadRequested
 from rookspring_core.events import Ticked
 
-
 BORN = 1_700_000_000_000
 SECOND = 1_000
 MODEL_GB = 200_000.0
--- a/features/steps/notice_node_steps.py
+++ b/features/steps/notice_node_steps.py
@@ -5,14 +5,15 @@
 from behave import when
 from relay_harness import HolderHarness
 from relay_harness import RelayHarness
+
 from rookspring_core.effects import AskSlot
 from rookspring_core.effects import FreeSlot
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import CallerLeft
 from rookspring_core.events import LeavingReceived
 from rookspring_core.events import NoticeReceived
@@ -21,7 +22,6 @@
 from rookspring_core.notices import Leaving
 from rookspring_core.notices import Notice
 
-
 LEAVES = Notice(leaving=True)
 # The slots of an endpoint; as many runs fill it.
 SLOTS = 8
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -1,5 +1,7 @@
 """Endpoints' notices over whole fleets: which nodes learn of them, and when."""
 
+from unittest import mock
+
 from behave import given
 from behave import then
 from behave import when
@@ -9,15 +11,13 @@
 from hypothesis import settings as drawing
 from hypothesis import strategies
 from key_stories import troubles as node_troubles
-from notice_stories import NoticeStory
 from notice_stories import TROUBLES
+from notice_stories import NoticeStory
+
 from rookspring import relay_notices
 from rookspring_core.notices import Leaving
 from rookspring_core.notices import NoticeTable
 from rookspring_fakes.fleet_callers import FleetCallers
-from unittest import mock
-
-
 
 # A notice that one node gets has reached all nodes after this long, in seconds.
 TOLD_S = 0.5
--- a/features/steps/organisation_steps.py
+++ b/features/steps/organisation_steps.py
@@ -13,6 +13,7 @@
 from relay_harness import RelayHarness
 from relay_harness import make_route
 from relay_harness import make_table
+
 from rookspring import defaults
 from rookspring import relay
 from rookspring.dialect import Errand
@@ -30,7 +31,6 @@
 from rookspring_platform import PlatformDialect
 from rookspring_platform import configuration
 
-
 TENANTS = [
     {
         "name": "org-a",
@@ -98,7 +98,7 @@
 def judge(node, request):
     ask = PlatformDialect().read_ask(request)
     route = node.state.table.match(ask.host, ask.path)
-    return keys.judge(node.state, route, ask.key, node.now, node.now)
+    return keys.check_key(node.state, route, ask.key, node.now, node.now)
 
 
 @given("a configuration {which} organisations")
@@ -134,14 +134,14 @@
     context.asked_at = node.now
     context.digest = digest_of(b"key-new")
     context.route = node.state.table.match("h", "/a/x")
-    context.verdict = keys.judge(
+    context.verdict = keys.check_key(
         node.state, context.route, context.digest, context.asked_at, node.now
     )
 
 
 @then("it waits for a newer proof")
 def waits_for_newer(context):
-    assert context.verdict.waits and context.verdict.status == 503, context.verdict
+    assert context.verdict.may_wait and context.verdict.status == 503, context.verdict
 
 
 @then("once the configuration was proved the newest after its arrival, it gets 401")
@@ -149,8 +149,8 @@
     node = context.node
     node.now += 0.6
     node.submit(TableProved(node.now, context.asked_at + 0.1, 7))
-    verdict = keys.judge(node.state, context.route, context.digest, context.asked_at, node.now)
-    assert (verdict.status, verdict.waits) == (401, False), verdict
+    verdict = keys.check_key(node.state, context.route, context.digest, context.asked_at, node.now)
+    assert (verdict.status, verdict.may_wait) == (401, False), verdict
 
 
 @then("{number:d} random header lines assign it to the organisation of the whole key, or to none")
@@ -308,7 +308,7 @@
 @given("a node whose configuration was proved the newest at {at:g} s")
 def proved_at(context, at):
     context.freshness = Freshness()
-    context.freshness.note(at, 5, 5)
+    context.freshness.record_proof(at, 5, 5)
 
 
 @when(
@@ -320,23 +320,23 @@
     node.submit(RouteTableSeen(now, make_table(version=5)))
     node.submit(TableProved(now, stamp - age, 5))
     context.node = node
-    context.freshness.note(stamp - age, 5, 5)
+    context.freshness.record_proof(stamp - age, 5, 5)
 
 
 @then("it is proved at {at:g} s")
 def is_proved_at(context, at):
-    assert context.freshness.at == at
-    assert context.node.state.freshness.at == at
+    assert context.freshness.proved_at == at
+    assert context.node.state.freshness.proved_at == at
 
 
 @then("a proof of version 9, asked for at {stamp:g} s, counts only once version 9 is in force")
 def proof_of_newer_version(context, stamp):
     node = context.node
-    before = node.state.freshness.at
+    before = node.state.freshness.proved_at
     node.submit(TableProved(stamp + 3, stamp, 9))
-    assert node.state.freshness.at == before
+    assert node.state.freshness.proved_at == before
     node.submit(RouteTableSeen(stamp + 3, make_table(version=9)))
-    assert node.state.freshness.at == stamp
+    assert node.state.freshness.proved_at == stamp
 
 
 @given("a relaying node with organisations and a request of org-a that waits")
@@ -353,7 +353,7 @@
         first._replace(request_id="r1", team="org-a", key=digest, declared_tokens=700),
     )
     assert [one.request_id for one in node.sent] == ["r0"], node.sent
-    assert node.state.allotments.sums(node.now) == {"org-a": 700.0}
+    assert node.state.allotments.usage(node.now) == {"org-a": 700.0}
 
 
 @when("its key is revoked, and an endpoint has room")
@@ -381,4 +381,4 @@
     (refusal,) = node.refused
     assert (refusal.status, refusal.reason, refusal.outcome) == (status, reason, "not_run")
     assert len(node.sent) == 1
-    assert node.state.allotments.sums(node.now) == {}
+    assert node.state.allotments.usage(node.now) == {}
--- a/features/steps/owner_steps.py
+++ b/features/steps/owner_steps.py
@@ -16,9 +16,9 @@
 def owned_from(context, at):
     context.name = choose_owner(SUBJECT, OTHERS)
     context.owners = OwnerTable(context.name)
-    context.owners.keep(set(OTHERS), at)
+    context.owners.update_nodes(set(OTHERS), at)
     context.at = at
-    assert context.owners.begin(SUBJECT, at) == at
+    assert context.owners.owned_since(SUBJECT, at) == at
 
 
 @when("{what}, and it decides again at {at:g} s")
@@ -32,8 +32,8 @@
         if "frozen" in what and 12.0 <= now < 19.9:
             continue
         nodes = others if "another" in what and away else set()
-        context.owners.keep(nodes | {context.name}, now)
-    context.since = context.owners.begin(SUBJECT, at)
+        context.owners.update_nodes(nodes | {context.name}, now)
+    context.since = context.owners.owned_since(SUBJECT, at)
 
 
 @then("it has owned it since {since:g} s")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -5,10 +5,12 @@
 import subprocess
 import sys
 import tempfile
+
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
+
 from rookspring.dialect import Errand
 from rookspring.exceptions import SettingsError
 from rookspring.http_messages import HttpHead
@@ -19,8 +21,6 @@
 from rookspring_platform import endpoints
 from rookspring_platform import read_settings
 
-
-
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 SETTINGS = {
     "node-name": "frontend-1",
--- a/features/steps/rate_limit_node_steps.py
+++ b/features/steps/rate_limit_node_steps.py
@@ -1,18 +1,20 @@
 """The rate limit of an endpoint at one node: how long it applies, and how it is enforced."""
 
 import random
+
 from behave import given
 from behave import then
 from behave import when
 from hypothesis import given as drawn
 from hypothesis import settings as drawing
 from hypothesis import strategies
-from notice_node_steps import NoticeHarness
 from notice_node_steps import SLOTS
+from notice_node_steps import NoticeHarness
 from notice_node_steps import SlotHarness
 from rate_counts import aimed
 from rate_counts import most_in_window
 from relay_harness import HolderHarness
+
 from rookspring_core.effects import AskSlot
 from rookspring_core.effects import FreeSlot
 from rookspring_core.events import AttemptFailed
@@ -24,13 +26,11 @@
 from rookspring_core.events import SlotAnswered
 from rookspring_core.events import Ticked
 from rookspring_core.notices import Notice
+from rookspring_core.request_rates import RateRecord
 from rookspring_core.request_rates import RateTable
-from rookspring_core.request_rates import RateWord
-from rookspring_core.slot_queues import SlotAsk
 from rookspring_core.slot_queues import SlotEndpoint
 from rookspring_core.slot_queues import SlotQueue
-
-
+from rookspring_core.slot_queues import SlotRequest
 
 
 def naming(rate):
@@ -121,7 +121,7 @@
 def _earlier_and_late(node):
     _born(4, start_confirmed=True)(node)
     node.hear(3.0, node.now, born=4)
-    node.submit(RatesReceived(node.now, (RateWord("e1", 5, 9, 1.0),), "n2"))
+    node.submit(RatesReceived(node.now, (RateRecord("e1", 5, 9, 1.0),), "n2"))
 
 
 def _lapses(node):
@@ -165,14 +165,16 @@
         "it restarts, with the earlier start 4 confirmed": _born(4, start_confirmed=True),
         "it restarts, and an answer of the previous process has limit 3": _starts_and_late,
         "its confirmed start 4 has limit 3, and a record of start 5 comes late": _earlier_and_late,
-        "another node's record at 0.5 s ends the limit": _told(0.5, RateWord("e1", 5, 2, None)),
-        "another node's record at 3 s ends the limit": _told(3.0, RateWord("e1", 5, 2, None)),
-        "another node's record of an older version arrives": _told(3.0, RateWord("e1", 5, 0, None)),
+        "another node's record at 0.5 s ends the limit": _told(0.5, RateRecord("e1", 5, 2, None)),
+        "another node's record at 3 s ends the limit": _told(3.0, RateRecord("e1", 5, 2, None)),
+        "another node's record of an older version arrives": _told(
+            3.0, RateRecord("e1", 5, 0, None)
+        ),
         "another node's record of the same version has limit 4": _told(
-            3.0, RateWord("e1", 5, 1, 4.0)
+            3.0, RateRecord("e1", 5, 1, 4.0)
         ),
         "another node's record of the same version has limit 1": _told(
-            3.0, RateWord("e1", 5, 1, 1.0)
+            3.0, RateRecord("e1", 5, 1, 1.0)
         ),
         "it is not listed for 11 minutes": _long_gone,
         "it is listed for 11 minutes and sends no answer": _long_there,
@@ -196,7 +198,7 @@
 )
 def records_merge(context, number):
     word = strategies.builds(
-        RateWord,
+        RateRecord,
         strategies.sampled_from("ab"),
         strategies.integers(0, 2),
         strategies.integers(1, 3),
@@ -212,7 +214,7 @@
         chance.shuffle(mixed)
         for one in mixed:
             other.merge((one,), 10.0)
-        assert set(first.whole()) == set(other.whole())
+        assert set(first.records()) == set(other.records())
         assert first.digest() == other.digest()
 
     check()
@@ -390,15 +392,15 @@
 @given("the queue of an endpoint with a rate limit of 2 requests a second and no permits left")
 def rated_queue(context):
     queue = context.queue = SlotQueue()
-    queue.use([SlotEndpoint("e", 0, 2.0)], 0.0, 100.0)
+    queue.set_endpoints([SlotEndpoint("e", 0, 2.0)], 0.0, 100.0)
 
 
 @when("requests of ranks 2, 1, 0 and of a loud and a quiet organisation arrive at once")
 def ranks_come(context):
     rows = [(2, "loud"), (2, "loud"), (2, "loud"), (2, "quiet"), (1, "loud"), (0, "loud")]
     for number, (rank, whose) in enumerate(rows):
-        ask = SlotAsk("n", f"{rank} {whose} {number}", rank, whose, 9.0, "", 2.0)
-        (answer,) = context.queue.ask(ask, 100.0)
+        ask = SlotRequest("n", f"{rank} {whose} {number}", rank, whose, 9.0, "", 2.0)
+        (answer,) = context.queue.request_slot(ask, 100.0)
         assert not answer.endpoint and not answer.after_s
 
 
@@ -407,7 +409,7 @@
     keys = []
     for step in range(80):
         now = 100.0 + step * 0.05
-        keys += [(now, one.key) for one in context.queue.settle(now) if one.endpoint]
+        keys += [(now, one.key) for one in context.queue.process_waiting(now) if one.endpoint]
     order = [key for _, key in keys]
     assert order[0].startswith("0") and order[1].startswith("1"), order
     assert "quiet" in order[2] or "quiet" in order[3], order
@@ -423,12 +425,12 @@
     def check(seed, rate):
         chance = random.Random(seed)
         queue = SlotQueue()
-        queue.use([SlotEndpoint("e", 0, rate)], 0.0, 100.0)
+        queue.set_endpoints([SlotEndpoint("e", 0, rate)], 0.0, 100.0)
         now, sent, held = 100.0, [], {}
         for step in range(400):
             now += chance.expovariate(4.0 * rate)
-            ask = SlotAsk("n", f"r{step}", 0, "", 0.0, "", rate)
-            answers = queue.ask(ask, now)
+            ask = SlotRequest("n", f"r{step}", 0, "", 0.0, "", rate)
+            answers = queue.request_slot(ask, now)
             held.update({one.key: now for one in answers if one.endpoint})
             for key, at in list(held.items()):
                 if chance.random() < 0.5:
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -22,7 +22,7 @@
 from rate_stories import RATE_TROUBLES
 from rate_stories import RateStory
 
-from rookspring_core import slotting
+from rookspring_core import slot_requests
 from rookspring_core.owners import choose_owner
 from rookspring_fakes.fleet_callers import FleetCallers
 
@@ -133,7 +133,7 @@
     state = next(
         node.state for node in fleet.live() if node.state.topology.mesh or node.state.topology.relay
     )
-    subject = slotting.subject_of(slotting.ENDPOINT_MARK + LIMITED)
+    subject = slot_requests.subject_of(slot_requests.ENDPOINT_PREFIX + LIMITED)
     return choose_owner(subject, state.topology.owners(fleet.now))
 
 
--- a/features/steps/reach_steps.py
+++ b/features/steps/reach_steps.py
@@ -2,17 +2,17 @@
 
 import collections
 import random
+
 from behave import given
 from behave import then
 from behave import when
+
 from rookspring_core import defaults
 from rookspring_core import placement
 from rookspring_core import swapping as swapping
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
-
-
 MODEL_GB = 70.0
 RUNNER_GB = 230.0
 MODELS_PER_RUNNER = 3
--- a/features/steps/relay_down_steps.py
+++ b/features/steps/relay_down_steps.py
@@ -2,11 +2,11 @@
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
+
 from rookspring_core.events import AttemptFailed
 from rookspring_core.events import DownReceived
 
 
-
 @when("another node reports that nothing listens at the first runner")
 def runner_reported_down(context):
     holder = context.holder
--- a/features/steps/relay_key_steps.py
+++ b/features/steps/relay_key_steps.py
@@ -18,7 +18,7 @@
 def stage_with_key(context, key):
     stage = context.relay = RelayStage([["answer"]])
     context.loop.run(stage.rise(tenants=tenants(key)))
-    context.loop.run(stage.until(lambda: stage.node.context.state.freshness.at > 0))
+    context.loop.run(stage.until(lambda: stage.node.context.state.freshness.proved_at > 0))
 
 
 def send(context, key, deadline_ms=None):
--- a/features/steps/relay_lease_steps.py
+++ b/features/steps/relay_lease_steps.py
@@ -1,9 +1,11 @@
 import re
+
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
-from rookspring_core import governing
+
+from rookspring_core import control_jobs
 from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LeaseWritten
@@ -11,8 +13,6 @@
 from rookspring_core.leases import LeaseTerms
 
 
-
-
 @given("a relaying node that runs for {own:d} s beside nodes that run for {ages} s")
 def beside_nodes(context, own, ages):
     context.relay_node = node = RelayHarness()
@@ -33,7 +33,7 @@
 
 @then("this node {reads} the lease")
 def reads_lease(context, reads):
-    assert governing.reads_lease(context.relay_node.state) == (reads == "is to read")
+    assert control_jobs.should_read_lease(context.relay_node.state) == (reads == "is to read")
 
 
 @when("it is asked who may take the lease")
--- a/features/steps/relay_order_steps.py
+++ b/features/steps/relay_order_steps.py
@@ -1,10 +1,12 @@
 import random
+
 from behave import given
 from behave import then
 from behave import when
-from relay_harness import HolderHarness
 from relay_harness import SIZES
+from relay_harness import HolderHarness
 from relay_harness import make_table
+
 from rookspring_core import placement
 from rookspring_core import planning
 from rookspring_core.events import AttemptFailed
@@ -18,8 +20,6 @@
 from rookspring_core.orders import accepts_orders
 
 
-
-
 @given("a lease holder over runners holding {held} of 200 GB")
 def lease_holder(context, held):
     context.holder = HolderHarness(held.split(", "))
--- a/features/steps/relay_socket_steps.py
+++ b/features/steps/relay_socket_steps.py
@@ -1,6 +1,7 @@
 import asyncio
-import ports
 import time
+
+import ports
 from behave import given
 from behave import then
 from behave import when
@@ -8,14 +9,13 @@
 from relay_stage import configuration
 from relay_stage import read_answer
 from relay_stage import request
+
 from rookspring import clock
 from rookspring.exceptions import SettingsError
 from rookspring.messages import TableGiven
 from rookspring.platform import Stored
 from rookspring_fakes.model_server import EVENTS
 
-
-
 SAFE_HEADERS = {"host", "x-rookspring-request-id", "content-length"}
 
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -4,6 +4,7 @@
 from relay_harness import RelayHarness
 from relay_harness import make_route
 from relay_harness import make_table
+
 from rookspring_core import routed
 from rookspring_core.defaults import LOAD_UNREPORTED
 from rookspring_core.effects import Cancel
@@ -14,8 +15,8 @@
 from rookspring_core.events import CallerLeft
 from rookspring_core.events import DrainAsked
 from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import LoadRequested
 from rookspring_core.events import LoadingReceived
+from rookspring_core.events import LoadRequested
 from rookspring_core.events import PeerLost
 from rookspring_core.events import RouteTableSeen
 from rookspring_core.events import Ticked
@@ -25,7 +26,6 @@
 from rookspring_core.routes import pick_service
 
 
-
 @given("routes for {prefixes}")
 def routes_for(context, prefixes):
     context.routes = make_table(routes=[make_route(one) for one in prefixes.split(", ")])
--- a/features/steps/resource_steps.py
+++ b/features/steps/resource_steps.py
@@ -1,7 +1,9 @@
 import json
+
 from behave import given
 from behave import then
 from behave import when
+
 from rookspring_core import Entry
 from rookspring_core import Resource
 from rookspring_core import ResourceInvalid
@@ -10,8 +12,6 @@
 from rookspring_core.acceptance import accept
 
 
-
-
 @given("a {kind} named {name} with spec {spec}")
 def a_document(context, kind, name, spec):
     context.document = {"kind": kind, "name": name, "spec": json.loads(spec)}
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -1,21 +1,21 @@
 import math
+
 from behave import given
 from behave import register_type
 from behave import then
 from behave import when
 from parse_type import TypeBuilder
 from relay_harness import RelayHarness
+
 from rookspring.relay_news import send_want
 from rookspring_core import routed
 from rookspring_core.effects import RequestLoad
-from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
 from rookspring_core.retries import WindowTerms
 from rookspring_core.topology import listed_node
 from rookspring_fakes import fleet as fleets
 
-
-
 STEP_S = 0.1
 
 register_type(
--- a/features/steps/slot_steps.py
+++ b/features/steps/slot_steps.py
@@ -2,10 +2,12 @@
 import heapq
 import itertools
 import random
+
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
+
 from rookspring_core.effects import AskSlot
 from rookspring_core.effects import FreeSlot
 from rookspring_core.events import AttemptFailed
@@ -17,11 +19,9 @@
 from rookspring_core.events import RouteTerms
 from rookspring_core.events import SlotAnswered
 from rookspring_core.events import Ticked
-from rookspring_core.slot_queues import SlotAsk
 from rookspring_core.slot_queues import SlotEndpoint
 from rookspring_core.slot_queues import SlotQueue
-
-
+from rookspring_core.slot_queues import SlotRequest
 
 OBJECTIVE_S = 0.3
 # Network delay from a node to a service's owner, and the interval of heartbeats.
@@ -95,7 +95,7 @@
 
 def simulate_owner(service, rate, seconds, whose=lambda number: ""):
     queue = SlotQueue()
-    queue.use(SlotEndpoint(name, service.slots) for name in service.endpoints)
+    queue.set_endpoints(SlotEndpoint(name, service.slots) for name in service.endpoints)
     arrived = {}
 
     def arrive(now, number):
@@ -103,7 +103,10 @@
         service.at(now + HOP_S, ask, str(number))
 
     def ask(now, key):
-        tell(now, queue.ask(SlotAsk("n", key, 0, whose(int(key)), OBJECTIVE_S - HOP_S), now))
+        tell(
+            now,
+            queue.request_slot(SlotRequest("n", key, 0, whose(int(key)), OBJECTIVE_S - HOP_S), now),
+        )
 
     def tell(now, answers):
         for one in answers:
@@ -121,7 +124,7 @@
         tell(now, queue.free(name, "n", key, took_s, now))
 
     def settle(now):
-        tell(now, queue.settle(now))
+        tell(now, queue.process_waiting(now))
         if now < seconds + 1.0:
             service.at(now + 0.05, settle)
 
@@ -232,18 +235,18 @@
 @given("a service's queue with one slot that is taken")
 def one_slot(context):
     queue = context.queue = SlotQueue()
-    queue.use([SlotEndpoint("e", 1)])
+    queue.set_endpoints([SlotEndpoint("e", 1)])
     # The queue grants one slot more than the endpoint has, see ``SLOT_AHEAD_SHARE``.
     for key in ("first", "second"):
-        (answer,) = queue.ask(SlotAsk("n", key, 0, "", 9.0), 10.0)
+        (answer,) = queue.request_slot(SlotRequest("n", key, 0, "", 9.0), 10.0)
         assert answer.endpoint == "e"
 
 
 @when("requests of rank 2, 1, 2 and 0 arrive in this order")
 def ranks_come(context):
     for number, rank in enumerate((2, 1, 2, 0)):
-        asked = SlotAsk("n", f"rank {rank} of {number}", rank, "", 9.0)
-        context.queue.ask(asked, 10.0 + number * 0.01)
+        asked = SlotRequest("n", f"rank {rank} of {number}", rank, "", 9.0)
+        context.queue.request_slot(asked, 10.0 + number * 0.01)
 
 
 @then("they are admitted in the order of ranks 0, 1, 2, 2")
@@ -259,7 +262,9 @@
 
 @when("{seconds:g} s pass and a request arrives")
 def passes(context, seconds):
-    context.answers = context.queue.ask(SlotAsk("n", "late", 0, "", 9.0), 10.0 + seconds)
+    context.answers = context.queue.request_slot(
+        SlotRequest("n", "late", 0, "", 9.0), 10.0 + seconds
+    )
 
 
 @then("it gets the slot")
@@ -270,7 +275,7 @@
 @given("a service's queue with two endpoints, at one of which each run fails after 5 ms")
 def failing_one(context):
     context.queue = SlotQueue()
-    context.queue.use([SlotEndpoint("good", 6), SlotEndpoint("bad", 6)])
+    context.queue.set_endpoints([SlotEndpoint("good", 6), SlotEndpoint("bad", 6)])
 
 
 @when("200 requests arrive, with a free slot for each")
@@ -278,7 +283,7 @@
     context.got = []
     for number in range(200):
         now = number * 0.02
-        (answer,) = context.queue.ask(SlotAsk("n", str(number), 0, "", 1.0), now)
+        (answer,) = context.queue.request_slot(SlotRequest("n", str(number), 0, "", 1.0), now)
         context.got.append(answer.endpoint)
         if number < 2:
             continue
@@ -330,7 +335,7 @@
 
     def refuse_blind(self):
         """Answer like an owner that knows no endpoint."""
-        (answer,) = SlotQueue().ask(SlotAsk("n", "r1", 0, "", 0.3), self.now)
+        (answer,) = SlotQueue().request_slot(SlotRequest("n", "r1", 0, "", 0.3), self.now)
         self.answer(after_s=answer.after_s, blind=answer.blind)
 
     def forget_endpoints(self):
@@ -410,7 +415,7 @@
 
 @then("a request is refused, to be retried within {seconds:g} s")
 def refused_within(context, seconds):
-    (answer,) = context.queue.ask(SlotAsk("n", "r", 0, "", 0.3), 10.0)
+    (answer,) = context.queue.request_slot(SlotRequest("n", "r", 0, "", 0.3), 10.0)
     assert 0.0 < answer.after_s <= seconds, answer
 
 
@@ -435,7 +440,7 @@
 @given("a service's queue with two endpoints, at one of which nothing runs")
 def nothing_runs(context):
     context.queue = SlotQueue()
-    context.queue.use([SlotEndpoint("good", 6), SlotEndpoint("bad", 6)])
+    context.queue.set_endpoints([SlotEndpoint("good", 6), SlotEndpoint("bad", 6)])
 
 
 @when("60 slots there are released after {ms:d} ms because {why}")
@@ -455,8 +460,8 @@
     queue = context.queue
     for number in range(60):
         now = 10.0 + number
-        queue.use([SlotEndpoint("bad", 6)])
-        (answer,) = queue.ask(SlotAsk("n", str(number), 0, "", 9.0), now)
+        queue.set_endpoints([SlotEndpoint("bad", 6)])
+        (answer,) = queue.request_slot(SlotRequest("n", str(number), 0, "", 9.0), now)
         assert answer.endpoint == "bad"
         queue.free("bad", "n", str(number), freed.took_s, now + 0.01)
 
--- a/features/steps/stand_still_steps.py
+++ b/features/steps/stand_still_steps.py
@@ -4,6 +4,7 @@
 from behave import then
 from behave import when
 from relay_harness import HolderHarness
+
 from rookspring_core.defaults import HANDOVER_GAP_S
 from rookspring_core.defaults import RELAY_LEASE_MARGIN_S
 from rookspring_core.defaults import RELAY_LEASE_RENEW_S
@@ -15,7 +16,6 @@
 from rookspring_core.leases import LeaseTerms
 
 
-
 def request_load(holder, adapter):
     holder.submit(LoadRequested(holder.now, "llm", "m", f"m/{adapter}", 2.0))
 
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -10,6 +10,7 @@
 from parse_type import TypeBuilder
 from relay_harness import RelayHarness
 from relay_harness import make_table
+
 from rookspring_core import notice_handlers
 from rookspring_core.events import DrainAsked
 from rookspring_core.events import RouteTableSeen
@@ -19,7 +20,6 @@
 from rookspring_fakes.fleet import FleetPlan
 from rookspring_fakes.fleet_store import NODES
 
-
 register_type(Accepted=TypeBuilder.make_choice(["accepted", "not accepted"]))
 
 # Time until all nodes know each other and one holds the lease, in seconds.
@@ -270,7 +270,7 @@
 
 @then("that is {accepted:Accepted} as a proof")
 def proof_accepted(context, accepted):
-    assert (context.node.state.freshness.at == context.shown_at) == (accepted == "accepted")
+    assert (context.node.state.freshness.proved_at == context.shown_at) == (accepted == "accepted")
 
 
 @then(
--- a/features/steps/swapping_steps.py
+++ b/features/steps/swapping_steps.py
@@ -1,10 +1,12 @@
 import re
+
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import HolderHarness
 from relay_harness import RelayHarness
 from relay_harness import make_table
+
 from rookspring_core import placement
 from rookspring_core import swapping as swapping
 from rookspring_core.events import RouteTableSeen
@@ -12,8 +14,6 @@
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
-
-
 MODELS = {"m": 70.0, "n": 60.0, "o": 60.0, "p": 60.0, "big": 150.0}
 LOAD_S = {"store": 8.0, "disk": 1.5, "memory": 1.2}
 RUNNER_GB = 200.0
--- a/features/steps/trusted_report_steps.py
+++ b/features/steps/trusted_report_steps.py
@@ -2,11 +2,11 @@
 from behave import then
 from behave import when
 from relay_harness import HolderHarness
+
 from rookspring_core.accounts import report_without
 from rookspring_core.orders import accepts_orders
 from rookspring_core.orders import apply_and_share_report
 
-
 SUSPENDED_S = 6.0
 
 
--- a/features/steps/weight_store_steps.py
+++ b/features/steps/weight_store_steps.py
@@ -1,13 +1,13 @@
 import bisect
 import random
+
 from behave import given
 from behave import then
 from behave import when
+
 from rookspring_core import defaults
 from rookspring_core.control import WeightStoreLimiter
 
-
-
 WINDOW_S = 5.0
 LENGTH_S = 60.0
 # Length of the pauses without loads, long enough to fill the token bucket.
--- a/packages/rookspring-core/src/rookspring_core/__init__.py
+++ b/packages/rookspring-core/src/rookspring_core/__init__.py
@@ -2,7 +2,7 @@
 
 from . import admitting as admitting
 from . import cluster as cluster
-from . import governing as governing
+from . import control_jobs as control_jobs
 from . import notice_handlers as notice_handlers
 from . import ordering as ordering
 from . import recovering as recovering
--- a/packages/rookspring-core/src/rookspring_core/_control_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_control_events.py
@@ -1,12 +1,12 @@
 """Events of the control plane: the store, the lease, the configuration and orders."""
 
 import typing as t
+
 from .catalogue import Entry
 from .resources import Resource
 from .routes import RouteTable
 
 
-
 class RouteTableSeen(t.NamedTuple):
     """A route table was received from the platform or another node."""
 
--- a/packages/rookspring-core/src/rookspring_core/_endpoint_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_endpoint_events.py
@@ -1,13 +1,13 @@
 """Events about endpoints, from the endpoints, the platform's list and other nodes."""
 
 import typing as t
+
 from .notices import Leaving
 from .notices import Notice
-from .request_rates import RateWord
+from .request_rates import RateRecord
 from .suspects import Evidence
 
 
-
 class NoticeReceived(t.NamedTuple):
     """The head of an endpoint's answer carried a notice about the endpoint itself.
 
@@ -37,7 +37,7 @@
     """
 
     at: float
-    rows: tuple[RateWord, ...]
+    rows: tuple[RateRecord, ...]
     source: str
 
 
--- a/packages/rookspring-core/src/rookspring_core/acceptance.py
+++ b/packages/rookspring-core/src/rookspring_core/acceptance.py
@@ -7,6 +7,7 @@
 
 import heapq
 import typing as t
+
 from . import defaults
 from .catalogue import Entry
 from .exceptions import ResourceInvalid
@@ -14,7 +15,6 @@
 from .resources import Resource
 from .resources import check_resource
 
-
 Entries = t.Mapping[str, Entry]
 
 
--- a/packages/rookspring-core/src/rookspring_core/accounts.py
+++ b/packages/rookspring-core/src/rookspring_core/accounts.py
@@ -2,13 +2,13 @@
 
 import math
 import typing as t
+
 from . import defaults
 from .events import EndpointReported
 from .routes import EngineSize
 from .routes import ModelSize
 
 
-
 class Order(t.NamedTuple):
     """An order that was sent to an endpoint and has not ended.
 
@@ -179,7 +179,8 @@
     def raise_report_lag(self) -> None:
         """Read reports later from now on, as one was too early to show an order's end."""
         self.report_lag_s = min(
-            defaults.ORDER_CHECK_MAX_S, self.report_lag_s + defaults.ORDER_CHECK_STEP_S)
+            defaults.ORDER_CHECK_MAX_S, self.report_lag_s + defaults.ORDER_CHECK_STEP_S
+        )
 
 
 def still_held(order: Order, report: EndpointReported) -> bool:
--- a/packages/rookspring-core/src/rookspring_core/adapter_waits.py
+++ b/packages/rookspring-core/src/rookspring_core/adapter_waits.py
@@ -6,8 +6,8 @@
 """
 
 import typing as t
-from . import defaults
 
+from . import defaults
 
 
 class AdapterWaits:
--- a/packages/rookspring-core/src/rookspring_core/admission_queue.py
+++ b/packages/rookspring-core/src/rookspring_core/admission_queue.py
@@ -7,8 +7,8 @@
 
 import heapq
 import typing as t
-from . import defaults
 
+from . import defaults
 
 
 class Queued(t.NamedTuple):
--- a/packages/rookspring-core/src/rookspring_core/admitting.py
+++ b/packages/rookspring-core/src/rookspring_core/admitting.py
@@ -1,7 +1,7 @@
 """Admission of new requests: checks, allotment, and the queue that each one enters."""
 
 from . import admission_queue
-from . import allotting
+from . import allotment_checks
 from . import arrival_checks
 from . import defaults
 from . import requests
@@ -32,12 +32,12 @@
         known = arrival_checks.check_once_key(state, event)
         if known is not None:
             return known
-    charge = allotting.charge_of(state, event)
+    charge = allotment_checks.charge_of(state, event)
     if charge is None:
         return _admit(state, event)
-    if allotting.needs_owner(state, charge):
-        return allotting.park(state, event, charge)
-    allotting.spend(state, charge)
+    if allotment_checks.needs_owner(state, charge):
+        return allotment_checks.park(state, event, charge)
+    allotment_checks.record_usage(state, charge)
     return _admit(state, event, charge)
 
 
@@ -62,8 +62,8 @@
         # The caller left or the wait timed out, so units that were granted are returned.
         return [ReturnAllotment(event.organisation, event.units)] if event.after_s <= 0 else []
     if event.after_s > 0.0:
-        return [allotting.refuse(state, parked, event.after_s)]
-    allotting.spend(state, parked.charge)
+        return [allotment_checks.refuse(state, parked, event.after_s)]
+    allotment_checks.record_usage(state, parked.charge)
     return _admit(state, parked.arrived, parked.charge)
 
 
--- a/packages/rookspring-core/src/rookspring_core/allotting.py
+++ b/packages/rookspring-core/src/rookspring_core/allotment_checks.py
@@ -25,20 +25,20 @@
     """Return the units that a request counts for; None if its organisation has no limit."""
     if arrived.route is None or not arrived.team:
         return None
-    terms = find_terms(state, arrived.team)
+    terms = find_allotment(state, arrived.team)
     if terms is None or terms.rate <= 0.0:
         return None
     return Charge(arrived.team, terms.cost(arrived.declared_tokens), granted_by_owner=False)
 
 
-def find_terms(state: NodeState, organisation: str) -> Allotment | None:
+def find_allotment(state: NodeState, organisation: str) -> Allotment | None:
     """Return an organisation's allotment in the configuration in force."""
     directory = state.table.directory if state.table else None
     found = directory.by_name.get(organisation) if directory else None
     return found.allotment if found else None
 
 
-def all_terms(state: NodeState) -> dict[str, Allotment]:
+def all_allotments(state: NodeState) -> dict[str, Allotment]:
     """Return the allotments of all organisations that have a limit."""
     directory = state.table.directory if state.table else None
     rows = directory.by_name.values() if directory else ()
@@ -47,21 +47,23 @@
 
 def needs_owner(state: NodeState, charge: Charge) -> bool:
     """Return whether the organisation's owner has to decide."""
-    return not state.allotments.far(charge.organisation, state.now)
+    return not state.allotments.is_far_from_limit(charge.organisation, state.now)
 
 
 def decide(state: NodeState, organisation: str, units: float, now: float) -> Grant:
     """Decide on a request as the owner of its organisation."""
-    terms = find_terms(state, organisation)
+    terms = find_allotment(state, organisation)
     if terms is None or terms.rate <= 0.0:
         return Grant(0.0)
-    since = state.owners.begin(organisation, now)
-    return state.allotments.grant(organisation, units, terms, now, since, state.owners.reach)
+    since = state.owners.owned_since(organisation, now)
+    return state.allotments.grant(
+        organisation, units, terms, now, since, state.owners.visible_share
+    )
 
 
-def spend(state: NodeState, charge: Charge) -> None:
+def record_usage(state: NodeState, charge: Charge) -> None:
     """Count the units of an admitted request."""
-    state.allotments.spend(charge.organisation, charge.units, state.now)
+    state.allotments.record_usage(charge.organisation, charge.units, state.now)
 
 
 def park(state: NodeState, arrived: RequestArrived, charge: Charge) -> list[Effect]:
@@ -86,7 +88,7 @@
     return Refuse(identity, 429, "limited", "not_run", text, after_s * (1.0 + spread))
 
 
-def expire(state: NodeState) -> list[Effect]:
+def expire_parked(state: NodeState) -> list[Effect]:
     """Refuse requests whose owner has not answered within ``OWNER_ANSWER_S``."""
     effects: list[Effect] = []
     for identity, parked in list(state.parked.items()):
@@ -101,23 +103,23 @@
     return effects
 
 
-def give_back(state: NodeState, charge: Charge | None) -> list[Effect]:
+def refund(state: NodeState, charge: Charge | None) -> list[Effect]:
     """Take back the units of a request that did not run, also from the owner that granted them."""
     if charge is None:
         return []
-    state.allotments.spend(charge.organisation, -charge.units, state.now)
+    state.allotments.record_usage(charge.organisation, -charge.units, state.now)
     return [ReturnAllotment(charge.organisation, charge.units)] if charge.granted_by_owner else []
 
 
 @handles(NearLimitReceived)
-def take_tight(state: NodeState, event: NearLimitReceived) -> list[Effect]:
+def handle_near_limit(state: NodeState, event: NearLimitReceived) -> list[Effect]:
     """Store which organisations are near their limits, as another node reported."""
-    state.allotments.hear_tight(event.names, event.as_of)
+    state.allotments.set_near_limit(event.names, event.as_of)
     return []
 
 
 @handles(UsageRestored)
-def take_recalled(state: NodeState, event: UsageRestored) -> list[Effect]:
+def handle_recalled_usage(state: NodeState, event: UsageRestored) -> list[Effect]:
     """Store the usage from before this node started or became a relay, as the store has it."""
     state.allotments.recall(dict(event.shares))
     return []
@@ -125,7 +127,7 @@
 
 def used_shares(state: NodeState, now: float) -> dict[str, float]:
     """Return the used shares of limits that are at least ``RECALLED_SHARE_MIN``."""
-    shares = state.allotments.find_shares(all_terms(state), now)
+    shares = state.allotments.find_used_shares(all_allotments(state), now)
     return {
         name: round(share, 2)
         for name, share in shares.items()
@@ -133,15 +135,15 @@
     }
 
 
-def watch(state: NodeState, was_relay: bool) -> None:
+def update_near_limit(state: NodeState, was_relay: bool) -> None:
     """Update which organisations are near their limits, on nodes that receive all usage reports.
 
     :param was_relay: this node was a relay at the previous tick.
     """
     if state.topology.relay and not was_relay:
-        state.allotments.begin(state.now)
+        state.allotments.start_observing(state.now)
     if state.topology.mesh or state.topology.relay:
-        terms = all_terms(state)
+        terms = all_allotments(state)
         if terms:
-            names = state.allotments.find_tight(terms, state.now)
-            state.allotments.hear_tight(names, state.now)
+            names = state.allotments.find_near_limit(terms, state.now)
+            state.allotments.set_near_limit(names, state.now)
--- a/packages/rookspring-core/src/rookspring_core/allotments.py
+++ b/packages/rookspring-core/src/rookspring_core/allotments.py
@@ -14,12 +14,12 @@
 
 import collections
 import typing as t
+
 from . import defaults
 from .organisations import Allotment
 
 
-
-class SpendWindow:
+class UsageWindow:
     """Usage within the last window, in steps of ``SPEND_STEP_S``."""
 
     def __init__(self, window_s: float) -> None:
@@ -36,7 +36,7 @@
             self._steps.append([now, units])
         self._sum += units
 
-    def take_back(self, now: float, units: float) -> None:
+    def subtract(self, now: float, units: float) -> None:
         """Subtract units that were admitted and did not run, from the latest steps first."""
         self._drop(now)
         for step in reversed(self._steps):
@@ -52,7 +52,7 @@
         self._drop(now)
         return self._sum
 
-    def since(self, moment: float) -> float:
+    def added_since(self, moment: float) -> float:
         """Return the units added after a moment."""
         total = 0.0
         for at, units in reversed(self._steps):
@@ -61,7 +61,7 @@
             total += units
         return total
 
-    def room_in(self, now: float, excess: float) -> float:
+    def freed_in_s(self, now: float, excess: float) -> float:
         """Return the seconds until at least ``excess`` units have left the window."""
         self._drop(now)
         for at, units in self._steps:
@@ -91,9 +91,9 @@
     overage: float = 0.0
     slack: float = 0.0
 
-    def most(self, terms: Allotment) -> float:
+    def max_granted(self, terms: Allotment) -> float:
         """Return the most units that an owner grants within a window."""
-        allotted = terms.most(self.window_s)
+        allotted = terms.max_units(self.window_s)
         beyond = self.overage * allotted + self.slack
         return allotted + defaults.TOLERANCE_SHARE * beyond
 
@@ -108,7 +108,7 @@
 
     after_s: float
     used: float = 0.0
-    most: float = float("inf")
+    limit: float = float("inf")
 
 
 class Allotments:
@@ -122,11 +122,11 @@
         self.tolerance = tolerance or WindowTolerance()
         self.window_s = self.tolerance.window_s
         # Usage known to this node, including its own.
-        self._seen: dict[str, SpendWindow] = {}
+        self._seen: dict[str, UsageWindow] = {}
         # Usage to report with the next heartbeat.
         self._unreported: dict[str, float] = {}
         self._reported_at = started_at
-        self._granted: dict[str, SpendWindow] = {}
+        self._granted: dict[str, UsageWindow] = {}
         # Organisations near their limits, and the time of that information.
         self._near_limit: frozenset[str] = frozenset()
         self._near_limit_at = float("-inf")
@@ -138,19 +138,19 @@
 
     # Usage, of this node and of others.
 
-    def spend(self, name: str, units: float, now: float) -> None:
+    def record_usage(self, name: str, units: float, now: float) -> None:
         """Count units that this node admits; negative to take back units that did not run."""
         self._note(name, units, now)
         self._unreported[name] = self._unreported.get(name, 0.0) + units
 
-    def hear(self, spent: t.Mapping[str, float], now: float, pass_on: bool) -> None:
+    def record_reported(self, spent: t.Mapping[str, float], now: float, forward: bool) -> None:
         """Count usage that another node reported.
 
         :param forward: include it in this node's own reports.
         """
         for name, units in spent.items():
-            if pass_on:
-                self.spend(name, units, now)
+            if forward:
+                self.record_usage(name, units, now)
             else:
                 self._note(name, units, now)
 
@@ -159,15 +159,15 @@
         if units >= 0.0:
             window.add(now, units)
         else:
-            window.take_back(now, -units)
+            window.subtract(now, -units)
 
-    def tell(self, now: float, heard: bool) -> dict[str, float]:
+    def take_unreported(self, now: float, has_receiver: bool) -> dict[str, float]:
         """Return the usage to report with a heartbeat, and clear it.
 
         :param has_receiver: a node receives this heartbeat. Otherwise the usage is kept for a
             later one, until nothing was reported for longer than a window.
         """
-        if not heard:
+        if not has_receiver:
             if now - self._reported_at > self.window_s:
                 self._unreported.clear()
             return {}
@@ -175,61 +175,63 @@
         self._reported_at = now
         return unreported
 
-    def sums(self, now: float) -> dict[str, float]:
+    def usage(self, now: float) -> dict[str, float]:
         """Return the usage observed within the window, by organisation."""
         return {name: units for name, one in self._seen.items() if (units := one.sum(now)) > 0.0}
 
     # Organisations near their limits.
 
-    def hear_tight(self, names: t.Iterable[str], as_of: float) -> None:
+    def set_near_limit(self, names: t.Iterable[str], as_of: float) -> None:
         """Store which organisations are near their limits, unless newer information is known."""
         if as_of > self._near_limit_at:
             self._near_limit = frozenset(names)
             self._near_limit_at = as_of
 
-    def tight(self) -> frozenset[str]:
+    def near_limit(self) -> frozenset[str]:
         """Return the organisations near their limits, as last received or computed."""
         return self._near_limit
 
-    def far(self, name: str, now: float) -> bool:
+    def is_far_from_limit(self, name: str, now: float) -> bool:
         """Return whether recent information shows an organisation far from its limit."""
-        return now - self._near_limit_at < defaults.NEAR_LIMIT_TTL_S and name not in self._near_limit
+        return (
+            now - self._near_limit_at < defaults.NEAR_LIMIT_TTL_S and name not in self._near_limit
+        )
 
-    def find_shares(self, terms: t.Mapping[str, Allotment], now: float) -> dict[str, float]:
+    def find_used_shares(self, terms: t.Mapping[str, Allotment], now: float) -> dict[str, float]:
         """Return the share of its limit that each organisation is known to have used.
 
         ``UNSEEN_MARGIN`` is not included: the shares are written with the lease, so the margin
         would later be read as known usage, and add up from one restart to the next.
         """
-        sums = self.sums(now)
+        sums = self.usage(now)
         incomplete = now < self._incomplete_until
         recalled = self._recalled if self._recalled is not None else self._recalled_before
         return {
-            name: sums.get(name, 0.0) / self.tolerance.most(one)
+            name: sums.get(name, 0.0) / self.tolerance.max_granted(one)
             + (recalled.get(name, 0.0) if incomplete else 0.0)
             for name, one in terms.items()
         }
 
-    def find_tight(self, terms: t.Mapping[str, Allotment], now: float) -> list[str]:
+    def find_near_limit(self, terms: t.Mapping[str, Allotment], now: float) -> list[str]:
         """Return the organisations that are near their limits, by observed usage."""
-        sums = self.sums(now)
+        sums = self.usage(now)
         threshold = defaults.NEAR_LIMIT_SHARE
         return [
             name
             for name, one in terms.items()
-            if sums.get(name, 0.0) >= threshold * self.tolerance.most(one)
+            if sums.get(name, 0.0) >= threshold * self.tolerance.max_granted(one)
             or self._unseen_share(name, now) >= threshold
         ]
 
     # Usage from before this node started or became a relay.
 
-    def begin(self, now: float) -> None:
+    def start_observing(self, now: float) -> None:
         """Start to observe other nodes; earlier usage is yet to be read from the store."""
         self._incomplete_until = now + self.window_s
         self._recalled_before = self._recalled or self._recalled_before
         self._recalled = None
 
-    def wants_recall(self, now: float) -> bool:
+    def needs_recall(self, now: float) -> bool:
         """Return whether this node should read the earlier usage from the platform's store."""
         return self._recalled is None and now < self._incomplete_until
 
@@ -249,7 +251,13 @@
     # Grants as an owner.
 
     def grant(
-        self, name: str, units: float, terms: Allotment, now: float, since: float, reach: float
+        self,
+        name: str,
+        units: float,
+        terms: Allotment,
+        now: float,
+        since: float,
+        visible_share: float,
     ) -> Grant:
         """Decide on a request of an organisation that this node owns.
 
@@ -258,36 +266,36 @@
             this share of the limit.
         """
         granted = self._window(self._granted, name)
-        limit = self.tolerance.most(terms) * reach
+        limit = self.tolerance.max_granted(terms) * visible_share
         used = self._used(name, granted, now, since)
         used += self._unseen_share(name, now) * limit
         excess = used + units - limit
         if excess <= 0.0:
             granted.add(now, units)
             return Grant(0.0, used, limit)
-        after_s = max(defaults.SPEND_STEP_S, granted.room_in(now, excess))
+        after_s = max(defaults.SPEND_STEP_S, granted.freed_in_s(now, excess))
         if now < self._incomplete_until:
             after_s = min(after_s, self._incomplete_until - now)
         return Grant(after_s, used, limit)
 
-    def _used(self, name: str, granted: SpendWindow, now: float, since: float) -> float:
+    def _used(self, name: str, granted: UsageWindow, now: float, since: float) -> float:
         """Return an organisation's usage, including units that are not reported yet."""
         seen = self._window(self._seen, name)
         lag_s = defaults.SPEND_LAG_S
-        unseen = granted.since(now - lag_s)
+        unseen = granted.added_since(now - lag_s)
         if now - since < lag_s:
             # The previous owner may have granted units within the lag that no report shows yet;
             # they are estimated by the usage observed within the lag.
-            unseen += seen.since(now - lag_s)
+            unseen += seen.added_since(now - lag_s)
         return max(granted.sum(now), seen.sum(now) + unseen)
 
-    def take_back(self, name: str, units: float, now: float) -> None:
+    def cancel_grant(self, name: str, units: float, now: float) -> None:
         """Take back granted units that did not run."""
         if name in self._granted:
-            self._granted[name].take_back(now, units)
+            self._granted[name].subtract(now, units)
 
-    def _window(self, windows: dict[str, SpendWindow], name: str) -> SpendWindow:
+    def _window(self, windows: dict[str, UsageWindow], name: str) -> UsageWindow:
         found = windows.get(name)
         if found is None:
-            found = windows[name] = SpendWindow(self.window_s)
+            found = windows[name] = UsageWindow(self.window_s)
         return found
--- a/packages/rookspring-core/src/rookspring_core/cluster.py
+++ b/packages/rookspring-core/src/rookspring_core/cluster.py
@@ -1,14 +1,14 @@
 """Handlers of ticks, load reports, box lists and heartbeats, and of the graceful shutdown."""
 
-from . import allotting
+from . import allotment_checks
+from . import control_jobs
 from . import defaults
-from . import governing
-from . import granting
 from . import notice_handlers
 from . import ordering
 from . import requests
 from . import residency
 from . import restarts
+from . import slot_answers
 from . import suspect_handlers
 from .effects import Announce
 from .effects import Effect
@@ -16,8 +16,8 @@
 from .effects import Stop
 from .effects import WriteLease
 from .endpoints import EndpointView
-from .events import BoxListReceived
 from .events import BoxListed
+from .events import BoxListReceived
 from .events import CacheEventsReceived
 from .events import DownReceived
 from .events import DrainAsked
@@ -49,42 +49,42 @@
     for name in state.membership.expire(event.at):
         _forget_peer(state, name)
     state.peers_work.settle()
-    state.limits.tick(passed)
+    state.limits.decay_demand(passed)
     state.suspects.tick(event.at)
     state.notices.tick(event.at, state.endpoints)
-    state.rates.tick(event.at, state.endpoints)
+    state.rates.expire(event.at, state.endpoints)
     state.once.expire_idle(event.at)
-    effects = granting.expire_turns(state)
-    effects += requests.sweep(state, passed) + allotting.expire(state)
+    effects = slot_answers.expire_permit_requests(state)
+    effects += requests.sweep(state, passed) + allotment_checks.expire_parked(state)
     if state.relaying:
         was_relay = state.topology.relay
         update_roles(state)
         _update_owners(state)
-        allotting.watch(state, was_relay)
+        allotment_checks.update_near_limit(state, was_relay)
         state.adapter_waits.forget_old(event.at)
         effects += residency.run_control_tick(state, passed)
     else:
-        effects += governing.govern(state, passed)
+        effects += control_jobs.run_control_jobs(state, passed)
     return effects + _stop_due(state)
 
 
 def update_roles(state: NodeState) -> None:
     """Update this relay node's roles and links from the current membership."""
     local = LocalStatus(
-        state.capacity, state.now - state.started_at, state.leaving, governing.holding(state)
+        state.capacity, state.now - state.started_at, state.leaving, control_jobs.holding(state)
     )
     state.topology.update(state.now, local)
 
 
 def _update_owners(state: NodeState) -> None:
     """Update which organisations this node still owns, and how many nodes it sees."""
-    state.owners.keep(state.topology.owners(state.now), state.now)
+    state.owners.update_nodes(state.topology.owners(state.now), state.now)
     if state.topology.mesh or state.topology.relay:
-        state.owners.note_visible(state.membership.visible(state.now), state.now)
+        state.owners.record_visible(state.membership.visible(state.now), state.now)
 
 
 def _forget_peer(state: NodeState, name: str) -> None:
-    state.limits.lose(name)
+    state.limits.forget_peer(name)
     state.control.forget(name)
     state.peers_work.forget(name)
 
@@ -101,7 +101,7 @@
         view.leaving = False
         view.backoff_until = -1e9
         state.notices.note_restart(view.name, event.started_ms, event.start_confirmed)
-        state.rates.begin(view.name, event.started_ms, event.start_confirmed)
+        state.rates.begin_incarnation(view.name, event.started_ms, event.start_confirmed)
         view.rate = None
         view.prefixes.clear()
     before = view.targets()
@@ -132,7 +132,7 @@
     # On relay nodes the list is made of the endpoints' own entries, so only the list may clear
     # `gone`.
     view.gone = view.gone and state.relaying
-    if governing.holding(state) and view.role == "runner":
+    if control_jobs.holding(state) and view.role == "runner":
         ledger = state.control.ledgers.get(event.endpoint)
         if ledger is not None:
             ledger.take_report(event, ordering.sizes_of(state))
@@ -154,7 +154,7 @@
     if state.table is not None and event.table.version <= state.table.version:
         return []
     state.table = event.table
-    state.freshness.settle(event.table.version)
+    state.freshness.confirm_pending(event.table.version)
     return [Announce("table")]
 
 
@@ -233,11 +233,11 @@
     state.control.lease.note_end(event.lease_ended, event.at)
     if event.name not in state.membership.peers:
         return []
-    state.limits.hear(event.name, event.team_demand)
+    state.limits.record_demand(event.name, event.team_demand)
     state.control.apply_heartbeat(event)
     if event.spent is not None:
         pass_on = state.topology.relay and not event.relay
-        state.allotments.hear(dict(event.spent), event.at, pass_on)
+        state.allotments.record_reported(dict(event.spent), event.at, pass_on)
     if event.aggregated:
         # Its in-flight requests are already part of another node's sums: of the node that this
         # one follows, or of the node that the sender follows.
--- a/packages/rookspring-core/src/rookspring_core/control.py
+++ b/packages/rookspring-core/src/rookspring_core/control.py
@@ -1,6 +1,7 @@
 """State of the control plane; every node has it, the lease holder acts on it."""
 
 import typing as t
+
 from . import defaults
 from .acceptance import RunnerMemory
 from .catalogue import Entry
@@ -13,7 +14,6 @@
 from .resources import Resource
 
 
-
 class Publication:
     """The holder's progress from declared resources to the published head."""
 
--- a/packages/rookspring-core/src/rookspring_core/governing.py
+++ b/packages/rookspring-core/src/rookspring_core/control_jobs.py
@@ -4,6 +4,7 @@
 """
 
 import typing as t
+
 from . import acceptance
 from . import defaults
 from . import ordering
@@ -26,12 +27,11 @@
 from .reducer import handles
 from .state import NodeState
 
-
 Effects = list[Effect]
 
 
 @handles(LeaseSeen)
-def see_lease(state: NodeState, event: LeaseSeen) -> Effects:
+def handle_lease_read(state: NodeState, event: LeaseSeen) -> Effects:
     """Update the lease from a read of the lease object."""
     control = state.control
     control.lease.take_read(event, state.identity.name)
@@ -39,7 +39,7 @@
 
 
 @handles(LeaseWritten)
-def note_lease(state: NodeState, event: LeaseWritten) -> Effects:
+def handle_lease_written(state: NodeState, event: LeaseWritten) -> Effects:
     """Update the lease from the answer to a write."""
     state.control.lease.answer(event, state.identity.name)
     return _begin_if_new(state)
@@ -96,7 +96,7 @@
 
 
 @handles(HeadSeen)
-def see_head(state: NodeState, event: HeadSeen) -> Effects:
+def handle_head_read(state: NodeState, event: HeadSeen) -> Effects:
     """Store the version of the head object, on which the next publication is conditional."""
     publication = state.control.publication
     publication.head_version = event.version
@@ -107,7 +107,7 @@
 
 
 @handles(DesiredSeen)
-def see_desired(state: NodeState, event: DesiredSeen) -> Effects:
+def handle_desired(state: NodeState, event: DesiredSeen) -> Effects:
     """Store the operators' resources; they are accepted at the end of the batch window."""
     publication = state.control.publication
     if publication.desired == event.resources:
@@ -120,7 +120,7 @@
 
 
 @handles(Published)
-def note_publication(state: NodeState, event: Published) -> Effects:
+def handle_published(state: NodeState, event: Published) -> Effects:
     """Handle the answer to a publication; unless it was written, the head is read again."""
     publication = state.control.publication
     if event.revision != publication.in_flight:
@@ -134,7 +134,7 @@
     return []
 
 
-def publish_due(state: NodeState) -> Effects:
+def publish_if_due(state: NodeState) -> Effects:
     """Accept and publish the operators' changes, once the batch window has passed."""
     publication = state.control.publication
     if publication.in_flight:
@@ -172,7 +172,7 @@
     return sum(1 for one in state.endpoints.values() if one.role == "runner" and not one.gone)
 
 
-def may_hold(state: NodeState) -> bool:
+def may_take_lease(state: NodeState) -> bool:
     """Return whether this node may take the lease when it is free."""
     if state.leaving:
         return False
@@ -187,7 +187,7 @@
     return name in state.membership.relays(state.identity.data_centre)
 
 
-def forfeit_lapsed(state: NodeState) -> None:
+def drop_lapsed(state: NodeState) -> None:
     """Drop the lease for good once it has lapsed, so that a successor need not wait it out."""
     lease = state.control.lease
     if lease.own_epoch and not lease.holding(state.now):
@@ -195,7 +195,7 @@
         lease.forfeit()
 
 
-def holder_heard(state: NodeState) -> bool:
+def holder_alive(state: NodeState) -> bool:
     """Return whether another node has reported lately that it holds the lease."""
     return any(
         peer.heard.lease_epoch >= max(1, state.control.lease.epoch)
@@ -204,7 +204,7 @@
     )
 
 
-def reads_lease(state: NodeState) -> bool:
+def should_read_lease(state: NodeState) -> bool:
     """Return whether this node should read the lease now.
 
     The holder reads it if a renewal was not answered. A node that may take it over reads it once
@@ -213,33 +213,33 @@
     lease = state.control.lease
     if holding(state):
         return lease.unanswered(state.now) or lease.version < 0
-    return may_hold(state) and not holder_heard(state)
+    return may_take_lease(state) and not holder_alive(state)
 
 
 def awaits_release(state: NodeState) -> bool:
     """Return whether the holder has announced that it leaves and has not released the lease."""
     holder = state.membership.peers.get(state.control.lease.holder)
-    return holder is not None and holder.heard.leaving and may_hold(state)
+    return holder is not None and holder.heard.leaving and may_take_lease(state)
 
 
-def lease_due(state: NodeState) -> Effects:
+def write_lease_if_due(state: NodeState) -> Effects:
     """Write the lease if due, to renew it or to take it over."""
     identity = state.identity
-    candidate = may_hold(state) and not (state.relaying and holder_heard(state))
+    candidate = may_take_lease(state) and not (state.relaying and holder_alive(state))
     wish = state.control.lease.due_write(state.now, identity.name, identity.incarnation, candidate)
     if wish is None:
         return []
     return [WriteLease(*wish)]
 
 
-def govern(state: NodeState, passed: float) -> Effects:
+def run_control_jobs(state: NodeState, passed: float) -> Effects:
     """Run the control jobs that are due at a tick.
 
     :param passed: seconds since the last tick.
     """
     control = state.control
     control.meter.roll(passed)
-    effects: Effects = [] if state.leaving else lease_due(state)
+    effects: Effects = [] if state.leaving else write_lease_if_due(state)
     if not holding(state):
         return effects
     sum_demand(state, passed)
@@ -250,7 +250,7 @@
                 ordering.inherit_late_orders(state, ledger)
     for name in [name for name in control.ledgers if name not in state.endpoints]:
         del control.ledgers[name]
-    effects += publish_due(state)
+    effects += publish_if_due(state)
     effects += ordering.fence_endpoints(state)
     effects += ordering.resend_orders(state)
     effects += ordering.plan_moves(state)
--- a/packages/rookspring-core/src/rookspring_core/demand.py
+++ b/packages/rookspring-core/src/rookspring_core/demand.py
@@ -7,8 +7,8 @@
 
 import math
 import typing as t
-from . import defaults
 
+from . import defaults
 
 
 class SmoothingTimes(t.NamedTuple):
--- a/packages/rookspring-core/src/rookspring_core/effects.py
+++ b/packages/rookspring-core/src/rookspring_core/effects.py
@@ -4,13 +4,13 @@
 """
 
 import typing as t
+
 from .catalogue import Entry
 from .events import EndpointReported
 from .notices import Leaving
-from .request_rates import RateWord
+from .request_rates import RateRecord
 from .suspects import Evidence
 
-
 IntentRow = tuple[str, str, str, float]
 
 
@@ -261,7 +261,7 @@
     :param source: the node that this was received from; empty where an endpoint told this node.
     """
 
-    rows: tuple[RateWord, ...]
+    rows: tuple[RateRecord, ...]
     source: str = ""
 
 
@@ -308,7 +308,7 @@
 class AskSlot(t.NamedTuple):
     """Ask the owner of a slot queue for a slot.
 
-    :param queue: key of the queue, of a plain service or of an endpoint; see :mod:`slotting`.
+    :param queue: key of the queue, of a plain service or of an endpoint; see :mod:`slot_requests`.
     :param rank: 0 is the most urgent.
     :param organisation: whose request it is; empty where the queue doesn't need it.
     :param wait_s: how long an answer is of use, in seconds.
--- a/packages/rookspring-core/src/rookspring_core/endpoints.py
+++ b/packages/rookspring-core/src/rookspring_core/endpoints.py
@@ -5,12 +5,12 @@
 """
 
 import typing as t
+
 from . import defaults
 from . import notices
 from .events import EndpointReported
 
 
-
 class PeerLoad:
     """The other nodes' requests in flight by endpoint, as their heartbeats give them.
 
@@ -227,7 +227,9 @@
 
     def recently_attached(self, now: float) -> list[str]:
         """Return the adapters attached so recently that their callers may not have come yet."""
-        return [one for one, at in self.attached_at.items() if now - at < defaults.NEW_ADAPTER_RESERVE_S]
+        return [
+            one for one, at in self.attached_at.items() if now - at < defaults.NEW_ADAPTER_RESERVE_S
+        ]
 
     def load(self, now: float) -> float:
         """Estimate the requests running or queued there, per slot (1.0 is full).
--- a/packages/rookspring-core/src/rookspring_core/events.py
+++ b/packages/rookspring-core/src/rookspring_core/events.py
@@ -6,8 +6,8 @@
 
 from ._control_events import DesiredSeen as DesiredSeen
 from ._control_events import HeadSeen as HeadSeen
-from ._control_events import IntentWritten as IntentWritten
 from ._control_events import IntentsSeen as IntentsSeen
+from ._control_events import IntentWritten as IntentWritten
 from ._control_events import LeaseSeen as LeaseSeen
 from ._control_events import LeaseWritten as LeaseWritten
 from ._control_events import LoadRequested as LoadRequested
@@ -22,8 +22,8 @@
 from ._control_events import StoreRead as StoreRead
 from ._control_events import TableProved as TableProved
 from ._control_events import UsageRestored as UsageRestored
-from ._endpoint_events import BoxListReceived as BoxListReceived
 from ._endpoint_events import BoxListed as BoxListed
+from ._endpoint_events import BoxListReceived as BoxListReceived
 from ._endpoint_events import CacheEventsReceived as CacheEventsReceived
 from ._endpoint_events import DownReceived as DownReceived
 from ._endpoint_events import EndpointReported as EndpointReported
--- a/packages/rookspring-core/src/rookspring_core/freshness.py
+++ b/packages/rookspring-core/src/rookspring_core/freshness.py
@@ -26,7 +26,7 @@
     """The last time at which this node's configuration was provably the newest."""
 
     def __init__(self) -> None:
-        self.at = NEVER
+        self.proved_at = NEVER
         # A newer version that is not in force here yet, and the time that was proved for it.
         self._pending: tuple[int, float] = (0, NEVER)
         # When the store was restored from a backup, and the version in force here at that time.
@@ -43,7 +43,7 @@
             return False
         return as_of < restored_at + defaults.REWRITE_S or version < applied
 
-    def note(self, as_of: float, version: int, applied: int) -> None:
+    def record_proof(self, as_of: float, version: int, applied: int) -> None:
         """Record a proof that a version was the newest at a time.
 
         :param as_of: the time, by this node's own clock.
@@ -52,20 +52,20 @@
         if self._lacks(as_of, version):
             return
         if version <= applied:
-            self.at = max(self.at, as_of)
+            self.proved_at = max(self.proved_at, as_of)
         elif (version, as_of) > self._pending:
             self._pending = (version, as_of)
 
-    def settle(self, applied: int) -> None:
+    def confirm_pending(self, applied: int) -> None:
         """Use the pending proof once its version is in force here."""
         version, as_of = self._pending
         if version <= applied:
-            self.at = max(self.at, as_of)
+            self.proved_at = max(self.proved_at, as_of)
             self._pending = (0, NEVER)
 
     def age_s(self, now: float) -> float:
         """Return the seconds since the configuration was last proved the newest."""
-        return now - self.at
+        return now - self.proved_at
 
 
 class ProofTerms(t.NamedTuple):
--- a/packages/rookspring-core/src/rookspring_core/invariant_checkers.py
+++ b/packages/rookspring-core/src/rookspring_core/invariant_checkers.py
@@ -2,11 +2,11 @@
 
 import collections
 import typing as t
+
 from . import defaults
 from . import notices
 from .exceptions import InvariantBroken
 
-
 if t.TYPE_CHECKING:
     from .events import NoticeReceived
 
@@ -76,9 +76,7 @@
         while now - self._granted[0][0] > RATE_WINDOW_S:
             self._granted.popleft()
         highest = max(one for _, one in self._granted)
-        allowed_turns = (
-            highest * (RATE_WINDOW_S + defaults.PERMIT_BURST_S) + defaults.PERMIT_BURST
-        )
+        allowed_turns = highest * (RATE_WINDOW_S + defaults.PERMIT_BURST_S) + defaults.PERMIT_BURST
         if len(self._granted) > allowed_turns + 1e-6:
             text = (
                 f"{len(self._granted)} turns in {RATE_WINDOW_S} s; {allowed_turns:.1f} are allowed"
--- a/packages/rookspring-core/src/rookspring_core/invariants.py
+++ b/packages/rookspring-core/src/rookspring_core/invariants.py
@@ -5,6 +5,7 @@
 """
 
 import typing as t
+
 from .effects import Dispatch
 from .effects import Effect
 from .effects import Forget
@@ -16,7 +17,6 @@
 from .events import NoticeReceived
 from .exceptions import InvariantBroken
 
-
 if t.TYPE_CHECKING:
     from .state import NodeState
 
--- a/packages/rookspring-core/src/rookspring_core/keys.py
+++ b/packages/rookspring-core/src/rookspring_core/keys.py
@@ -25,7 +25,7 @@
     status: int
     reason: str = ""
     organisation: Organisation | None = None
-    waits: bool = False
+    may_wait: bool = False
 
 
 class KeyFault(t.NamedTuple):
@@ -36,7 +36,9 @@
     text: str
 
 
-def judge(state: NodeState, route: Route, key: str, arrived_at: float, now: float) -> KeyVerdict:
+def check_key(
+    state: NodeState, route: Route, key: str, arrived_at: float, now: float
+) -> KeyVerdict:
     """Return the organisation of a request, or why it is not accepted.
 
     :param key: the digest of its key; empty if it has none.
@@ -51,8 +53,10 @@
     if found is None:
         # A key may be newer than this node's configuration, and callers don't retry after a 401,
         # so 401 is answered only if this configuration was the newest when the request arrived.
-        proved = state.freshness.at >= arrived_at
-        return KeyVerdict(401, "unknown_key") if proved else KeyVerdict(503, "unproved", waits=True)
+        proved = state.freshness.proved_at >= arrived_at
+        return (
+            KeyVerdict(401, "unknown_key") if proved else KeyVerdict(503, "unproved", may_wait=True)
+        )
     if state.proof_terms.stale(state.freshness.age_s(now)):
         return KeyVerdict(503, "unproved")
     return KeyVerdict(0, organisation=found)
@@ -77,7 +81,7 @@
 
 
 @handles(TableProved)
-def take_proof(state: NodeState, event: TableProved) -> "list[Effect]":
+def handle_proof(state: NodeState, event: TableProved) -> "list[Effect]":
     """Record that a version of the configuration was the newest at a moment."""
-    state.freshness.note(event.as_of, event.version, state.revision)
+    state.freshness.record_proof(event.as_of, event.version, state.revision)
     return []
--- a/packages/rookspring-core/src/rookspring_core/leases.py
+++ b/packages/rookspring-core/src/rookspring_core/leases.py
@@ -14,12 +14,12 @@
 """
 
 import typing as t
+
 from . import defaults
 from .events import LeaseSeen
 from .events import LeaseWritten
 
 
-
 class DueWrite(t.NamedTuple):
     """A lease write that is due.
 
--- a/packages/rookspring-core/src/rookspring_core/limits.py
+++ b/packages/rookspring-core/src/rookspring_core/limits.py
@@ -28,11 +28,11 @@
         self._buckets: dict[str, _Bucket] = {}
         self._peers: dict[str, dict[str, float]] = {}
 
-    def hear(self, peer: str, demand: t.Iterable[tuple[str, float]]) -> None:
+    def record_demand(self, peer: str, demand: t.Iterable[tuple[str, float]]) -> None:
         """Store another node's recent demand by team, in requests a second."""
         self._peers[peer] = dict(demand)
 
-    def lose(self, peer: str) -> None:
+    def forget_peer(self, peer: str) -> None:
         """Remove a node that has gone; its share goes to the remaining nodes."""
         self._peers.pop(peer, None)
 
@@ -83,7 +83,7 @@
         if bucket is not None:
             bucket.inflight = max(0, bucket.inflight - 1)
 
-    def tick(self, passed: float) -> None:
+    def decay_demand(self, passed: float) -> None:
         """Decay recent demand by the seconds since the last tick."""
         for bucket in self._buckets.values():
             bucket.recent *= max(0.0, 1.0 - 0.5 * passed / defaults.LIMIT_SHARE_INTERVAL_S)
--- a/packages/rookspring-core/src/rookspring_core/membership.py
+++ b/packages/rookspring-core/src/rookspring_core/membership.py
@@ -5,6 +5,7 @@
 """
 
 import typing as t
+
 from . import defaults
 from .events import BoxListed
 from .events import HeartbeatReceived
@@ -12,7 +13,6 @@
 from .routing import stable_hash
 
 
-
 class Peer:
     """Another node, by its latest heartbeat; times are of this node's monotonic clock.
 
--- a/packages/rookspring-core/src/rookspring_core/memory.py
+++ b/packages/rookspring-core/src/rookspring_core/memory.py
@@ -6,10 +6,10 @@
 """
 
 import typing as t
+
 from . import defaults
 from .events import EndpointReported
 
-
 Weights = tuple[str, str]
 
 
--- a/packages/rookspring-core/src/rookspring_core/notice_handlers.py
+++ b/packages/rookspring-core/src/rookspring_core/notice_handlers.py
@@ -18,7 +18,7 @@
 from .notices import Leaving
 from .notices import Notice
 from .reducer import handles
-from .request_rates import RateWord
+from .request_rates import RateRecord
 from .state import NodeState
 
 Effects = list[Effect]
@@ -103,20 +103,22 @@
 def _note_rate(state: NodeState, event: NoticeReceived) -> Effects:
     notice = event.notice
     rates = state.rates
-    added: tuple[RateWord, ...] = ()
+    added: tuple[RateRecord, ...] = ()
     if notice.rate is not None:
-        added = rates.name(event.endpoint, event.started_ms, notice.rate, event.asked_at, state.now)
+        added = rates.set_limit(
+            event.endpoint, event.started_ms, notice.rate, event.asked_at, state.now
+        )
     elif not notice.names_rate:
-        added = rates.cease(event.endpoint, event.started_ms, event.asked_at)
+        added = rates.end_limit(event.endpoint, event.started_ms, event.asked_at)
     _mark_rates(state, added, "stated in a response")
     return _share_rates(added, "")
 
 
-def _share_rates(rows: tuple[RateWord, ...], source: str) -> Effects:
+def _share_rates(rows: tuple[RateRecord, ...], source: str) -> Effects:
     return [ShareRates(rows, source)] if rows else []
 
 
-def _mark_rates(state: NodeState, rows: tuple[RateWord, ...], why: str) -> None:
+def _mark_rates(state: NodeState, rows: tuple[RateRecord, ...], why: str) -> None:
     """Copy changed rates to the views of their endpoints, and record the change."""
     for one in rows:
         _restore_view(state, one.endpoint)
@@ -128,10 +130,12 @@
 def handle_rates(state: NodeState, event: RatesReceived) -> Effects:
     """Merge endpoints' rates from another node, and forward those that are new here."""
     merged = state.rates.merge(event.rows, state.now)
-    _mark_rates(state, merged.news, f"{event.source} reported it")
-    _mark_rates(state, merged.denied, f"stated recently, contrary to what {event.source} reports")
-    shared = _share_rates(merged.news, event.source) + _share_rates(merged.denied, "")
-    return shared + (requests.dispatch_waiting(state) if merged.news else [])
+    _mark_rates(state, merged.updates, f"{event.source} reported it")
+    _mark_rates(
+        state, merged.corrections, f"stated recently, contrary to what {event.source} reports"
+    )
+    shared = _share_rates(merged.updates, event.source) + _share_rates(merged.corrections, "")
+    return shared + (requests.dispatch_waiting(state) if merged.updates else [])
 
 
 def _share_shed(state: NodeState, endpoint: str, for_s: float) -> Effects:
--- a/packages/rookspring-core/src/rookspring_core/notices.py
+++ b/packages/rookspring-core/src/rookspring_core/notices.py
@@ -10,10 +10,10 @@
 """
 
 import typing as t
+
 from . import defaults
 from .hashing import stable_hash
 
-
 # How long a leaving process is remembered after it was last listed. A leaving process ends within
 # seconds, at most about a minute; its entry may reappear late, once the store is available again.
 LEAVING_KEPT_S = 600.0
--- a/packages/rookspring-core/src/rookspring_core/once.py
+++ b/packages/rookspring-core/src/rookspring_core/once.py
@@ -7,8 +7,8 @@
 """
 
 import typing as t
-from . import defaults
 
+from . import defaults
 
 
 class OnceEntry:
@@ -124,7 +124,7 @@
         entry = session.entries.pop(key[1], None)
         return entry.waiters if entry else []
 
-    def remove_waiter(self, key: tuple[str, int], request_id: str) -> None:
+    def leave(self, key: tuple[str, int], request_id: str) -> None:
         """Remove a waiting request whose caller has left."""
         entry = self._find(key)
         if entry is not None and request_id in entry.waiters:
--- a/packages/rookspring-core/src/rookspring_core/ordering.py
+++ b/packages/rookspring-core/src/rookspring_core/ordering.py
@@ -8,8 +8,8 @@
 from .effects import Effect
 from .effects import SendOrder
 from .effects import WriteIntent
-from .events import IntentWritten
 from .events import IntentsSeen
+from .events import IntentWritten
 from .events import OrderAnswered
 from .memory import LateOrder
 from .memory import Ledger
--- a/packages/rookspring-core/src/rookspring_core/organisations.py
+++ b/packages/rookspring-core/src/rookspring_core/organisations.py
@@ -23,7 +23,7 @@
     rate: float = 0.0
     burst: float = 0.0
     unit: str = REQUESTS
-    plain_tokens: int = 0
+    default_tokens: int = 0
 
     def cost(self, tokens: int | None) -> float:
         """Return the units that a request counts for.
@@ -32,9 +32,9 @@
         """
         if self.unit != TOKENS:
             return 1.0
-        return float(self.plain_tokens if tokens is None else tokens)
+        return float(self.default_tokens if tokens is None else tokens)
 
-    def most(self, window_s: float) -> float:
+    def max_units(self, window_s: float) -> float:
         """Return the most units that may run within any window; infinite without a limit."""
         return self.rate * window_s + self.burst if self.rate > 0.0 else float("inf")
 
--- a/packages/rookspring-core/src/rookspring_core/owners.py
+++ b/packages/rookspring-core/src/rookspring_core/owners.py
@@ -10,11 +10,11 @@
 
 import collections
 import typing as t
+
 from . import defaults
 from .hashing import stable_hash
 
 
-
 def choose_owner(subject: str, nodes: t.Iterable[str]) -> str:
     """Choose the owner of a subject; nodes with the same view of the nodes choose the same one.
 
@@ -42,15 +42,15 @@
     def __init__(self, name: str) -> None:
         self._name = name
         self._tenures: dict[str, _Tenure] = {}
-        self._kept_at = -1e9
+        self._updated_at = -1e9
         # The candidate nodes at the last update, and the subjects added since.
         self._nodes: frozenset[str] = frozenset()
         self._added: set[str] = set()
         # Nodes visible now, as a share of the most that were visible within VISIBLE_KEPT_S.
-        self.reach = 1.0
+        self.visible_share = 1.0
         self._visible: collections.deque[tuple[float, int]] = collections.deque()
 
-    def begin(self, subject: str, now: float) -> float:
+    def owned_since(self, subject: str, now: float) -> float:
         """Return since when this node has owned a subject without a gap, starting now if new."""
         self._drop_after_gap(now)
         tenure = self._tenures.get(subject)
@@ -60,14 +60,14 @@
         tenure.asked_at = now
         return tenure.since
 
-    def decides(self, subject: str) -> bool:
+    def owns(self, subject: str) -> bool:
         """Return whether this node owns a subject that it has recently decided on."""
         return subject in self._tenures
 
-    def keep(self, nodes: t.Collection[str], now: float) -> None:
+    def update_nodes(self, nodes: t.Collection[str], now: float) -> None:
         """Update the candidate nodes, at each tick; drops idle subjects and those of others."""
         self._drop_after_gap(now)
-        self._kept_at = now
+        self._updated_at = now
         unchecked = self._added if self._nodes == nodes else set(self._tenures)
         self._nodes = frozenset(nodes)
         lost = {one for one in unchecked if choose_owner(one, nodes) != self._name}
@@ -78,10 +78,10 @@
 
     def _drop_after_gap(self, now: float) -> None:
         """Drop all subjects if this node did not run for a while: others may have taken over."""
-        if now - self._kept_at > defaults.OWNER_GAP_S:
+        if now - self._updated_at > defaults.OWNER_GAP_S:
             self._tenures.clear()
 
-    def note_visible(self, nodes: int, now: float) -> None:
+    def record_visible(self, nodes: int, now: float) -> None:
         """Record how many nodes are visible to this one now, including itself.
 
         In a network partition each side may have an owner. Each side therefore grants only its
@@ -92,7 +92,7 @@
         while self._visible and self._visible[-1][1] <= nodes:
             self._visible.pop()
         self._visible.append((now, nodes))
-        self.reach = nodes / self._visible[0][1]
+        self.visible_share = nodes / self._visible[0][1]
 
 
 def _idle(tenure: _Tenure, now: float) -> bool:
--- a/packages/rookspring-core/src/rookspring_core/placement.py
+++ b/packages/rookspring-core/src/rookspring_core/placement.py
@@ -9,6 +9,7 @@
 import math
 import types
 import typing as t
+
 from . import defaults
 from .exceptions import UnknownPolicy
 from .policy_names import REGISTERED
@@ -16,7 +17,6 @@
 from .resources import PolicySpec
 from .routing import stable_hash
 
-
 Weights = tuple[str, str]
 
 
@@ -103,7 +103,9 @@
         The demand of a rarely requested model falls to nothing between two requests, so by
         demand alone it could never replace another rarely requested one. Its deficit stays.
         """
-        return self.requested_rate(model) + self.deficit.get(model, 0.0) / defaults.UNSERVED_DEMAND_S
+        return (
+            self.requested_rate(model) + self.deficit.get(model, 0.0) / defaults.UNSERVED_DEMAND_S
+        )
 
     def requested_rate(self, model: str) -> float:
         """Return what callers request of a model, in tokens a second."""
--- a/packages/rookspring-core/src/rookspring_core/planning.py
+++ b/packages/rookspring-core/src/rookspring_core/planning.py
@@ -6,6 +6,7 @@
 
 import math
 import typing as t
+
 from . import attaching
 from . import defaults
 from . import placement
@@ -31,7 +32,6 @@
 from .routes import EngineSize
 from .state import NodeState
 
-
 Effects = list[Effect]
 
 
@@ -207,12 +207,7 @@
         since = min(account.withdrawn[name] for name in account.withdrawn_models())
         left_s = since + state.paces.longest_answer_s + defaults.RUNNER_BUSY_S - state.now
         return left_s if left_s > 0 else math.inf
-    if (
-        order is None
-        or order.unanswered
-        or view.report is None
-        or not view.accepts_work(state.now)
-    ):
+    if order is None or order.unanswered or view.report is None or not view.accepts_work(state.now):
         return math.inf
     length_s = order.length_s or defaults.UNLOAD_S
     left_s = order.sent_at + length_s + defaults.RUNNER_BUSY_S - state.now
--- a/packages/rookspring-core/src/rookspring_core/rate_buckets.py
+++ b/packages/rookspring-core/src/rookspring_core/rate_buckets.py
@@ -9,7 +9,7 @@
 from . import defaults
 
 
-def in_hand(rate: float) -> float:
+def burst_size(rate: float) -> float:
     """Return the most permits that an endpoint's bucket may hold."""
     return defaults.PERMIT_BURST + rate * defaults.PERMIT_BURST_S
 
@@ -23,19 +23,19 @@
     def __init__(self, rate: float, opens_at: float) -> None:
         self.rate = rate
         self._opens_at = opens_at
-        self._turns = 0.0
+        self._permits = 0.0
         self._at = opens_at
 
-    def use(self, rate: float, now: float) -> None:
+    def set_rate(self, rate: float, now: float) -> None:
         """Set the rate from now on; a lower rate also lowers the permits that are kept."""
         self._fill(now)
         self.rate = rate
-        self._turns = min(self._turns, in_hand(rate))
+        self._permits = min(self._permits, burst_size(rate))
 
-    def turns(self, now: float) -> float:
+    def permits(self, now: float) -> float:
         """Return how many permits are available."""
         self._fill(now)
-        return self._turns
+        return self._permits
 
     def take(self, now: float) -> float:
         """Take a permit.
@@ -43,11 +43,11 @@
         :return: how many were available before.
         """
         self._fill(now)
-        before = self._turns
-        self._turns -= 1.0
+        before = self._permits
+        self._permits -= 1.0
         return before
 
-    def put_back(self, before: float, taken_at: float, now: float) -> bool:
+    def return_permit(self, before: float, taken_at: float, now: float) -> bool:
         """Return a permit with which nothing was sent.
 
         The permit is added only if the bucket would not have become full meanwhile had it not
@@ -57,10 +57,10 @@
         :return: whether the permit was added.
         """
         self._fill(now)
-        full = before + self.rate * (now - taken_at) > in_hand(self.rate)
+        full = before + self.rate * (now - taken_at) > burst_size(self.rate)
         if full or taken_at < self._opens_at:
             return False
-        self._turns += 1.0
+        self._permits += 1.0
         return True
 
     def due_in_s(self, now: float) -> float:
@@ -68,10 +68,10 @@
         self._fill(now)
         # The bucket may not have started to fill yet.
         starts_s = max(0.0, self._at - now)
-        return starts_s + max(0.0, 1.0 - self._turns) / self.rate
+        return starts_s + max(0.0, 1.0 - self._permits) / self.rate
 
     def _fill(self, now: float) -> None:
         if now <= self._at:
             return
-        self._turns = min(in_hand(self.rate), self._turns + self.rate * (now - self._at))
+        self._permits = min(burst_size(self.rate), self._permits + self.rate * (now - self._at))
         self._at = now
--- a/packages/rookspring-core/src/rookspring_core/recovering.py
+++ b/packages/rookspring-core/src/rookspring_core/recovering.py
@@ -9,7 +9,7 @@
 from . import requests
 from . import retry_after
 from . import routed
-from . import slotting
+from . import slot_requests
 from . import suspect_handlers
 from .effects import AttachStream
 from .effects import Effect
@@ -68,7 +68,7 @@
     request.sent = request.maybe_ran
     request.attempt_not_run = event.reported_not_run
     effects = routed.end_prompt(state, request)
-    effects += slotting.free(state, request, failed=True, unsent=not event.sent)
+    effects += slot_requests.free(state, request, failed=True, unsent=not event.sent)
     effects += suspect_handlers.note_broken(state, request, event)
     effects += _count_failure(state, request, event)
     request.running = False
@@ -80,7 +80,8 @@
         status = 504
     text = f"endpoint failed: {event.reason}"
     after_s = max(
-        defaults.RETRY_AFTER_FAILURE_S, retry_after.cooldown_retry_after_s(state, request) if terms else 0.0
+        defaults.RETRY_AFTER_FAILURE_S,
+        retry_after.cooldown_retry_after_s(state, request) if terms else 0.0,
     )
     ended = requests.fail_request(state, request, status, "endpoint_failed", text, after_s)
     return effects + ended + requests.dispatch_waiting(state)
--- a/packages/rookspring-core/src/rookspring_core/request_rates.py
+++ b/packages/rookspring-core/src/rookspring_core/request_rates.py
@@ -12,26 +12,26 @@
 """
 
 import typing as t
+
 from . import defaults
 from .hashing import stable_hash
 from .notices import LEAVING_KEPT_S
 from .notices import NOTICES_MAX
 from .notices import may_be_same_process
 
-
 # Lower limits are raised to this: an endpoint that accepts none gets one request in 10 s, whose
 # answer shows when it accepts more.
-RATE_LEAST_PER_S = 0.1
+RATE_MIN_PER_S = 0.1
 # Limits from here on have no effect and count as none: the busiest endpoints of the largest
 # deployment get some tens of requests a second (34,000 over 7,100 endpoints), and their slots
 # limit them too.
-RATE_MOST_PER_S = 1_000.0
+RATE_MAX_PER_S = 1_000.0
 # A node that received an answer with a rate limit within this time rejects another node's record
 # that the limit has ended.
-RATE_HEARD_S = 1.0
+RATE_CONFIRMED_S = 1.0
 
 
-class RateWord(t.NamedTuple):
+class RateRecord(t.NamedTuple):
     """The rate limit of one incarnation of an endpoint.
 
     :param born: the start of the incarnation as the endpoint reports it; 0 if unknown.
@@ -49,7 +49,7 @@
 
     __slots__ = ("heard_at", "learnt_at", "record")
 
-    def __init__(self, record: RateWord, learnt_at: float, heard_at: float) -> None:
+    def __init__(self, record: RateRecord, learnt_at: float, heard_at: float) -> None:
         self.record = record
         self.learnt_at = learnt_at
         self.heard_at = heard_at
@@ -65,19 +65,19 @@
         self._expired_at = -1e9
         self._digest: int | None = None
 
-    def name(
+    def set_limit(
         self, endpoint: str, born: int, rate: float, asked_at: float | None, now: float
-    ) -> tuple[RateWord, ...]:
+    ) -> tuple[RateRecord, ...]:
         """Apply a rate limit carried by an answer; returns the records to send to other nodes.
 
         :param asked_at: when the request of the answer was sent; None if unknown.
         """
-        limit = None if rate >= RATE_MOST_PER_S else max(rate, RATE_LEAST_PER_S)
+        limit = None if rate >= RATE_MAX_PER_S else max(rate, RATE_MIN_PER_S)
         if limit is None:
-            return self.cease(endpoint, born, asked_at)
+            return self.end_limit(endpoint, born, asked_at)
         known = self._of_incarnation(endpoint, born)
         if known is None:
-            return self._keep(RateWord(endpoint, born, 1, limit), now, now)
+            return self._keep(RateRecord(endpoint, born, 1, limit), now, now)
         before = known.record.rate
         known.heard_at = now
         if before is not None and limit > before and not _after(asked_at, known.learnt_at):
@@ -89,7 +89,7 @@
             known.record._replace(version=known.record.version + 1, rate=limit), now, now
         )
 
-    def cease(self, endpoint: str, born: int, asked_at: float | None) -> tuple[RateWord, ...]:
+    def end_limit(self, endpoint: str, born: int, asked_at: float | None) -> tuple[RateRecord, ...]:
         """Apply an answer that carries no rate limit; returns the records to send to other nodes.
 
         It ends the limit only if its request was sent after the limit was learnt.
@@ -100,10 +100,10 @@
         record = known.record._replace(version=known.record.version + 1, rate=None)
         return self._keep(record, known.learnt_at, -1e9)
 
-    def merge(self, rows: t.Iterable[RateWord], now: float) -> "Merged":
+    def merge(self, rows: t.Iterable[RateRecord], now: float) -> "RateMerge":
         """Merge records of another node."""
-        updates: list[RateWord] = []
-        corrections: list[RateWord] = []
+        updates: list[RateRecord] = []
+        corrections: list[RateRecord] = []
         for one in rows:
             known = self._known.get(one.endpoint)
             if self._confirmed.get(one.endpoint, one.born) != one.born:
@@ -111,20 +111,22 @@
                 continue
             if known is not None and _rank(one) <= _rank(known.record):
                 continue
-            if known is not None and self._doubts(known, one, now):
+            if known is not None and self._contradicts(known, one, now):
                 renewed = known.record._replace(version=one.version + 1)
                 corrections += self._keep(renewed, now, known.heard_at)
             else:
                 updates += self._keep(one, now, -1e9)
-        return Merged(tuple(updates), tuple(corrections))
+        return RateMerge(tuple(updates), tuple(corrections))
 
-    def _doubts(self, known: _Known, one: RateWord, now: float) -> bool:
+    def _contradicts(self, known: _Known, one: RateRecord, now: float) -> bool:
         """Return whether a record ends a limit that an answer to this node has just carried."""
         if one.rate is not None or known.record.rate is None or one.born != known.record.born:
             return False
-        return now - known.heard_at < RATE_HEARD_S
+        return now - known.heard_at < RATE_CONFIRMED_S
 
-    def _keep(self, record: RateWord, learnt_at: float, heard_at: float) -> tuple[RateWord, ...]:
+    def _keep(
+        self, record: RateRecord, learnt_at: float, heard_at: float
+    ) -> tuple[RateRecord, ...]:
         self._known[record.endpoint] = _Known(record, learnt_at, heard_at)
         while len(self._known) > NOTICES_MAX:
             del self._known[next(iter(self._known))]
@@ -140,12 +142,12 @@
         known = self._of_incarnation(endpoint, born)
         return known.record.rate if known is not None else None
 
-    def begin(self, endpoint: str, born: int, sure: bool) -> None:
+    def begin_incarnation(self, endpoint: str, born: int, confirmed: bool) -> None:
         """Start a new incarnation of an endpoint; limits of other incarnations are dropped.
 
         :param confirmed: it is the latest one, although it reports an earlier start.
         """
-        if sure:
+        if confirmed:
             self._confirmed[endpoint] = born
             while len(self._confirmed) > NOTICES_MAX:
                 del self._confirmed[next(iter(self._confirmed))]
@@ -154,7 +156,7 @@
             del self._known[endpoint]
             self._digest = None
 
-    def tick(self, now: float, there: t.Container[str]) -> None:
+    def expire(self, now: float, present: t.Container[str]) -> None:
         """Remove, every ``EXPIRE_EVERY_S``, old records of endpoints that are no longer known.
 
         :param present: names of the endpoints that are known.
@@ -165,13 +167,13 @@
         late = [
             name
             for name, one in self._known.items()
-            if name not in there and now - one.learnt_at > LEAVING_KEPT_S
+            if name not in present and now - one.learnt_at > LEAVING_KEPT_S
         ]
         for name in late:
             del self._known[name]
             self._digest = None
 
-    def whole(self) -> tuple[RateWord, ...]:
+    def records(self) -> tuple[RateRecord, ...]:
         """Return all records, for other nodes."""
         return tuple(one.record for one in self._known.values())
 
@@ -179,13 +181,13 @@
         """Return a hash of all records, for comparison with other nodes."""
         if self._digest is None:
             found = 0
-            for one in self.whole():
+            for one in self.records():
                 found ^= stable_hash("rate", f"{one.endpoint}/{one.born}/{one.version}/{one.rate}")
             self._digest = found
         return self._digest
 
 
-class Merged(t.NamedTuple):
+class RateMerge(t.NamedTuple):
     """The result of a merge.
 
     :param updates: records that were newer, to be forwarded to other nodes.
@@ -193,8 +195,8 @@
         to be sent to all nodes.
     """
 
-    news: tuple[RateWord, ...]
-    denied: tuple[RateWord, ...]
+    updates: tuple[RateRecord, ...]
+    corrections: tuple[RateRecord, ...]
 
 
 def _after(asked_at: float | None, learnt_at: float) -> bool:
@@ -202,6 +204,6 @@
     return asked_at is not None and asked_at > learnt_at
 
 
-def _rank(record: RateWord) -> tuple[int, int, bool, float]:
+def _rank(record: RateRecord) -> tuple[int, int, bool, float]:
     """Order records by incarnation and version; of one version the stricter is the greater."""
     return record.born, record.version, record.rate is not None, -(record.rate or 0.0)
--- a/packages/rookspring-core/src/rookspring_core/requests.py
+++ b/packages/rookspring-core/src/rookspring_core/requests.py
@@ -2,15 +2,16 @@
 
 import heapq
 import typing as t
+
 from . import admission_queue
-from . import allotting
+from . import allotment_checks
 from . import defaults
 from . import keys
 from . import retries
 from . import retry_after
 from . import routed
 from . import routing
-from . import slotting
+from . import slot_requests
 from . import suspect_handlers
 from .effects import Cancel
 from .effects import Dispatch
@@ -28,7 +29,6 @@
 from .state import NodeState
 from .state import RequestState
 
-
 Effects = list[Effect]
 
 
@@ -78,7 +78,7 @@
         queued = queue.peek()
         assert queued is not None
         request = state.requests[queued.request_id]
-        if slotting.waits(state, request):
+        if slot_requests.awaits_owner(state, request):
             continue
         fault = find_fault(state, request)
         if fault is not None:
@@ -94,7 +94,7 @@
             until = (
                 queued.deadline_at if routed.all_rate_limited(state, request.arrived) else state.now
             )
-            effects += slotting.ask_turn(state, request, endpoint, until)
+            effects += slot_requests.ask_permit(state, request, endpoint, until)
         else:
             effects += send(state, request, endpoint)
         _push_head(heads, queue, target)
@@ -291,7 +291,7 @@
     state: NodeState, request: RequestState, queue: admission_queue.AdmissionQueue
 ) -> Effects:
     """Queue a routed request, or refuse it if all its endpoints cool down for longer."""
-    effects = slotting.ask(state, request)
+    effects = slot_requests.ask(state, request)
     queued = routed.make_queue_entry(state, request.arrived, state.now, bool(effects))
     if routed.cooldown_left_s(state, request.arrived) > queued.deadline_at - state.now:
         return _refuse_cooling_down(state, request)
@@ -340,7 +340,7 @@
     state.record(arrived.request_id, f"refused {reason}", message)
     effects: Effects = [refusal]
     if outcome == "not_run":
-        effects += allotting.give_back(state, request.charge)
+        effects += allotment_checks.refund(state, request.charge)
     if arrived.once_key is not None:
         if outcome == "not_run":
             waiters = state.once.release(arrived.once_key)
@@ -353,7 +353,7 @@
 def _close(state: NodeState, request: RequestState) -> Effects:
     identity = request.arrived.request_id
     effects = routed.end_prompt(state, request)
-    effects += slotting.free(state, request, failed=False, unsent=not request.running)
+    effects += slot_requests.free(state, request, failed=False, unsent=not request.running)
     state.permit_requests.pop(identity, None)
     endpoint = state.endpoints.get(request.endpoint)
     if endpoint is not None:
@@ -382,7 +382,7 @@
         queue.remove(event.request_id)
     effects: Effects = []
     if not request.sent and not request.running:
-        effects += allotting.give_back(state, request.charge)
+        effects += allotment_checks.refund(state, request.charge)
     suspect_handlers.note_left(state, request)
     if request.running:
         effects.append(Cancel(event.request_id, request.attempt, request.endpoint))
--- a/packages/rookspring-core/src/rookspring_core/residency.py
+++ b/packages/rookspring-core/src/rookspring_core/residency.py
@@ -7,9 +7,10 @@
 """
 
 import math
+
 from . import attaching
+from . import control_jobs
 from . import defaults
-from . import governing
 from . import ordering
 from . import planning
 from . import requests
@@ -40,14 +41,13 @@
 from .reducer import handles
 from .state import NodeState
 
-
 Effects = list[Effect]
 
 
 @handles(LoadRequested)
 def record_want(state: NodeState, event: LoadRequested) -> Effects:
     """Record that a node has a request for a model or adapter that is resident nowhere."""
-    if not governing.holding(state):
+    if not control_jobs.holding(state):
         return []
     key = (event.service, event.model, event.adapter)
     known = state.residency.wants.get(key) or OpenWant(event.at, event.at, times=0)
@@ -60,11 +60,11 @@
     control = state.control
     for meter in (control.meter, control.urgent_demand.meter, control.refused_demand.meter):
         meter.roll(passed)
-    governing.forfeit_lapsed(state)
-    effects: Effects = [] if state.leaving else governing.lease_due(state)
-    if not governing.holding(state) or state.leaving:
+    control_jobs.drop_lapsed(state)
+    effects: Effects = [] if state.leaving else control_jobs.write_lease_if_due(state)
+    if not control_jobs.holding(state) or state.leaving:
         return effects
-    governing.sum_demand(state, passed)
+    control_jobs.sum_demand(state, passed)
     effects += _request_reports(state)
     if not handover_gap_passed(state):
         return effects
@@ -123,7 +123,7 @@
 def note_report(state: NodeState, event: EndpointReported) -> None:
     """Apply a runner's report, which may show that its order has ended."""
     account = state.residency.accounts.get(event.endpoint)
-    if account is None or not governing.holding(state):
+    if account is None or not control_jobs.holding(state):
         return
     if event.polled:
         _forget_unloaded(account, event)
@@ -147,7 +147,7 @@
     from the account, and its memory would be promised twice.
     """
     account = state.residency.accounts.get(event.endpoint)
-    if account is not None and event.polled and governing.holding(state):
+    if account is not None and event.polled and control_jobs.holding(state):
         account.trusted = True
 
 
@@ -295,7 +295,7 @@
     view = state.endpoints.get(event.endpoint)
     # A node that was suspended may learn of this after its lease has expired; it must not
     # order anything then.
-    if view is not None and governing.holding(state) and order.sends < defaults.ORDER_SENDS_MAX:
+    if view is not None and control_jobs.holding(state) and order.sends < defaults.ORDER_SENDS_MAX:
         account.order = order._replace(sends=order.sends + 1)
         return [resend_order(state, view, order)]
     account.order = order._replace(unanswered=True)
--- a/packages/rookspring-core/src/rookspring_core/resources.py
+++ b/packages/rookspring-core/src/rookspring_core/resources.py
@@ -8,11 +8,11 @@
 
 import re
 import typing as t
+
 from .exceptions import ResourceInvalid
 from .policy_names import REGISTERED
 
 
-
 class FieldBounds:
     """Bounds of a field, by pydantic's names for them.
 
--- a/packages/rookspring-core/src/rookspring_core/restarts.py
+++ b/packages/rookspring-core/src/rookspring_core/restarts.py
@@ -15,6 +15,7 @@
 """
 
 import typing as t
+
 from . import defaults
 from .accounts import EndpointAccount
 from .effects import Effect
@@ -23,7 +24,6 @@
 from .events import EndpointReported
 from .state import NodeState
 
-
 StartOrder = t.Literal["same", "new", "old"]
 
 
@@ -70,13 +70,11 @@
     """Drop everything known of an endpoint's earlier process."""
     view.reset_for_restart(state.now)
     state.notices.note_restart(view.name, event.started_ms, event.start_confirmed)
-    state.rates.begin(view.name, event.started_ms, event.start_confirmed)
+    state.rates.begin_incarnation(view.name, event.started_ms, event.start_confirmed)
     room = state.residency.accounts.get(view.name)
     if room is not None:
         state.residency.accounts[view.name] = _reset_room(room)
-    state.record(
-        view.name, f"restarted at {event.started_ms}", "it was restarted under its name"
-    )
+    state.record(view.name, f"restarted at {event.started_ms}", "it was restarted under its name")
 
 
 def _reset_room(previous: EndpointAccount) -> EndpointAccount:
--- a/packages/rookspring-core/src/rookspring_core/retries.py
+++ b/packages/rookspring-core/src/rookspring_core/retries.py
@@ -10,8 +10,8 @@
 
 import collections
 import typing as t
-from . import defaults
 
+from . import defaults
 
 
 class RetryBudget:
--- a/packages/rookspring-core/src/rookspring_core/retry_after.py
+++ b/packages/rookspring-core/src/rookspring_core/retry_after.py
@@ -4,6 +4,7 @@
 """
 
 import typing as t
+
 from . import defaults
 from . import routed
 from .endpoints import EndpointView
@@ -12,7 +13,6 @@
 from .state import RequestState
 
 
-
 def predict_retry_after_s(state: NodeState, request: RequestState) -> float:
     """Predict in how many seconds a refused request is likely to be served.
 
--- a/packages/rookspring-core/src/rookspring_core/routed.py
+++ b/packages/rookspring-core/src/rookspring_core/routed.py
@@ -5,6 +5,7 @@
 """
 
 import math
+
 from . import admission_queue
 from . import defaults
 from .accounts import load_time_s
@@ -19,7 +20,6 @@
 from .state import NodeState
 from .state import RequestState
 
-
 POLICY = "even-load"
 
 
--- a/packages/rookspring-core/src/rookspring_core/routes.py
+++ b/packages/rookspring-core/src/rookspring_core/routes.py
@@ -6,11 +6,11 @@
 """
 
 import typing as t
+
 from .hashing import stable_hash
 from .organisations import Directory
 
 
-
 class Split(t.NamedTuple):
     """One service of a route with its share of the requests, as a weight."""
 
--- a/packages/rookspring-core/src/rookspring_core/routing.py
+++ b/packages/rookspring-core/src/rookspring_core/routing.py
@@ -6,6 +6,7 @@
 """
 
 import typing as t
+
 from . import defaults
 from .endpoints import EndpointView
 from .exceptions import UnknownPolicy
@@ -13,7 +14,6 @@
 from .policy_names import REGISTERED
 
 
-
 class RouteQuery(t.NamedTuple):
     """What a routing policy is given of a request."""
 
--- a/packages/rookspring-core/src/rookspring_core/granting.py
+++ b/packages/rookspring-core/src/rookspring_core/slot_answers.py
@@ -8,7 +8,7 @@
 from . import defaults
 from . import requests
 from . import routed
-from . import slotting
+from . import slot_requests
 from .effects import Effect
 from .effects import FreeSlot
 from .events import SlotAnswered
@@ -22,10 +22,10 @@
 
 
 @handles(SlotAnswered)
-def take_slot(state: NodeState, event: SlotAnswered) -> Effects:
+def handle_slot_answer(state: NodeState, event: SlotAnswered) -> Effects:
     """Send a request to the endpoint of its slot, let it wait, or refuse it, by the answer."""
     request = state.requests.get(event.request_id)
-    if request is None or not slotting.answers(state, request, event):
+    if request is None or not slot_requests.is_current_answer(state, request, event):
         if event.endpoint:
             # The request has ended, or was placed without an answer.
             return [FreeSlot(event.request_id, event.queue, event.endpoint, 0.0, True)]
@@ -43,12 +43,12 @@
     if not event.endpoint:
         request.slot_queued = True
         return []
-    slotting.hold(request, event, state.now)
+    slot_requests.hold(request, event, state.now)
     fault = requests.find_fault(state, request)
-    view = slotting.usable(state, event)
+    view = slot_requests.usable(state, event)
     if fault is not None or view is None:
         # This node refuses it, or places it by itself.
-        freed = slotting.free(state, request, failed=view is None, unsent=True)
+        freed = slot_requests.free(state, request, failed=view is None, unsent=True)
         return freed + requests.dispatch_waiting(state)
     state.queues[requests.queue_key(request.arrived)].remove(event.request_id)
     return requests.dispatch(state, request, view)
@@ -67,12 +67,12 @@
         request.slot_queued = True
         return []
     del state.permit_requests[event.request_id]
-    slotting.hold(request, event, state.now)
+    slot_requests.hold(request, event, state.now)
     fault = requests.find_fault(state, request)
-    view = slotting.usable(state, event)
+    view = slot_requests.usable(state, event)
     if fault is None and view is not None:
         return requests.send(state, request, view)
-    freed = slotting.free(state, request, failed=False, unsent=True)
+    freed = slot_requests.free(state, request, failed=False, unsent=True)
     if fault is not None:
         return freed + requests.end_barred(state, request, fault)
     return freed + _requeue(state, request, asked.until)
@@ -105,7 +105,7 @@
     return requests.dispatch_waiting(state)
 
 
-def expire_turns(state: NodeState) -> Effects:
+def expire_permit_requests(state: NodeState) -> Effects:
     """Place requests anew whose endpoint's owner does not answer: without it none may be sent."""
     effects: Effects = []
     for identity, asked in list(state.permit_requests.items()):
--- a/packages/rookspring-core/src/rookspring_core/slot_queues.py
+++ b/packages/rookspring-core/src/rookspring_core/slot_queues.py
@@ -19,13 +19,13 @@
 import heapq
 import itertools
 import typing as t
+
 from . import defaults
 from .invariant_checkers import RateChecker
 from .rate_buckets import RateBucket
 
 
-
-class SlotAsk(t.NamedTuple):
+class SlotRequest(t.NamedTuple):
     """A request that needs a slot.
 
     :param origin: the node that received it; ``key`` is its id there.
@@ -62,7 +62,7 @@
     endpoint: str = ""
     after_s: float = 0.0
     rated: bool = False
-    stay_s: float = 0.0
+    avoid_s: float = 0.0
     blind: bool = False
 
 
@@ -94,7 +94,7 @@
     rank: int
     start_tag: float
     number: int
-    request: SlotAsk
+    request: SlotRequest
     until: float
 
 
@@ -121,7 +121,7 @@
         elif self.bucket is None:
             self.bucket = RateBucket(rate, max(opens_at, now))
         else:
-            self.bucket.use(rate, now)
+            self.bucket.set_rate(rate, now)
 
     def grant(self, key: tuple[str, str], now: float) -> None:
         permits_before = 0.0
@@ -135,7 +135,7 @@
         if self.bucket is None:
             return
         self.witness.forget(grant.at)
-        if not self.bucket.put_back(grant.permits_before, grant.at, now):
+        if not self.bucket.return_permit(grant.permits_before, grant.at, now):
             return
         # Later grants would have found one more permit in the bucket.
         for key, one in self.grants.items():
@@ -183,7 +183,7 @@
         self._open: dict[str, float] = {}
         self._requesters = _PermitRequesters()
         # The rate limit of its one endpoint, as the last requesting node knew it.
-        self.asked_rate: float | None = None
+        self.requester_rate: float | None = None
         self._owned_since = -1e9
         # The latest time at which a refused caller was told to retry.
         self._latest_retry_at = -1e9
@@ -201,7 +201,7 @@
         """Return whether no request waits."""
         return not self._heap
 
-    def use(
+    def set_endpoints(
         self, endpoints: t.Iterable[SlotEndpoint], since: float = -1e9, now: float = 0.0
     ) -> None:
         """Set the endpoints that accept work now.
@@ -216,14 +216,14 @@
                 slots.bucket = None
         self._open = {}
         for one in endpoints:
-            self._open[one.name] = limit_of(one.slots)
+            self._open[one.name] = concurrency_limit(one.slots)
             slots = self._endpoints.setdefault(one.name, _EndpointSlots())
             slots.set_rate(one.rate, since + defaults.OWNER_TAKEOVER_S, now)
         for name in set(self._endpoints) - set(self._open):
             if not self._endpoints[name].grants:
                 del self._endpoints[name]
 
-    def ask(self, request: SlotAsk, now: float) -> list[SlotAnswer]:
+    def request_slot(self, request: SlotRequest, now: float) -> list[SlotAnswer]:
         """Grant a request a slot, queue it, or refuse it at once."""
         self._expire(now)
         start_tag = max(self._virtual_time, self._next_start_tags.get(request.organisation, 0.0))
@@ -264,14 +264,14 @@
                 slots.record_run(took_s)
             if unsent:
                 slots.return_unsent(grant, now)
-        return self.settle(now)
+        return self.process_waiting(now)
 
-    def settle(self, now: float) -> list[SlotAnswer]:
+    def process_waiting(self, now: float) -> list[SlotAnswer]:
         """Grant free slots, and refuse requests that have waited for too long."""
         self._expire(now)
         return [*self._grant(now), *self._refuse_late(now)]
 
-    def _refuse(self, request: SlotAsk, wait_s: float, now: float) -> SlotAnswer:
+    def _refuse(self, request: SlotRequest, wait_s: float, now: float) -> SlotAnswer:
         least, most = defaults.RETRY_AFTER_NO_SLOT_S
         if request.rate is None:
             after_s = min(most, max(least, wait_s))
@@ -310,7 +310,7 @@
             name: slots.run_s * (1.0 + len(slots.grants) / limit)
             for name, limit in self._open.items()
             if len((slots := self._endpoints[name]).grants) < limit
-            and (slots.bucket is None or slots.bucket.turns(now) >= 1.0)
+            and (slots.bucket is None or slots.bucket.permits(now) >= 1.0)
         }
         others = [name for name in free if name != avoid]
         return min(others or free, key=free.__getitem__, default=None)
@@ -361,7 +361,7 @@
         return throughput if slots.bucket is None else min(throughput, slots.bucket.rate)
 
 
-def limit_of(slots: int) -> float:
+def concurrency_limit(slots: int) -> float:
     """Return how many requests to send an endpoint at once, so that its slots are never idle."""
     if slots == 0:
         return float("inf")
--- a/packages/rookspring-core/src/rookspring_core/slotting.py
+++ b/packages/rookspring-core/src/rookspring_core/slot_requests.py
@@ -8,6 +8,7 @@
 """
 
 import math
+
 from . import defaults
 from .effects import AskSlot
 from .effects import Effect
@@ -23,9 +24,8 @@
 from .state import RequestState
 from .state import SlotHeld
 
-
 # Prefix of the name of a queue for one endpoint; names of services don't begin with it.
-ENDPOINT_MARK = "@"
+ENDPOINT_PREFIX = "@"
 
 
 def ask(state: NodeState, request: RequestState) -> list[Effect]:
@@ -37,11 +37,11 @@
     wait_s = arrived.route.objective_s - (state.now - arrived.at)
     avoid = request.endpoint if request.attempt else ""
     rank = arrived.route.rank
-    queue = _start_question(state, request, share_of(state, arrived))
+    queue = _start_question(state, request, partition_of(state, arrived))
     return [AskSlot(arrived.request_id, queue, rank, arrived.team, wait_s, avoid)]
 
 
-def ask_turn(
+def ask_permit(
     state: NodeState, request: RequestState, view: EndpointView, until: float
 ) -> list[Effect]:
     """Ask for a permit for a request at an endpoint with a rate limit.
@@ -51,7 +51,7 @@
     """
     arrived = request.arrived
     assert arrived.route is not None
-    queue = _start_question(state, request, ENDPOINT_MARK + view.name)
+    queue = _start_question(state, request, ENDPOINT_PREFIX + view.name)
     state.permit_requests[arrived.request_id] = PermitRequest(view.name, until)
     wait_s = max(0.0, until - state.now)
     rank = arrived.route.rank
@@ -65,7 +65,7 @@
     return queue
 
 
-def waits(state: NodeState, request: RequestState) -> bool:
+def awaits_owner(state: NodeState, request: RequestState) -> bool:
     """Return whether a request should wait for the answer of its service's owner."""
     asked_at = request.slot_asked_at
     if asked_at is None:
@@ -73,7 +73,7 @@
     return request.slot_queued or state.now - asked_at < defaults.SLOT_ANSWER_S
 
 
-def answers(state: NodeState, request: RequestState | None, event: SlotAnswered) -> bool:
+def is_current_answer(state: NodeState, request: RequestState | None, event: SlotAnswered) -> bool:
     """Return whether an owner's answer is to the request's current question, and not too late.
 
     The permit of a delayed answer may have been granted to another request since.
@@ -103,7 +103,7 @@
         return []
     request.slot = None
     identity = request.arrived.request_id
-    if held.queue.startswith(ENDPOINT_MARK):
+    if held.queue.startswith(ENDPOINT_PREFIX):
         # A permit is used up by the first byte sent.
         return [FreeSlot(identity, held.queue, held.endpoint, 0.0, True)] if unsent else []
     took_s = state.now - held.at
@@ -126,7 +126,7 @@
     return view
 
 
-def find_turnless(state: NodeState, request_id: str, endpoint: str) -> str:
+def find_missing_permit(state: NodeState, request_id: str, endpoint: str) -> str:
     """Return why a request must not be sent for want of a valid permit; empty if it may be sent.
 
     The endpoint may have announced its rate limit after it was chosen, or the permit may be too
@@ -147,7 +147,7 @@
 # The owner's side.
 
 
-def share_of(state: NodeState, arrived: RequestArrived) -> str:
+def partition_of(state: NodeState, arrived: RequestArrived) -> str:
     """Return the queue that a request is to use: its service, or one partition of its endpoints.
 
     A partition has at most ``SLOT_ENDPOINTS_MAX`` endpoints, as many as one node can grant slots
@@ -168,12 +168,12 @@
     return f"slots/{queue}"
 
 
-def forgotten(state: NodeState, queue: str) -> bool:
+def is_obsolete(state: NodeState, queue: str) -> bool:
     """Return whether an endpoint's queue can be dropped, as this node no longer owns it.
 
     Its permits would start at none anyway if this node became the owner again.
     """
-    return queue.startswith(ENDPOINT_MARK) and not state.owners.decides(subject_of(queue))
+    return queue.startswith(ENDPOINT_PREFIX) and not state.owners.owns(subject_of(queue))
 
 
 def queue_of(state: NodeState, name: str, now: float, rate: float | None = None) -> SlotQueue:
@@ -183,13 +183,13 @@
         knows it.
     """
     queue = state.slot_queues.setdefault(name, SlotQueue())
-    since = state.owners.begin(subject_of(name), now)
-    if name.startswith(ENDPOINT_MARK):
-        endpoints = _rated_endpoint(state, name.removeprefix(ENDPOINT_MARK), queue, rate)
+    since = state.owners.owned_since(subject_of(name), now)
+    if name.startswith(ENDPOINT_PREFIX):
+        endpoints = _rated_endpoint(state, name.removeprefix(ENDPOINT_PREFIX), queue, rate)
     else:
         endpoints = _service_endpoints(state, name)
-    reach = state.owners.reach
-    queue.use(
+    reach = state.owners.visible_share
+    queue.set_endpoints(
         [one if one.rate is None else one._replace(rate=one.rate * reach) for one in endpoints],
         since,
         now,
@@ -203,8 +203,8 @@
     """Return the endpoint of its own queue, with the rate limit as known here or by a requester."""
     view = state.endpoints.get(name)
     known = view.rate if view is not None else None
-    queue.asked_rate = rate or queue.asked_rate
-    found = queue.asked_rate if known is None else known
+    queue.requester_rate = rate or queue.requester_rate
+    found = queue.requester_rate if known is None else known
     return [SlotEndpoint(name, 0, found)] if found is not None else []
 
 
--- a/packages/rookspring-core/src/rookspring_core/state.py
+++ b/packages/rookspring-core/src/rookspring_core/state.py
@@ -1,6 +1,7 @@
 """The complete state of a node. Only the reducer's handlers change it."""
 
 import typing as t
+
 from . import defaults
 from .accounts import Residency
 from .adapter_waits import AdapterWaits
@@ -31,7 +32,6 @@
 from .topology import Topology
 
 
-
 class Identity(t.NamedTuple):
     """Identifies a node; its incarnation is new at each start."""
 
@@ -67,7 +67,7 @@
 class SlotHeld(t.NamedTuple):
     """A slot that an owner has granted to a request.
 
-    :param queue: key of the slot queue that granted it; see :mod:`slotting`.
+    :param queue: key of the slot queue that granted it; see :mod:`slot_requests`.
     :param at: when it was granted.
     :param counts_towards_rate: the slot is a permit of the endpoint's request rate as well.
     """
--- a/packages/rookspring-core/src/rookspring_core/suspect_handlers.py
+++ b/packages/rookspring-core/src/rookspring_core/suspect_handlers.py
@@ -5,6 +5,7 @@
 """
 
 import typing as t
+
 from . import defaults
 from .effects import Effect
 from .effects import Refuse
@@ -24,7 +25,6 @@
 from .suspects import Evidence
 from .suspects import Trial
 
-
 Effects = list[Effect]
 
 # Start times are in milliseconds of a clock; a hash used instead of one is below any of them.
@@ -46,10 +46,10 @@
 def find_quarantine(state: NodeState, arrived: RequestArrived) -> Quarantine | None:
     """Return why a request may not be sent now; None if it may.
 
-    A request whose evidence has reached ``CRASHES_MAX`` crashes is refused until its verdict expires,
-    since it would crash the next endpoint too. From ``SUSPECT_ENDS`` crashes on, a request is run
-    at most once at a time, and no sooner than ``SUSPECT_BACK_S`` after the last crash, so that a
-    further crash is clear evidence against it and costs few other requests.
+    A request whose evidence has reached ``CRASHES_MAX`` crashes is refused until its verdict
+    expires, since it would crash the next endpoint too. From ``SUSPECT_ENDS`` crashes on, a request
+    is run at most once at a time, and no sooner than ``SUSPECT_BACK_S`` after the last crash, so
+    that a further crash is clear evidence against it and costs few other requests.
     """
     if not arrived.fingerprint:
         return None
@@ -162,7 +162,9 @@
     report = view.report
     if report is None:
         return EndpointProcess(view.name, 0)
-    return EndpointProcess(view.name, report.started_ms or stable_hash("life", report.incarnation) % BORN_MAX)
+    return EndpointProcess(
+        view.name, report.started_ms or stable_hash("life", report.incarnation) % BORN_MAX
+    )
 
 
 def _note_process_end(state: NodeState, process: EndpointProcess) -> Effects:
--- a/packages/rookspring-core/src/rookspring_core/suspects.py
+++ b/packages/rookspring-core/src/rookspring_core/suspects.py
@@ -11,11 +11,11 @@
 """
 
 import typing as t
+
 from . import defaults
 from .hashing import stable_hash
 
 
-
 class EndpointProcess(t.NamedTuple):
     """One process of an endpoint, identified by its start time.
 
--- a/packages/rookspring-core/src/rookspring_core/swapping.py
+++ b/packages/rookspring-core/src/rookspring_core/swapping.py
@@ -9,6 +9,7 @@
 
 import math
 import typing as t
+
 from . import defaults
 from .placement import Board
 from .placement import Move
@@ -19,7 +20,6 @@
 from .placement import split_demand
 
 
-
 class EvictionBounds(t.NamedTuple):
     """Limits on the loss that an eviction may cause, in tokens a second.
 
@@ -130,7 +130,9 @@
         over = self.share.get((model, runner), 0.0) - spare
         missed = max(0.0, over, plan_input.missed.get(model, 0.0))
         if value_redundancy and len(others) == 1:
-            missed = max(missed, defaults.SINGLE_REPLICA_LOSS_SHARE * plan_input.urgent.get(model, 0.0))
+            missed = max(
+                missed, defaults.SINGLE_REPLICA_LOSS_SHARE * plan_input.urgent.get(model, 0.0)
+            )
         return requested / demand * missed
 
 
--- a/packages/rookspring-core/src/rookspring_core/topology.py
+++ b/packages/rookspring-core/src/rookspring_core/topology.py
@@ -8,6 +8,7 @@
 """
 
 import typing as t
+
 from . import defaults
 from .events import BoxListed
 from .events import HeartbeatReceived
@@ -15,7 +16,6 @@
 from .membership import Membership
 
 
-
 class LocalStatus(t.NamedTuple):
     """The properties by which this node is ranked for roles.
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -11,17 +11,11 @@
 import functools
 import heapq
 import itertools
-import msgpack
 import typing as t
-from .fleet_node import FleetLink
-from .fleet_node import FleetNode
-from .fleet_node import write_table
-from .fleet_runners import FleetRunners
-from .fleet_store import ENDPOINTS
-from .fleet_store import FleetCopy
-from .fleet_store import FleetStore
-from .fleet_store import NODES
-from .fleet_store import TABLE
+from unittest import mock
+
+import msgpack
+
 from rookspring import clock
 from rookspring import defaults
 from rookspring import relay_beats
@@ -32,7 +26,7 @@
 from rookspring.messages import decode
 from rookspring.peers import Link
 from rookspring.platform import Stored
-from rookspring_core import allotting
+from rookspring_core import allotment_checks
 from rookspring_core import defaults as core_defaults
 from rookspring_core.allotments import WindowTolerance
 from rookspring_core.effects import Refuse
@@ -42,10 +36,16 @@
 from rookspring_core.events import Ticked
 from rookspring_core.freshness import NEVER
 from rookspring_core.organisations import Directory
-from unittest import mock
-
-
 
+from .fleet_node import FleetLink
+from .fleet_node import FleetNode
+from .fleet_node import write_table
+from .fleet_runners import FleetRunners
+from .fleet_store import ENDPOINTS
+from .fleet_store import NODES
+from .fleet_store import TABLE
+from .fleet_store import FleetCopy
+from .fleet_store import FleetStore
 
 # The way between two nodes, in seconds.
 WAY_S = 0.001
@@ -331,10 +331,10 @@
         node.lease.follow()
         relay_slots.settle(node.peers)
         if node.name == HOLDER and node.ticks % RENEW_TICKS == RENEW_TICKS - 1:
-            self.used = allotting.used_shares(node.state, self.now)
+            self.used = allotment_checks.used_shares(node.state, self.now)
             self.verdicts = relay_suspects.write_verdicts(node.state, self.now)
         node.ticks += 1
-        if node.ticks % PROOF_TICKS == 0 or node.state.freshness.at == NEVER:
+        if node.ticks % PROOF_TICKS == 0 or node.state.freshness.proved_at == NEVER:
             node.keep_proved()
 
     def _beat(self, node: FleetNode) -> None:
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
@@ -2,16 +2,16 @@
 
 import functools
 import typing as t
-from .fleet_store import LEASE
+
 from rookspring import defaults
 from rookspring.relay_following import lease_name
-from rookspring_core import governing
+from rookspring_core import control_jobs
 from rookspring_core.effects import WriteLease
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import LeaseWritten
 from rookspring_core.orders import handover_gap_passed
 
-
+from .fleet_store import LEASE
 
 if t.TYPE_CHECKING:
     from .fleet import Fleet
@@ -37,12 +37,12 @@
         if self._era != state.store_era:
             self._era = state.store_era
             self._next_look = now
-        if governing.awaits_release(state):
+        if control_jobs.awaits_release(state):
             self._next_look = min(self._next_look, now + defaults.RELAY_LEASE_FREED_S)
-        if now >= self._next_look and (not self._looked or governing.reads_lease(state)):
+        if now >= self._next_look and (not self._looked or control_jobs.should_read_lease(state)):
             self._next_look = now + defaults.RELAY_LEASE_READ_S
             self._read()
-        if governing.holding(state) and handover_gap_passed(state) and not state.leaving:
+        if control_jobs.holding(state) and handover_gap_passed(state) and not state.leaving:
             self._fleet.note_act(self._node.name, state.control.acting_epoch)
 
     def _read(self) -> None:
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -2,8 +2,7 @@
 
 import asyncio
 import typing as t
-from .fleet_lease import FleetLease
-from .fleet_store import NODES
+
 from rookspring import defaults
 from rookspring import relay_allotments
 from rookspring import relay_beats
@@ -54,7 +53,8 @@
 from rookspring_core.routes import CallerLimits
 from rookspring_core.routes import RouteTable
 
-
+from .fleet_lease import FleetLease
+from .fleet_store import NODES
 
 if t.TYPE_CHECKING:
     from .fleet import Fleet
@@ -314,7 +314,7 @@
             self._looked = True
             kept = relay_suspects.read_verdicts(self.fleet.verdicts, now)
             self.submit(EvidenceReceived(now, kept, "the lease"))
-        if self.state.allotments.wants_recall(now) and self.fleet.reaches_store(self.name):
+        if self.state.allotments.needs_recall(now) and self.fleet.reaches_store(self.name):
             self.submit(UsageRestored(now, tuple(self.fleet.used.items())))
 
     def read_store(self) -> None:
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
@@ -6,6 +6,7 @@
 """
 
 import typing as t
+
 from rookspring_core import notice_handlers
 from rookspring_core.effects import Dispatch
 from rookspring_core.events import AttemptFailed
@@ -16,7 +17,6 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-
 if t.TYPE_CHECKING:
     from .fleet import Fleet
     from .fleet_node import FleetNode
--- a/packages/rookspring-fakes/src/rookspring_fakes/loops.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/loops.py
@@ -1,9 +1,7 @@
 """What each node of the world does over and over: ticks, reads, heartbeats, polls."""
 
 import typing as t
-from .carrying import performs
-from .carrying import unpack
-from .request_effects import report_of
+
 from rookspring_core.cluster import inflight_rows
 from rookspring_core.effects import Announce
 from rookspring_core.events import BoxListReceived
@@ -14,7 +12,9 @@
 from rookspring_core.events import RevisionSeen
 from rookspring_core.events import Ticked
 
-
+from .carrying import performs
+from .carrying import unpack
+from .request_effects import report_of
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
--- a/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
@@ -1,10 +1,7 @@
 """How the world carries out requests at runners and services, and makes reports."""
 
 import typing as t
-from .carrying import performs
-from .engine import Engine
-from .engine import Generation
-from .engine import NotRun
+
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
 from rookspring_core.effects import Dispatch
@@ -23,7 +20,10 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-
+from .carrying import performs
+from .engine import Engine
+from .engine import Generation
+from .engine import NotRun
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
--- a/packages/rookspring-fakes/src/rookspring_fakes/world.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/world.py
@@ -208,7 +208,7 @@
 
     def resident_everywhere(self) -> bool:
         """Say whether every node knows every declared model to be resident."""
-        from rookspring_core.governing import resident_models
+        from rookspring_core.control_jobs import resident_models
 
         wanted = sum(1 for kind, name in self.store.objects if name.startswith("Model."))
         for node in self.living():
--- a/packages/rookspring/src/rookspring/attempts.py
+++ b/packages/rookspring/src/rookspring/attempts.py
@@ -2,16 +2,7 @@
 
 import asyncio
 import typing as t
-from . import clock
-from . import defaults
-from .connections import refuses
-from .endpoints import Chunk
-from .endpoints import Generate
-from .exceptions import CallerGone
-from .exceptions import EndpointError
-from .exchanges import ChatExchange
-from .exchanges import ServiceExchange
-from .node_context import NodeContext
+
 from rookspring_core import notice_handlers
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Dispatch
@@ -22,7 +13,16 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-
+from . import clock
+from . import defaults
+from .connections import refuses
+from .endpoints import Chunk
+from .endpoints import Generate
+from .exceptions import CallerGone
+from .exceptions import EndpointError
+from .exchanges import ChatExchange
+from .exchanges import ServiceExchange
+from .node_context import NodeContext
 
 
 async def run_attempt(node: NodeContext, effect: Dispatch) -> None:
--- a/packages/rookspring/src/rookspring/following.py
+++ b/packages/rookspring/src/rookspring/following.py
@@ -8,6 +8,20 @@
 import asyncio
 import random
 import typing as t
+
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+
+from rookspring_core import Resource
+from rookspring_core import control_jobs
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import DesiredSeen
+from rookspring_core.events import HeadSeen
+from rookspring_core.events import IntentsSeen
+from rookspring_core.events import LeaseSeen
+from rookspring_core.events import PlatformAnswered
+
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -19,23 +33,9 @@
 from .node_context import NodeContext
 from .platform import Stored
 from .published import HEAD
-from .published import Head
 from .published import KIND
+from .published import Head
 from .published import parse_head
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-from rookspring_core import Resource
-from rookspring_core import governing
-from rookspring_core.events import BoxListReceived
-from rookspring_core.events import DesiredSeen
-from rookspring_core.events import HeadSeen
-from rookspring_core.events import IntentsSeen
-from rookspring_core.events import LeaseSeen
-from rookspring_core.events import PlatformAnswered
-
-
-
 
 A = t.TypeVar("A")
 
@@ -143,7 +143,7 @@
 async def read_head_surely(node: NodeContext) -> None:
     """Read the head and its entries for the lease holder, however long that takes."""
     back_off = BackOff()
-    while governing.holding(node.state):
+    while control_jobs.holding(node.state):
         answer = note(node, await node.published.read_head())
         if isinstance(answer, Success):
             head = answer.unwrap()
@@ -185,7 +185,7 @@
                     known[one.name] = _resource(one)
             since = changes.unwrap().version
         back_off.reset()
-        if not governing.holding(node.state):
+        if not control_jobs.holding(node.state):
             await asyncio.sleep(defaults.LEASE_READ_S)
             continue
         node.submit(DesiredSeen(clock.now(), tuple(known.values())))
--- a/packages/rookspring/src/rookspring/messages.py
+++ b/packages/rookspring/src/rookspring/messages.py
@@ -1,10 +1,10 @@
 """Messages between nodes: ``NamedTuple`` classes in a registry, by their tags on the wire."""
 
-import msgpack
 import typing as t
-from .exceptions import PeerError
 
+import msgpack
 
+from .exceptions import PeerError
 
 M = t.TypeVar("M", bound=type[t.Any])
 MESSAGES: dict[str, type[t.Any]] = {}
@@ -192,7 +192,7 @@
 class RatesTold(t.NamedTuple):
     """How many requests a second endpoints take, as rows of name, start, version and rate.
 
-    The rate is None where the endpoint names none any more; see ``RateWord``.
+    The rate is None where the endpoint names none any more; see ``RateRecord``.
     """
 
     rows: list[t.Any]
--- a/packages/rookspring/src/rookspring/node.py
+++ b/packages/rookspring/src/rookspring/node.py
@@ -6,6 +6,24 @@
 import secrets
 import ssl
 import typing as t
+
+from rookspring_core import Identity
+from rookspring_core import InvariantBroken
+from rookspring_core import NodeState
+from rookspring_core import control_jobs
+from rookspring_core import defaults as core_defaults
+from rookspring_core import reduce
+from rookspring_core.events import BoxListed
+from rookspring_core.events import CacheEventsReceived
+from rookspring_core.events import CallerLeft
+from rookspring_core.events import DrainAsked
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import Event
+from rookspring_core.events import ReportMissed
+from rookspring_core.events import RequestArrived
+from rookspring_core.events import ResumeAsked
+from rookspring_core.events import Ticked
+
 from . import clock
 from . import defaults
 from . import following
@@ -31,24 +49,6 @@
 from .settings import Settings
 from .telemetry import Telemetry
 from .tokens import Signer
-from rookspring_core import Identity
-from rookspring_core import InvariantBroken
-from rookspring_core import NodeState
-from rookspring_core import defaults as core_defaults
-from rookspring_core import governing
-from rookspring_core import reduce
-from rookspring_core.events import BoxListed
-from rookspring_core.events import CacheEventsReceived
-from rookspring_core.events import CallerLeft
-from rookspring_core.events import DrainAsked
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import Event
-from rookspring_core.events import ReportMissed
-from rookspring_core.events import RequestArrived
-from rookspring_core.events import ResumeAsked
-from rookspring_core.events import Ticked
-
-
 
 
 class Node:
@@ -275,9 +275,9 @@
         state = self.state
         self.metrics.inflight.set({}, len(state.requests))
         self.metrics.waiting.set({}, sum(len(queue) for queue in state.queues.values()))
-        self.metrics.leader.set({}, int(governing.holding(state)))
+        self.metrics.leader.set({}, int(control_jobs.holding(state)))
         self.metrics.peer_bytes.set({}, self.peers.sent_bytes())
-        hosts = governing.resident_models(state)
+        hosts = control_jobs.resident_models(state)
         self.metrics.unplaced.set({}, sum(1 for at in hosts.values() if not at))
 
     async def start(self) -> None:
--- a/packages/rookspring/src/rookspring/operators.py
+++ b/packages/rookspring/src/rookspring/operators.py
@@ -4,8 +4,23 @@
 within seconds and shows in each resource's ``status``.
 """
 
-import orjson
 import typing as t
+
+import orjson
+from returns.result import Failure
+from sanic import Blueprint
+from sanic import Request
+from sanic.response import HTTPResponse
+from sanic.response import raw
+
+from rookspring_core import Resource
+from rookspring_core import ResourceInvalid
+from rookspring_core import check_resource
+from rookspring_core import control_jobs
+from rookspring_core import requests as core_requests
+from rookspring_core.organisations import digest_of
+from rookspring_core.resources import KINDS
+
 from . import clock
 from .callers import json_answer
 from .exceptions import CallerError
@@ -16,21 +31,6 @@
 from .exceptions import PlatformTooOld
 from .node_context import NodeContext
 from .platform import Stored
-from returns.result import Failure
-from rookspring_core import Resource
-from rookspring_core import ResourceInvalid
-from rookspring_core import check_resource
-from rookspring_core import governing
-from rookspring_core import requests as core_requests
-from rookspring_core.organisations import digest_of
-from rookspring_core.resources import KINDS
-from sanic import Blueprint
-from sanic import Request
-from sanic.response import HTTPResponse
-from sanic.response import raw
-
-
-
 
 _STATUS: dict[type[PlatformError], int] = {
     PlatformConflict: 409,
@@ -84,7 +84,7 @@
         "nodes": node.state.membership.size() + 1,
     }
     if kind == "Model":
-        status["resident_on"] = sorted(governing.resident_models(node.state).get(name, []))
+        status["resident_on"] = sorted(control_jobs.resident_models(node.state).get(name, []))
     if kind == "Adapter":
         status["resident_on"] = sorted(
             view.name
@@ -286,7 +286,7 @@
     """Build what the person on call asks for first."""
     state = node.state
     identity = state.identity
-    unplaced = [name for name, at in governing.resident_models(state).items() if not at]
+    unplaced = [name for name, at in control_jobs.resident_models(state).items() if not at]
     nodes = [
         {
             "name": peer.heard.name,
--- a/packages/rookspring/src/rookspring/performers.py
+++ b/packages/rookspring/src/rookspring/performers.py
@@ -2,21 +2,10 @@
 
 import asyncio
 import typing as t
-from . import attempts
-from . import clock
-from . import defaults
-from . import following
-from .evidence import encode_evidence
-from .evidence import tell_verdict
-from .exceptions import PlatformConflict
-from .exchanges import ChatExchange
-from .exchanges import error_body
-from .leavings import encode_leaving
-from .logs import log
-from .messages import Down
-from .node_context import NodeContext
+
 from returns.result import Failure
 from returns.result import Success
+
 from rookspring_core.effects import Announce
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
@@ -41,8 +30,19 @@
 from rookspring_core.events import Published
 from rookspring_core.events import RevisionSeen
 
-
-
+from . import attempts
+from . import clock
+from . import defaults
+from . import following
+from .evidence import encode_evidence
+from .evidence import tell_verdict
+from .exceptions import PlatformConflict
+from .exchanges import ChatExchange
+from .exchanges import error_body
+from .leavings import encode_leaving
+from .logs import log
+from .messages import Down
+from .node_context import NodeContext
 
 Performer = t.Callable[[NodeContext, t.Any], None]
 PERFORMERS: dict[type[t.Any], Performer] = {}
--- a/packages/rookspring/src/rookspring/relay.py
+++ b/packages/rookspring/src/rookspring/relay.py
@@ -7,13 +7,7 @@
 import asyncio
 import itertools
 import typing as t
-from . import clock
-from . import defaults
-from .dialect import Ask
-from .exceptions import CallerError
-from .http_messages import HttpRequest
-from .http_server import ServerConnection
-from .logs import log
+
 from rookspring_core import defaults as core_defaults
 from rookspring_core import keys
 from rookspring_core.events import CallerLeft
@@ -26,7 +20,13 @@
 from rookspring_core.routes import RouteTable
 from rookspring_core.routes import pick_service
 
-
+from . import clock
+from . import defaults
+from .dialect import Ask
+from .exceptions import CallerError
+from .http_messages import HttpRequest
+from .http_server import ServerConnection
+from .logs import log
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
@@ -143,18 +143,18 @@
     arrived_at: float,
 ) -> KeyVerdict:
     """Say whose a request is; an unknown key waits a while for a newer configuration."""
-    verdict = keys.judge(context.state, route, ask.key, arrived_at, arrived_at)
-    if not verdict.waits or context.key_waits >= defaults.KEY_WAITS_MAX:
+    verdict = keys.check_key(context.state, route, ask.key, arrived_at, arrived_at)
+    if not verdict.may_wait or context.key_waits >= defaults.KEY_WAITS_MAX:
         return verdict
     context.key_waits += 1
     context.ask_proof()
     try:
-        while verdict.waits and not connection.left:
+        while verdict.may_wait and not connection.left:
             now = clock.now()
             if now - arrived_at > defaults.KEY_WAIT_S:
                 break
             await asyncio.sleep(defaults.KEY_WAIT_STEP_S)
-            verdict = keys.judge(context.state, route, ask.key, arrived_at, now)
+            verdict = keys.check_key(context.state, route, ask.key, arrived_at, now)
     finally:
         context.key_waits -= 1
     return verdict
--- a/packages/rookspring/src/rookspring/relay_allotments.py
+++ b/packages/rookspring/src/rookspring/relay_allotments.py
@@ -1,6 +1,6 @@
 """Questions to organisations' owners, and their answers, as messages between nodes."""
 
-from rookspring_core import allotting
+from rookspring_core import allotment_checks
 from rookspring_core.effects import AskAllotment
 from rookspring_core.effects import ReturnAllotment
 from rookspring_core.events import AllotmentAnswered
@@ -33,7 +33,7 @@
 def take_question(peers: RelayPeers, asked: AskUnits, link: Link | None) -> None:
     """Decide on a request of an organisation."""
     state = peers.context.state
-    grant = allotting.decide(state, asked.organisation, asked.units, clock.now())
+    grant = allotment_checks.decide(state, asked.organisation, asked.units, clock.now())
     if grant.after_s > 0.0:
         log(
             "allotment_denied",
@@ -42,7 +42,7 @@
             origin=asked.origin,
             key=asked.key,
             used=grant.used,
-            most=grant.most,
+            most=grant.limit,
             after_s=grant.after_s,
         )
     given = UnitsGiven(asked.origin, asked.key, asked.organisation, asked.units, grant.after_s)
@@ -61,4 +61,4 @@
 @owner_takes(UnitsBack, lambda back: back.organisation)
 def take_back(peers: RelayPeers, back: UnitsBack, link: Link | None) -> None:
     """Take back what did not run."""
-    peers.context.state.allotments.take_back(back.organisation, float(back.units), clock.now())
+    peers.context.state.allotments.cancel_grant(back.organisation, float(back.units), clock.now())
--- a/packages/rookspring/src/rookspring/relay_attempts.py
+++ b/packages/rookspring/src/rookspring/relay_attempts.py
@@ -1,6 +1,20 @@
 """Attempts of relayed requests, and the answers that the reducer asks for."""
 
 import asyncio
+
+from rookspring_core import notice_handlers
+from rookspring_core import slot_requests
+from rookspring_core.effects import Announce
+from rookspring_core.effects import Cancel
+from rookspring_core.effects import Dispatch
+from rookspring_core.effects import Forget
+from rookspring_core.effects import Refuse
+from rookspring_core.endpoints import EndpointView
+from rookspring_core.events import AttemptFailed
+from rookspring_core.events import AttemptProgressed
+from rookspring_core.events import AttemptStarted
+from rookspring_core.events import AttemptSucceeded
+
 from . import clock
 from . import defaults
 from .dialect import Errand
@@ -20,20 +34,6 @@
 from .relay_context import relay_performs
 from .relay_notices import Asked
 from .relay_notices import hear_at
-from rookspring_core import notice_handlers
-from rookspring_core import slotting
-from rookspring_core.effects import Announce
-from rookspring_core.effects import Cancel
-from rookspring_core.effects import Dispatch
-from rookspring_core.effects import Forget
-from rookspring_core.effects import Refuse
-from rookspring_core.endpoints import EndpointView
-from rookspring_core.events import AttemptFailed
-from rookspring_core.events import AttemptProgressed
-from rookspring_core.events import AttemptStarted
-from rookspring_core.events import AttemptSucceeded
-
-
 
 
 @relay_performs(Dispatch)
@@ -129,9 +129,9 @@
 ) -> None:
     sure = not exchange.route.repeatable
     connection = await context.pool.take(view.address, sure)
-    why = notice_handlers.find_withheld(context.state, view.name) or slotting.find_turnless(
-        context.state, exchange.key, view.name
-    )
+    why = notice_handlers.find_withheld(
+        context.state, view.name
+    ) or slot_requests.find_missing_permit(context.state, exchange.key, view.name)
     if why:
         # It was heard while the connection was made, which takes up to a second.
         context.pool.give_back(view.address, connection)
--- a/packages/rookspring/src/rookspring/relay_beats.py
+++ b/packages/rookspring/src/rookspring/relay_beats.py
@@ -7,6 +7,13 @@
 
 import asyncio
 import typing as t
+
+from rookspring_core import attaching
+from rookspring_core import cluster
+from rookspring_core.demand import add_rates
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from . import relay_merged
@@ -17,13 +24,6 @@
 from .relay_members import send_members
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core import attaching
-from rookspring_core import cluster
-from rookspring_core.demand import add_rates
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.state import NodeState
-
-
 
 
 def greet(peers: RelayPeers, link: Link) -> None:
@@ -67,7 +67,7 @@
         heard = bool(kinds & {"own", "group"})
     else:
         heard = topology.followed in links
-    sums = context.state.allotments.tell(clock.now(), heard)
+    sums = context.state.allotments.take_unreported(clock.now(), heard)
     return [[name, round(units)] for name, units in sums.items()] or None
 
 
--- a/packages/rookspring/src/rookspring/relay_context.py
+++ b/packages/rookspring/src/rookspring/relay_context.py
@@ -6,17 +6,7 @@
 
 import asyncio
 import typing as t
-from . import clock
-from . import defaults
-from .dialect import Dialect
-from .http_client import ConnectionPool
-from .logs import log
-from .metrics import Metrics
-from .peers import Link
-from .platform import PlatformClient
-from .platform import Stored
-from .relay import RelayExchange
-from .relay_settings import RelaySettings
+
 from rookspring_core import NodeState
 from rookspring_core import reduce
 from rookspring_core.effects import AskAllotment
@@ -28,10 +18,20 @@
 from rookspring_core.events import EndpointReported
 from rookspring_core.events import Event
 from rookspring_core.notices import Leaving
-from rookspring_core.request_rates import RateWord
+from rookspring_core.request_rates import RateRecord
 from rookspring_core.suspects import Evidence
 
-
+from . import clock
+from . import defaults
+from .dialect import Dialect
+from .http_client import ConnectionPool
+from .logs import log
+from .metrics import Metrics
+from .peers import Link
+from .platform import PlatformClient
+from .platform import Stored
+from .relay import RelayExchange
+from .relay_settings import RelaySettings
 
 if t.TYPE_CHECKING:
     from .store_eras import StoreEras
@@ -84,7 +84,9 @@
         self.share_down: t.Callable[[str], None] = lambda endpoint: None
         self.share_evidence: t.Callable[[Evidence, str], None] = lambda evidence, source: None
         self.share_leaving: t.Callable[[tuple[Leaving, ...], str], None] = lambda rows, source: None
-        self.share_rates: t.Callable[[tuple[RateWord, ...], str], None] = lambda rows, source: None
+        self.share_rates: t.Callable[[tuple[RateRecord, ...], str], None] = lambda rows, source: (
+            None
+        )
         self.share_shed: t.Callable[[str, float], None] = lambda endpoint, for_s: None
         self.share_prompts: t.Callable[[str, bool], None] = lambda endpoint, far: None
         self.give_lists: t.Callable[[Link], None] = lambda link: None
--- a/packages/rookspring/src/rookspring/relay_following.py
+++ b/packages/rookspring/src/rookspring/relay_following.py
@@ -7,6 +7,19 @@
 import asyncio
 import contextlib
 import typing as t
+
+from returns.result import Failure
+from returns.result import Success
+
+from rookspring_core import control_jobs
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.events import LeaseSeen
+from rookspring_core.events import StoreRead
+from rookspring_core.events import TableProved
+from rookspring_core.events import UsageRestored
+from rookspring_core.hashing import stable_hash
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from . import relay_suspects
@@ -19,19 +32,6 @@
 from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
-from returns.result import Failure
-from returns.result import Success
-from rookspring_core import governing
-from rookspring_core.events import EvidenceReceived
-from rookspring_core.events import LeaseSeen
-from rookspring_core.events import StoreRead
-from rookspring_core.events import TableProved
-from rookspring_core.events import UsageRestored
-from rookspring_core.hashing import stable_hash
-from rookspring_core.state import NodeState
-
-
-
 
 # Kinds of this project's own in the store.
 NODE_KIND = "rookspring-nodes"
@@ -154,7 +154,7 @@
     looked = False
     while True:
         context.lease_news.clear()
-        if looked and not governing.reads_lease(context.state) and not _recalls(context):
+        if looked and not control_jobs.should_read_lease(context.state) and not _recalls(context):
             await _wait_news(context, defaults.RELAY_LEASE_LOOK_S)
             continue
         era = context.state.store_era
@@ -182,7 +182,7 @@
         looked = True
         reach.answered()
         back_off.reset()
-        freed_soon = governing.awaits_release(context.state)
+        freed_soon = control_jobs.awaits_release(context.state)
         look_s = defaults.RELAY_LEASE_FREED_S if freed_soon else defaults.RELAY_LEASE_READ_S
         await _wait_news(context, look_s)
 
@@ -215,7 +215,7 @@
     """Say whether the lease is to tell what organisations had used."""
     state = context.state
     keyed = state.table is not None and state.table.directory is not None
-    return keyed and state.allotments.wants_recall(clock.now())
+    return keyed and state.allotments.needs_recall(clock.now())
 
 
 def _holder_of(context: RelayContext, value: t.Any) -> str:
--- a/packages/rookspring/src/rookspring/relay_lists.py
+++ b/packages/rookspring/src/rookspring/relay_lists.py
@@ -2,6 +2,11 @@
 
 import asyncio
 import typing as t
+
+from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import EndpointReported
+
 from . import clock
 from . import defaults
 from .logs import log
@@ -12,11 +17,6 @@
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core.events import BoxListReceived
-from rookspring_core.events import BoxListed
-from rookspring_core.events import EndpointReported
-
-
 
 
 class Missing(t.NamedTuple):
--- a/packages/rookspring/src/rookspring/relay_members.py
+++ b/packages/rookspring/src/rookspring/relay_members.py
@@ -7,17 +7,17 @@
 """
 
 import typing as t
+
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import MembersReceived
+from rookspring_core.membership import Peer
+
 from . import clock
 from .messages import Members
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import Told
 from .relay_peers import receives
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import MembersReceived
-from rookspring_core.membership import Peer
-
-
 
 
 def send_members(peers: RelayPeers) -> None:
--- a/packages/rookspring/src/rookspring/relay_news.py
+++ b/packages/rookspring/src/rookspring/relay_news.py
@@ -1,5 +1,13 @@
 """What relay nodes tell each other at once: endpoints' states, unread prompts, wants."""
 
+from rookspring_core.effects import RequestLoad
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import LoadingReceived
+from rookspring_core.events import LoadRequested
+from rookspring_core.events import PromptsReceived
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from .messages import Coming
@@ -16,14 +24,6 @@
 from .relay_peers import receives
 from .reports import decode_report
 from .reports import encode_report
-from rookspring_core.effects import RequestLoad
-from rookspring_core.events import DownReceived
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import LoadRequested
-from rookspring_core.events import LoadingReceived
-from rookspring_core.events import PromptsReceived
-from rookspring_core.state import NodeState
-
 
 
 class PromptSums:
--- a/packages/rookspring/src/rookspring/relay_node.py
+++ b/packages/rookspring/src/rookspring/relay_node.py
@@ -7,7 +7,29 @@
 import signal
 import sys
 import typing as t
+
 import uvloop
+from returns.result import Failure
+from returns.result import Success
+
+from rookspring_core import Identity
+from rookspring_core import NodeState
+from rookspring_core import allotment_checks
+from rookspring_core import cluster
+from rookspring_core import defaults as core_defaults
+from rookspring_core import demand
+from rookspring_core.allotments import Allotments
+from rookspring_core.effects import ReadDesired
+from rookspring_core.effects import ReadHead
+from rookspring_core.effects import Stop
+from rookspring_core.effects import WriteLease
+from rookspring_core.events import DrainAsked
+from rookspring_core.events import LeaseWritten
+from rookspring_core.events import Ticked
+from rookspring_core.freshness import ProofTerms
+from rookspring_core.leases import RELAY_TERMS
+from rookspring_core.retries import WindowTerms
+
 from . import clock
 from . import defaults
 from . import logs
@@ -42,28 +64,6 @@
 from .relay_proofs import ProofKeeper
 from .relay_settings import RelaySettings
 from .store_eras import StoreEras
-from returns.result import Failure
-from returns.result import Success
-from rookspring_core import Identity
-from rookspring_core import NodeState
-from rookspring_core import allotting
-from rookspring_core import cluster
-from rookspring_core import defaults as core_defaults
-from rookspring_core import demand
-from rookspring_core.allotments import Allotments
-from rookspring_core.effects import ReadDesired
-from rookspring_core.effects import ReadHead
-from rookspring_core.effects import Stop
-from rookspring_core.effects import WriteLease
-from rookspring_core.events import DrainAsked
-from rookspring_core.events import LeaseWritten
-from rookspring_core.events import Ticked
-from rookspring_core.freshness import ProofTerms
-from rookspring_core.leases import RELAY_TERMS
-from rookspring_core.retries import WindowTerms
-
-
-
 
 Reload = t.Callable[[], RelaySettings]
 
@@ -374,7 +374,7 @@
         # A box that takes another's place may bear its name.
         "address": context.settings.peer_address,
         # For nodes that start when no other is left that knows.
-        "used": allotting.used_shares(context.state, asked_at),
+        "used": allotment_checks.used_shares(context.state, asked_at),
         "verdicts": relay_suspects.write_verdicts(context.state, asked_at),
     }
 
--- a/packages/rookspring/src/rookspring/relay_notices.py
+++ b/packages/rookspring/src/rookspring/relay_notices.py
@@ -5,6 +5,18 @@
 """
 
 import typing as t
+
+from rookspring_core import notice_handlers
+from rookspring_core.effects import ShareLeaving
+from rookspring_core.effects import ShareRates
+from rookspring_core.effects import ShareShed
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import NoticeReceived
+from rookspring_core.events import RatesReceived
+from rookspring_core.events import ShedReceived
+from rookspring_core.notices import Leaving
+from rookspring_core.request_rates import RateRecord
+
 from . import clock
 from .http_client import Hear
 from .http_messages import HttpHead
@@ -20,18 +32,6 @@
 from .relay_merged import merges
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core import notice_handlers
-from rookspring_core.effects import ShareLeaving
-from rookspring_core.effects import ShareRates
-from rookspring_core.effects import ShareShed
-from rookspring_core.events import LeavingReceived
-from rookspring_core.events import NoticeReceived
-from rookspring_core.events import RatesReceived
-from rookspring_core.events import ShedReceived
-from rookspring_core.notices import Leaving
-from rookspring_core.request_rates import RateWord
-
-
 
 
 class Asked(t.NamedTuple):
@@ -113,7 +113,7 @@
     peers.context.submit(LeavingReceived(now, decode_leaving(told, now), link.name))
 
 
-def share_rates(peers: RelayPeers, rows: tuple[RateWord, ...], source: str) -> None:
+def share_rates(peers: RelayPeers, rows: tuple[RateRecord, ...], source: str) -> None:
     """Tell all nodes how many requests a second endpoints take, but the one that told it."""
     peers.spread(RatesTold([list(row) for row in rows]), source)
 
@@ -121,7 +121,7 @@
 @merges("rates", lambda state: state.rates.digest())
 def tell_all_rates(peers: RelayPeers, link: Link) -> None:
     """Tell a node of all endpoints' rates."""
-    rows = peers.context.state.rates.whole()
+    rows = peers.context.state.rates.records()
     if rows:
         link.send(RatesTold([list(row) for row in rows]))
 
@@ -130,7 +130,7 @@
 def take_rates(peers: RelayPeers, link: Link, told: RatesTold) -> None:
     """Take what another node knows of endpoints' rates."""
     rows = tuple(
-        RateWord(str(row[0]), int(row[1]), int(row[2]), None if row[3] is None else float(row[3]))
+        RateRecord(str(row[0]), int(row[1]), int(row[2]), None if row[3] is None else float(row[3]))
         for row in told.rows
     )
     peers.context.submit(RatesReceived(clock.now(), rows, link.name))
--- a/packages/rookspring/src/rookspring/relay_orders.py
+++ b/packages/rookspring/src/rookspring/relay_orders.py
@@ -1,17 +1,7 @@
 """Orders to endpoints, their reports, and what nodes tell the lease holder."""
 
 import asyncio
-from . import clock
-from . import defaults
-from . import http_client
-from .dialect import OrderAsked
-from .dialect import OrderReply
-from .exceptions import EndpointError
-from .logs import log
-from .relay_context import RelayContext
-from .relay_context import relay_performs
-from .relay_notices import Asked
-from .relay_notices import hear_at
+
 from rookspring_core import notice_handlers
 from rookspring_core.defaults import LOAD_UNREPORTED
 from rookspring_core.effects import AdapterLeft
@@ -33,7 +23,17 @@
 from rookspring_core.events import OrderAnswered
 from rookspring_core.events import OrderDue
 
-
+from . import clock
+from . import defaults
+from . import http_client
+from .dialect import OrderAsked
+from .dialect import OrderReply
+from .exceptions import EndpointError
+from .logs import log
+from .relay_context import RelayContext
+from .relay_context import relay_performs
+from .relay_notices import Asked
+from .relay_notices import hear_at
 
 
 @relay_performs(SendOrder)
--- a/packages/rookspring/src/rookspring/relay_owners.py
+++ b/packages/rookspring/src/rookspring/relay_owners.py
@@ -6,13 +6,13 @@
 """
 
 import typing as t
+
+from rookspring_core.owners import choose_owner
+
 from . import clock
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core.owners import choose_owner
-
-
 
 Subject = t.Callable[[t.Any], str]
 # Takes a message at its subject's owner; the link is the one that it came by, if it came by any.
--- a/packages/rookspring/src/rookspring/relay_peers.py
+++ b/packages/rookspring/src/rookspring/relay_peers.py
@@ -6,6 +6,13 @@
 """
 
 import typing as t
+
+from rookspring_core.events import BoxListed
+from rookspring_core.events import PeerLost
+from rookspring_core.events import PeerUnreached
+from rookspring_core.events import RouteTableSeen
+from rookspring_core.topology import listed_node
+
 from . import clock
 from . import defaults
 from .dialling import Dialler
@@ -19,13 +26,6 @@
 from .peers import PeerServer
 from .platform import Stored
 from .relay_context import RelayContext
-from rookspring_core.events import BoxListed
-from rookspring_core.events import PeerLost
-from rookspring_core.events import PeerUnreached
-from rookspring_core.events import RouteTableSeen
-from rookspring_core.topology import listed_node
-
-
 
 Receiver = t.Callable[["RelayPeers", Link, t.Any], None]
 RECEIVERS: dict[type[t.Any], Receiver] = {}
--- a/packages/rookspring/src/rookspring/relay_proofs.py
+++ b/packages/rookspring/src/rookspring/relay_proofs.py
@@ -9,6 +9,16 @@
 import asyncio
 import contextlib
 import typing as t
+
+from returns.result import Failure
+from returns.result import Success
+
+from rookspring_core import defaults as core_defaults
+from rookspring_core import freshness
+from rookspring_core.events import NearLimitReceived
+from rookspring_core.events import TableProved
+from rookspring_core.hashing import stable_hash
+
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -22,16 +32,6 @@
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from returns.result import Failure
-from returns.result import Success
-from rookspring_core import defaults as core_defaults
-from rookspring_core import freshness
-from rookspring_core.events import NearLimitReceived
-from rookspring_core.events import TableProved
-from rookspring_core.hashing import stable_hash
-
-
-
 
 if t.TYPE_CHECKING:
     from rookspring_core.state import NodeState
@@ -154,10 +154,10 @@
     """Tell a node how new the configuration is known to be here."""
     state = peers.context.state
     now = clock.now()
-    if state.freshness.at == freshness.NEVER or not needs_proofs(state):
+    if state.freshness.proved_at == freshness.NEVER or not needs_proofs(state):
         return
     gathers = state.topology.mesh or state.topology.relay
-    tight = sorted(state.allotments.tight()) if gathers else None
+    tight = sorted(state.allotments.near_limit()) if gathers else None
     age_s = state.freshness.age_s(now)
     link.send(Proof(asked.stamp, age_s, state.revision, tight))
 
