--- a/packages/rookspring/src/rookspring/relay_slots.py
+++ b/packages/rookspring/src/rookspring/relay_slots.py
@@ -3,12 +3,12 @@
 import asyncio
 import typing as t
 
-from rookspring_core import slotting
+from rookspring_core import slot_requests
 from rookspring_core.effects import AskSlot
 from rookspring_core.effects import FreeSlot
 from rookspring_core.events import SlotAnswered
 from rookspring_core.slot_queues import SlotAnswer
-from rookspring_core.slot_queues import SlotAsk
+from rookspring_core.slot_queues import SlotRequest
 
 from . import clock
 from . import defaults
@@ -46,22 +46,22 @@
     state = peers.context.state
     for name, queue in list(state.slot_queues.items()):
         if not queue.idle():
-            _answer(peers, name, slotting.queue_of(state, name, now).settle(now))
-        elif slotting.forgotten(state, name):
+            _answer(peers, name, slot_requests.queue_of(state, name, now).process_waiting(now))
+        elif slot_requests.is_obsolete(state, name):
             del state.slot_queues[name]
 
 
 def _subject(item: AskSlots | SlotFreed) -> str:
-    return slotting.subject_of(item.queue)
+    return slot_requests.subject_of(item.queue)
 
 
 @owner_takes(AskSlots, _subject)
 def take_question(peers: RelayPeers, asked: AskSlots, link: Link | None) -> None:
     """Give a slot, have the request wait for one, or refuse it."""
     now = clock.now()
-    queue = slotting.queue_of(peers.context.state, asked.queue, now, asked.rate)
+    queue = slot_requests.queue_of(peers.context.state, asked.queue, now, asked.rate)
     wait_s = float(asked.wait_s)
-    ask = SlotAsk(
+    ask = SlotRequest(
         asked.origin,
         asked.key,
         int(asked.rank),
@@ -70,14 +70,14 @@
         asked.avoid,
         asked.rate,
     )
-    _answer(peers, asked.queue, queue.ask(ask, now))
+    _answer(peers, asked.queue, queue.request_slot(ask, now))
 
 
 @owner_takes(SlotFreed, _subject)
 def take_freed(peers: RelayPeers, freed: SlotFreed, link: Link | None) -> None:
     """Take a slot back."""
     now = clock.now()
-    queue = slotting.queue_of(peers.context.state, freed.queue, now)
+    queue = slot_requests.queue_of(peers.context.state, freed.queue, now)
     took_s, unsent = float(freed.took_s), bool(freed.unsent)
     answers = queue.free(freed.endpoint, freed.origin, freed.key, took_s, now, unsent)
     _answer(peers, freed.queue, answers)
@@ -85,7 +85,7 @@
 
 def _answer(peers: RelayPeers, queue: str, answers: t.Iterable[SlotAnswer]) -> None:
     for one in answers:
-        if one.after_s > 0.0 and queue.startswith(slotting.ENDPOINT_MARK):
+        if one.after_s > 0.0 and queue.startswith(slot_requests.ENDPOINT_PREFIX):
             log("turn_denied", queue=queue, origin=one.origin, key=one.key, after_s=one.after_s)
         told = SlotTold(
             one.origin,
@@ -94,7 +94,7 @@
             one.endpoint,
             one.after_s,
             one.rated,
-            one.stay_s,
+            one.avoid_s,
             one.blind,
         )
         relay_owners.answer(peers, told)
--- a/packages/rookspring/src/rookspring/relay_suspects.py
+++ b/packages/rookspring/src/rookspring/relay_suspects.py
@@ -6,6 +6,13 @@
 """
 
 import typing as t
+
+from rookspring_core.effects import ShareEvidence
+from rookspring_core.effects import VerdictFound
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.suspects import Evidence
+from rookspring_core.suspects import Verdict
+
 from . import clock
 from .evidence import decode_evidence
 from .evidence import encode_evidence
@@ -17,13 +24,6 @@
 from .relay_merged import merges
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core.effects import ShareEvidence
-from rookspring_core.effects import VerdictFound
-from rookspring_core.events import EvidenceReceived
-from rookspring_core.suspects import Evidence
-from rookspring_core.suspects import Verdict
-
-
 
 if t.TYPE_CHECKING:
     from rookspring_core.state import NodeState
--- a/packages/rookspring/src/rookspring/reports.py
+++ b/packages/rookspring/src/rookspring/reports.py
@@ -1,11 +1,11 @@
 """Endpoint reports as rows that nodes send each other."""
 
 import typing as t
-from . import defaults
+
 from rookspring_core.events import EndpointReported
 from rookspring_core.hashing import stable_hash
 
-
+from . import defaults
 
 
 def digest_of(report: EndpointReported) -> int:
