--- a/features/contracts.feature
+++ b/features/contracts.feature
@@ -1,6 +1,6 @@
-Feature: Contracts of the interfaces, against whatever is put under them
+Feature: Contract tests of the platform adapters and the endpoint client
 
-  Scenario Outline: a platform answers as the contract says, through either adapter
+  Scenario Outline: each platform adapter follows the contract
     Given a platform behind its client
     When it gets: <calls>
     Then it answers <answers>
@@ -17,15 +17,15 @@
       | create a, watch from the start                         | done 1-change               |
       | create a, delete a, watch from the start               | done done 2-changes         |
       | watch from the end                                     | 0-changes                   |
-      | forget history, watch from the start                   | done too-old                |
+      | discard history, watch from the start                  | done too-old                |
       | create a of two megabytes                              | refused                     |
       | list, create a, list                                   | 0-items done 1-items        |
       | outage begins, create a, outage ends, create a         | done unreachable done done  |
-      | answers are lost, create a, answers come, read a       | done unreachable done done  |
+      | answers are lost, create a, answers arrive, read a     | done unreachable done done  |
       | too many calls                                         | refused                     |
       | read boxes                                             | 0-items                     |
 
-  Scenario Outline: a runner answers as the contract says
+  Scenario Outline: the endpoint client follows the contract with a runner
     Given a runner behind the endpoint client
     When it gets: <calls>
     Then it answers <answers>
@@ -46,8 +46,8 @@
       | load m, report                                           | accepted loading           |
       | stop, generate                                           | done unsent                |
 
-  Scenario: shards of old heads are let go, and the last revision reads whole
+  Scenario: shards of old heads are deleted, and the last revision can be read in full
     Given a platform behind its client
     When 12 revisions are published to it
     Then at most 5 shards of a changed resource are kept
-    And another reader gets the last revision whole
+    And another reader gets the whole last revision
--- a/features/sockets.feature
+++ b/features/sockets.feature
@@ -1,9 +1,9 @@
 @sockets @traced
-Feature: The whole path over real sockets
+Feature: Requests over real sockets, from the caller to the endpoints
 
-  Scenario Outline: a faulty request names its field and is not run
+  Scenario Outline: a faulty request is refused with the name of the field and is not run
     When a caller sends <request>
-    Then the status is <status> and the error names <field> and says not_run
+    Then the status is <status> and the error names <field> and gives outcome not_run
 
     Examples:
       | request                                   | status | field                    |
@@ -33,17 +33,17 @@
       | a resource with a faulty field            | 422    | resource                 |
       | a resource with version "x"               | 400    | If-Match                 |
 
-  Scenario: the usual client streams from every address, and one trace covers each hop
+  Scenario: the openai client streams from every address, and one trace covers each hop
     When the openai client streams from every address that is given
     Then each answer is whole
     And one trace covers the spans entry, endpoint of each answer
 
-  Scenario: one trace covers a keyed call that goes from node to node
+  Scenario: one trace covers a keyed call that is forwarded to another node
     Given a session at box-2
     When key 1 is sent to box-1 within a trace
     Then one trace covers the spans forward, entry, endpoint of each answer
 
-  Scenario Outline: a key runs at most once, whichever node is asked
+  Scenario Outline: a key runs at most once, whichever nodes it is sent to
     Given a session at box-1
     When key 1 is sent to <places>
     Then the outcomes are <outcomes> and it ran <runs> times
@@ -59,10 +59,10 @@
       | box-1 while answers are lost    | unknown         | 1    |
       | box-1 while answers are lost, box-2 | unknown unknown | 1 |
 
-  Scenario Outline: the client library's own resend does not run a call twice
+  Scenario Outline: an unrepeatable call is not resent by the HTTP library
     Given a service endpoint that <fault>
     When an unrepeatable <method> is sent to it by the endpoint client
-    Then it arrived <times> times and the failure says sent <sent>
+    Then it arrived <times> times and the failure reports sent <sent>
 
     Examples:
       | fault                               | method | times | sent  |
@@ -71,12 +71,12 @@
       | breaks after reading                | GET    | 1     | true  |
       | closes kept-alive connections       | PUT    | 1     | never |
       | closes kept-alive connections       | POST   | 1     | never |
-      | listens no more                     | POST   | 0     | false |
+      | no longer listens                   | POST   | 0     | false |
 
-  Scenario: a repeatable call may ride on the resend, which shows that the test can fail
+  Scenario: a repeatable call is resent by the HTTP library, so the outline above can fail
     Given a service endpoint that breaks after reading
     When a repeatable GET is sent to it by the endpoint client
-    Then it arrived 2 times and the failure says sent true
+    Then it arrived 2 times and the failure reports sent true
 
   Scenario Outline: a stream is whole although <fault>
     When 4 streams of 150 tokens run while <fault>
@@ -86,20 +86,20 @@
       | fault                          |
       | nothing fails                  |
       | a runner's connections break   |
-      | their callers come and go      |
+      | other callers disconnect       |
 
-  Scenario: another team can neither resume nor retry
-    Given a stream of the team demo that was left
+  Scenario: another team cannot resume a stream
+    Given a stream of the team demo whose caller disconnected
     When another team resumes it
-    Then the status is 403 and the error names Last-Event-ID and says not_run
+    Then the status is 403 and the error names Last-Event-ID and gives outcome not_run
 
-  Scenario: operators who race get one winner and a conflict
+  Scenario: of two concurrent updates of a resource, one succeeds and one gets a conflict
     When two operators change one resource from the same version
-    Then one wins and the other gets a conflict
-    And a watch from before shows both changes
-    And a watch from a version that is no longer kept says to list again
+    Then one update succeeds and the other gets a conflict
+    And a watch from the version before returns both changes
+    And a watch from a version that is no longer kept gets status 410
 
-  Scenario Outline: hostile bytes do no harm
+  Scenario Outline: a node still serves after malformed input on a socket
     When <bytes> are sent to the <socket> socket
     Then the node still serves
 
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -1,10 +1,8 @@
 import asyncio
-
 from behave import given
 from behave import then
 from behave import when
 from returns.result import Success
-
 from rookspring import clock
 from rookspring import defaults
 from rookspring.endpoints import Generate
@@ -32,6 +30,8 @@
 from rookspring_fakes import serve
 from rookspring_platform import ObjectStore
 
+
+
 ENDS = {
     PlatformConflict: "conflict",
     PlatformMissing: "missing",
@@ -42,14 +42,14 @@
 
 
 class PlatformUnderTest:
-    """What another platform's adapter must offer to be put under the same table."""
+    """A platform adapter with a fake platform; subclassed for each further adapter."""
 
     scheme = "http"
-    stand_in_class = Platform
+    fake_class = Platform
 
     async def open(self):
-        self.stand_in = self.stand_in_class()
-        self.served = await serve(self.stand_in.app())
+        self.fake = self.fake_class()
+        self.served = await serve(self.fake.app())
         address = f"{self.scheme}://{self.served.address}"
         self.client = open_platform(address, lambda method, end: None)
         self.versions = [0]
@@ -59,8 +59,8 @@
         await self.served.close()
 
     async def call(self, name):
-        """Make one call of the table and name its end."""
-        faults = self.stand_in.faults
+        """Make one call of the table and return how it ended."""
+        faults = self.fake.faults
         match name:
             case "create a":
                 return await self.write({"x": 1}, 0)
@@ -79,22 +79,22 @@
             case "watch from the start":
                 return count(await self.client.watch("k", 0, 0.2), "changes")
             case "watch from the end":
-                since = self.stand_in.store.version
+                since = self.fake.store.version
                 return count(await self.client.watch("k", since, 0.2), "changes")
             case "read boxes":
                 found = await self.client.boxes()
                 return f"{len(found.unwrap())}-items"
             case "too many calls":
                 return await self.exhaust()
-            case "forget history":
-                self.stand_in.store._forgotten = 10
+            case "discard history":
+                self.fake.store._forgotten = 10
             case "outage begins":
                 faults.outage = True
             case "outage ends":
                 faults.outage = False
             case "answers are lost":
                 faults.applied_unanswered = 1.0
-            case "answers come":
+            case "answers arrive":
                 faults.applied_unanswered = 0.0
         return "done"
 
@@ -113,11 +113,11 @@
             platform_module.READS_PER_S = limit
 
 
-class UsersPlatformUnderTest(PlatformUnderTest):
-    """The users' platform, through its adapter."""
+class ObjectStoreUnderTest(PlatformUnderTest):
+    """The adapter in ``rookspring_platform``, with a fake of that platform."""
 
     scheme = "objects"
-    stand_in_class = ObjectPlatform
+    fake_class = ObjectPlatform
 
 
 assert issubclass(ObjectStore, PlatformClient)
@@ -137,7 +137,7 @@
 
 
 class RunnerUnderTest:
-    """What another engine's adapter must offer to be put under the same table."""
+    """The endpoint client with a fake runner; another client needs the same methods here."""
 
     async def open(self):
         self.engine = Engine("r", WeightStore(gb_per_s=1000.0), stream_rate=1000.0)
@@ -150,7 +150,7 @@
         await self.served.close()
 
     async def call(self, name):
-        """Make one call of the table and name its end."""
+        """Make one call of the table and return how it ended."""
         match name:
             case "load m":
                 self.sequence += 1
@@ -189,8 +189,8 @@
         return {True: "accepted", False: "refused", None: "unanswered"}[accepted]
 
     def generate(self, offset):
-        asked = Generate("s", "m", "", "prompt", 5, 1, offset)
-        return self.client.generate(self.served.address, asked, "")
+        generation = Generate("s", "m", "", "prompt", 5, 1, offset)
+        return self.client.generate(self.served.address, generation, "")
 
     async def read(self, chunks):
         tokens = 0
@@ -212,13 +212,13 @@
 @given("a platform behind its client")
 def a_platform(context):
     context.under_test = PlatformUnderTest()
-    context.also_under_test = UsersPlatformUnderTest()
+    context.second_under_test = ObjectStoreUnderTest()
 
 
 @given("a runner behind the endpoint client")
 def a_runner(context):
     context.under_test = RunnerUnderTest()
-    context.also_under_test = None
+    context.second_under_test = None
 
 
 @when("it gets: {calls}")
@@ -230,7 +230,7 @@
         finally:
             await under_test.close()
 
-    both = [context.under_test, context.also_under_test]
+    both = [context.under_test, context.second_under_test]
     context.answers = [asyncio.run(work(one)) for one in both if one is not None]
 
 
@@ -269,7 +269,7 @@
     assert 1 <= len(context.shards) <= most, context.shards
 
 
-@then("another reader gets the last revision whole")
+@then("another reader gets the whole last revision")
 def reads_whole(context):
     assert context.read.revision == context.revisions
     assert context.read.entries == context.entries
--- a/features/steps/socket_steps.py
+++ b/features/steps/socket_steps.py
@@ -1,21 +1,21 @@
+import aiohttp
 import asyncio
 import hashlib
 import json
-import os
-
-import aiohttp
 import openai
+import os
 from aiohttp import web
 from behave import given
 from behave import then
 from behave import when
-
 from rookspring.endpoints import HttpEndpoint
 from rookspring.exceptions import EndpointError
 from rookspring_fakes import Caller
 from rookspring_fakes import serve
 from rookspring_fakes.caller import expected_text
 
+
+
 MODEL = "pitwall-llm-00"
 CHAT = {"model": MODEL, "messages": [{"role": "user", "content": "hi"}], "max_tokens": 5}
 AUTH = {"Authorization": "Bearer demo"}
@@ -88,7 +88,7 @@
     context.answer = context.loop.run(send(address(context), *REQUESTS[request]))
 
 
-@then("the status is {status:d} and the error names {field} and says {outcome}")
+@then("the status is {status:d} and the error names {field} and gives outcome {outcome}")
 def error_names(context, status, field, outcome):
     found, body = context.answer
     assert found == status, context.answer
@@ -227,7 +227,7 @@
 
 
 class FaultyService:
-    """A service that breaks connections in one chosen way and counts arrivals."""
+    """A service that counts requests and can abort each connection after reading its request."""
 
     def __init__(self, fault):
         self.fault = fault
@@ -251,7 +251,7 @@
     async def work():
         context.faulty = FaultyService(fault)
         context.served = await serve(context.faulty.app())
-        if fault == "listens no more":
+        if fault == "no longer listens":
             await context.served.close()
 
     context.loop.run(work())
@@ -266,7 +266,7 @@
         client = HttpEndpoint()
         try:
             if context.faulty.fault == "closes kept-alive connections":
-                # A pooled connection that the server has closed lies ready for reuse.
+                # Leaves a connection in the pool that the server has closed.
                 await call(client, True)
                 port = int(context.served.address.rpartition(":")[2])
                 await context.served.close()
@@ -283,7 +283,7 @@
     context.sent = context.loop.run(work())
 
 
-@then("it arrived {times:d} times and the failure says sent {sent}")
+@then("it arrived {times:d} times and the failure reports sent {sent}")
 def arrived_times(context, times, sent):
     assert (context.faulty.arrived, context.sent) == (times, sent), (
         context.faulty.arrived,
@@ -317,8 +317,8 @@
     busiest.faults.killed = False
 
 
-async def leave_streams(context):
-    """Begin streams and leave them in the middle, as impatient callers do."""
+async def disconnect_streams(context):
+    """Start streams and disconnect after the first line."""
     body = {**CHAT, "stream": True, "max_tokens": 300}
     for _ in range(5):
         async with aiohttp.ClientSession() as session:
@@ -332,13 +332,13 @@
     disturb = {
         "nothing fails": do_nothing,
         "a runner's connections break": lambda: break_runner(context),
-        "their callers come and go": lambda: leave_streams(context),
+        "other callers disconnect": lambda: disconnect_streams(context),
     }[fault]
     context.answers = context.loop.run(run_streams(context, count, total, disturb))
 
 
-@given("a stream of the team demo that was left")
-def stream_left(context):
+@given("a stream of the team demo whose caller disconnected")
+def disconnected_stream(context):
     async def work():
         body = {**CHAT, "stream": True, "max_tokens": 100}
         async with aiohttp.ClientSession() as session:
@@ -381,13 +381,13 @@
     context.race = context.loop.run(work())
 
 
-@then("one wins and the other gets a conflict")
-def one_wins(context):
+@then("one update succeeds and the other gets a conflict")
+def one_update_succeeds(context):
     statuses = sorted(status for status, _ in context.race)
     assert statuses == [200, 409], context.race
 
 
-@then("a watch from before shows both changes")
+@then("a watch from the version before returns both changes")
 def watch_shows(context):
     path = f"/api/v1/resources/Service?watch=1&from={context.before - 1}&timeout_s=1"
     status, body = context.loop.run(send(address(context), "GET", path, b"", AUTH))
@@ -397,7 +397,7 @@
     assert body["version"] >= versions[-1]
 
 
-@then("a watch from a version that is no longer kept says to list again")
+@then("a watch from a version that is no longer kept gets status 410")
 def watch_too_old(context):
     store = context.stage.platform.store
     store._forgotten = store.version
@@ -407,7 +407,7 @@
     assert status == 410, body
 
 
-HOSTILE = {
+MALFORMED = {
     "random bytes": os.urandom(4096),
     "half a request": b"POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 100\r\n\r\nab",
     "endless headers": b"GET / HTTP/1.1\r\n" + b"X-Long: " + b"y" * 200_000,
@@ -420,14 +420,14 @@
 
 
 @when("{what} are sent to the {which} socket")
-def hostile_bytes(context, what, which):
+def malformed_input(context, what, which):
     settings = context.stage.nodes["box-1"].settings
     port = settings.port if which == "caller" else settings.peer_port
 
     async def work():
         reader, writer = await asyncio.open_connection(settings.host, port)
         try:
-            writer.write(HOSTILE[what])
+            writer.write(MALFORMED[what])
             await writer.drain()
             await asyncio.wait_for(reader.read(1 << 16), 0.3)
         except (OSError, TimeoutError):
@@ -473,8 +473,8 @@
     context.answers = context.loop.run(run_streams(context, 12, 150, disturb))
 
 
-@then("{name} left the addresses at once")
-def left_addresses(context, name):
+@then("{name} is removed from the addresses at once")
+def removed_from_addresses(context, name):
     number = int(name.rpartition("-")[2])
     gone = f"127.0.0.1:{context.stage.plan.base_port + number}"
     assert context.listed
--- a/packages/rookspring/src/rookspring/attempts.py
+++ b/packages/rookspring/src/rookspring/attempts.py
@@ -1,18 +1,7 @@
-"""Attempts at endpoints: each carries out one ``Dispatch`` and tells how it ended."""
+"""Attempts at endpoints: each carries out one ``Dispatch`` and submits how it ended."""
 
 import asyncio
 import typing as t
-
-from rookspring_core import notice_handlers
-from rookspring_core.effects import AttachStream
-from rookspring_core.effects import Dispatch
-from rookspring_core.events import AttemptFailed
-from rookspring_core.events import AttemptProgressed
-from rookspring_core.events import AttemptStarted
-from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import NoticeReceived
-from rookspring_core.notices import Notice
-
 from . import clock
 from . import defaults
 from .connections import refuses
@@ -23,10 +12,21 @@
 from .exchanges import ChatExchange
 from .exchanges import ServiceExchange
 from .node_context import NodeContext
+from rookspring_core import notice_handlers
+from rookspring_core.effects import AttachStream
+from rookspring_core.effects import Dispatch
+from rookspring_core.events import AttemptFailed
+from rookspring_core.events import AttemptProgressed
+from rookspring_core.events import AttemptStarted
+from rookspring_core.events import AttemptSucceeded
+from rookspring_core.events import NoticeReceived
+from rookspring_core.notices import Notice
+
+
 
 
 async def run_attempt(node: NodeContext, effect: Dispatch) -> None:
-    """Carry out one attempt, of either kind."""
+    """Carry out one attempt of a chat request or a service call."""
     exchange = node.exchanges.get(effect.request_id)
     view = node.state.endpoints.get(effect.endpoint)
     if exchange is None or view is None:
@@ -50,7 +50,7 @@
             await _run_service(node, effect, exchange, view.address, traceparent)
     except EndpointError as error:
         span.set_attribute("error", error.reason)
-        await _ask_down(error, view.address)
+        await _check_down(error, view.address)
         _fail(node, effect, error)
     except CallerGone:
         node.leave(exchange)
@@ -58,8 +58,12 @@
         span.end()
 
 
-async def _ask_down(error: EndpointError, address: str) -> None:
-    """Find out whether an endpoint that broke off has ended, before the loss is charged."""
+async def _check_down(error: EndpointError, address: str) -> None:
+    """Check whether an endpoint that broke its connection has stopped listening.
+
+    This comes before the failure is submitted, so that the reducer knows whether the process
+    ended when it records which requests may have crashed it.
+    """
     if error.broken:
         error.down = await refuses(address)
 
@@ -67,7 +71,7 @@
 def _fail(node: NodeContext, effect: Dispatch | AttachStream, error: EndpointError) -> None:
     node.metrics.attempts.inc({"end": "not_run" if error.said_not_run else "failed"})
     if error.leaving:
-        _tell_leaving(node, effect.endpoint)
+        _submit_leaving(node, effect.endpoint)
     node.submit(
         AttemptFailed(
             clock.now(),
@@ -83,23 +87,23 @@
     )
 
 
-def _tell_leaving(node: NodeContext, endpoint: str) -> None:
-    """Tell what an endpoint said of itself, ahead of what became of the request."""
+def _submit_leaving(node: NodeContext, endpoint: str) -> None:
+    """Submit that an endpoint is leaving, before the failure of the request that it refused."""
     view = node.state.endpoints.get(endpoint)
     if view is not None:
-        said = NoticeReceived(
+        notice = NoticeReceived(
             clock.now(), endpoint, notice_handlers.known_start(view), Notice(leaving=True)
         )
-        node.submit(said)
+        node.submit(notice)
 
 
 async def _run_chat(
     node: NodeContext, effect: Dispatch, exchange: ChatExchange, address: str, traceparent: str
 ) -> None:
-    # The incarnation keeps two nodes' streams apart at one engine.
+    # Request ids are random, so streams of different nodes do not collide at an engine.
     stream = f"{exchange.request_id}.{effect.attempt}"
     exchange.prepare(node.signer, effect.endpoint, stream, effect.offset)
-    asked = Generate(
+    generation = Generate(
         stream=stream,
         model=exchange.model,
         adapter=exchange.adapter,
@@ -110,11 +114,13 @@
         prefix="".join(exchange.parts) if effect.offset else "",
     )
     node.submit(AttemptStarted(clock.now(), effect.request_id, effect.attempt))
-    await _relay(node, effect, exchange, node.endpoints.generate(address, asked, traceparent))
+    await _pass_chunks(
+        node, effect, exchange, node.endpoints.generate(address, generation, traceparent)
+    )
 
 
 async def run_attach(node: NodeContext, effect: AttachStream) -> None:
-    """Read on from a stream that runs already, for a caller that came back."""
+    """Continue to read a stream that already runs, for a caller that resumes it."""
     exchange = node.exchanges.get(effect.request_id)
     view = node.state.endpoints.get(effect.endpoint)
     if not isinstance(exchange, ChatExchange) or view is None:
@@ -123,9 +129,9 @@
     span = node.telemetry.begin("endpoint-resume", exchange.traceparent, endpoint=view.name)
     try:
         chunks = node.endpoints.resume(view.address, exchange.engine_stream, effect.offset)
-        await _relay(node, effect, exchange, chunks)
+        await _pass_chunks(node, effect, exchange, chunks)
     except EndpointError as error:
-        await _ask_down(error, view.address)
+        await _check_down(error, view.address)
         _fail(node, effect, error)
     except CallerGone:
         node.leave(exchange)
@@ -133,13 +139,16 @@
         span.end()
 
 
-async def _relay(
+async def _pass_chunks(
     node: NodeContext,
     effect: Dispatch | AttachStream,
     exchange: ChatExchange,
     chunks: t.AsyncGenerator[Chunk, None],
 ) -> None:
-    """Pass chunks on under the stream's guard; tell the reducer of them in batches."""
+    """Pass chunks to the caller, deduplicated by the stream's guard.
+
+    Progress is submitted to the reducer in batches of ``PROGRESS_TOKENS``.
+    """
     guard = exchange.guard
     guard.switch_attempt(effect.attempt)
     pending = 0
@@ -157,7 +166,7 @@
                 if not guard.is_complete(chunk.total):
                     raise EndpointError("the answer is shorter than its total", sent=True)
                 progress()
-                await _conclude(node, effect, exchange)
+                await _finish_chat(node, effect, exchange)
                 return
             fresh = guard.accept(effect.attempt, chunk.offset, chunk.tokens)
             if fresh:
@@ -173,13 +182,13 @@
         await chunks.aclose()
 
 
-async def _conclude(
+async def _finish_chat(
     node: NodeContext, effect: Dispatch | AttachStream, exchange: ChatExchange
 ) -> None:
     answer = exchange.whole()
     node.metrics.attempts.inc({"end": "whole"})
-    # The outcome is settled first: if the caller's connection breaks on the last
-    # bytes, a retry of its key finds the answer.
+    # The outcome is recorded before the last bytes are sent. If the caller's connection breaks
+    # on them, a retry with the same key gets the stored answer.
     node.submit(AttemptSucceeded(clock.now(), effect.request_id, effect.attempt, 200, answer))
     await exchange.conclude()
     node.finish(exchange, "ran")
@@ -191,7 +200,7 @@
     headers = dict(exchange.headers)
     if traceparent:
         headers["traceparent"] = traceparent
-    left = max(0.05, exchange.deadline_at - clock.now())
+    timeout_s = max(0.05, exchange.deadline_at - clock.now())
     node.submit(AttemptStarted(clock.now(), effect.request_id, effect.attempt))
     answer = await node.endpoints.call(
         address,
@@ -200,12 +209,12 @@
         exchange.body,
         headers,
         exchange.repeatable,
-        left,
+        timeout_s,
     )
     node.metrics.attempts.inc({"end": "whole"})
     node.submit(
         AttemptSucceeded(clock.now(), effect.request_id, effect.attempt, answer.status, answer.body)
     )
-    shown = {"Content-Type": answer.content_type, "X-Request-Id": exchange.request_id}
-    await exchange.answer(answer.status, shown, answer.body)
+    response_headers = {"Content-Type": answer.content_type, "X-Request-Id": exchange.request_id}
+    await exchange.answer(answer.status, response_headers, answer.body)
     node.finish(exchange, "ran")
--- a/packages/rookspring/src/rookspring/callers.py
+++ b/packages/rookspring/src/rookspring/callers.py
@@ -1,28 +1,13 @@
-"""The interface to callers: addresses, sessions, chat completions, services.
+"""The HTTP API for callers: addresses, sessions, chat completions, services.
 
-Requests are checked in ``reading.py``; decisions are the reducer's.
+Requests are checked in ``request_parsing.py``; the reducer decides about them.
 """
 
 import asyncio
+import orjson
 import secrets
 import typing as t
 import zlib
-
-import orjson
-from sanic import Blueprint
-from sanic import Request
-from sanic.exceptions import SanicException
-from sanic.response import HTTPResponse
-from sanic.response import raw
-
-from rookspring_core import cluster
-from rookspring_core import defaults as core_defaults
-from rookspring_core.events import CallerLeft
-from rookspring_core.events import RequestArrived
-from rookspring_core.events import ResumeAsked
-from rookspring_core.events import SessionOpened
-from rookspring_core.fingerprints import make_fingerprint
-
 from . import clock
 from . import defaults
 from . import forwarding
@@ -34,10 +19,25 @@
 from .exchanges import Responder
 from .exchanges import ServiceExchange
 from .node_context import NodeContext
+from rookspring_core import cluster
+from rookspring_core import defaults as core_defaults
+from rookspring_core.events import CallerLeft
+from rookspring_core.events import RequestArrived
+from rookspring_core.events import ResumeAsked
+from rookspring_core.events import SessionOpened
+from rookspring_core.fingerprints import make_fingerprint
+from sanic import Blueprint
+from sanic import Request
+from sanic.exceptions import SanicException
+from sanic.response import HTTPResponse
+from sanic.response import raw
+
+
+
 
 
 class SanicResponder(Responder):
-    """Sends an answer over a caller's own connection."""
+    """Sends an answer over the connection of the caller."""
 
     def __init__(self, request: Request) -> None:
         self._request = request
@@ -52,14 +52,14 @@
 
     async def send(self, data: bytes) -> None:
         """Send a part of the body."""
-        await self._guard(self._response.send(data))
+        await self._raise_if_gone(self._response.send(data))
 
     async def end(self) -> None:
         """End the answer."""
-        await self._guard(self._response.eof())
+        await self._raise_if_gone(self._response.eof())
 
-    async def _guard(self, sending: t.Awaitable[t.Any]) -> None:
-        """Turn what the server raises over a broken connection into one error."""
+    async def _raise_if_gone(self, sending: t.Awaitable[t.Any]) -> None:
+        """Send data, and turn any error of a broken connection into ``CallerGone``."""
         try:
             await sending
         except asyncio.CancelledError:
@@ -79,7 +79,7 @@
 
 
 async def answer_error(responder: Responder, error: CallerError) -> None:
-    """Answer a faulty request."""
+    """Send the answer to a faulty request."""
     await responder.start(error.status, {"Content-Type": "application/json"})
     await responder.send(orjson.dumps(error.body()))
     await responder.end()
@@ -88,7 +88,12 @@
 def start(
     node: NodeContext, kind: str, team: str, fields: t.Any, body: bytes, responder: Responder
 ) -> Exchange:
-    """Begin a request at this node; its answer goes to the responder."""
+    """Start a request at this node.
+
+    :param kind: ``chat`` or ``service``.
+    :param fields: the checked fields, of the type for that kind.
+    :param responder: sends the answer.
+    """
     if kind == "chat":
         return _start_chat(node, team, fields, responder)
     return _start_service(node, team, fields, body, responder)
@@ -183,8 +188,10 @@
     return make_fingerprint(team, "", target.encode(), body_digest.encode())
 
 
-async def _serve(node: NodeContext, request: Request, kind: str, team: str, fields: t.Any) -> None:
-    """Serve a request here, or where its session was issued."""
+async def _serve_or_forward(
+    node: NodeContext, request: Request, kind: str, team: str, fields: t.Any
+) -> None:
+    """Serve a request at this node, or forward it to the node that issued its session."""
     responder = SanicResponder(request)
     key = fields["once_key"]
     if key is not None:
@@ -201,7 +208,7 @@
     try:
         await exchange.done
     except asyncio.CancelledError:
-        # The caller's connection broke; the reducer decides what goes on.
+        # The caller's connection broke; the reducer decides what happens to the request.
         node.submit(CallerLeft(clock.now(), exchange.request_id))
         raise
 
@@ -213,9 +220,9 @@
     @routes.get("/v1/addresses")
     async def list_addresses(request: Request) -> HTTPResponse:
         rows = [row._asdict() for row in cluster.list_addresses(node.state)]
-        life_s = int(core_defaults.ADDRESS_TTL_S)
+        max_age_s = int(core_defaults.ADDRESS_TTL_S)
         value = {"addresses": rows, "ttl_s": core_defaults.ADDRESS_TTL_S}
-        return json_answer(value, headers={"Cache-Control": f"max-age={life_s}"})
+        return json_answer(value, headers={"Cache-Control": f"max-age={max_age_s}"})
 
     @routes.get("/v1/models")
     async def list_models(request: Request) -> HTTPResponse:
@@ -247,7 +254,7 @@
         if event_id:
             await _resume(node, request, team, event_id)
             return
-        await _serve(node, request, "chat", team, reading.read_chat(node, request, team))
+        await _serve_or_forward(node, request, "chat", team, reading.read_chat(node, request, team))
 
     @routes.route(  # type: ignore[untyped-decorator]
         "/v1/services/<service:str>/<path:path>",
@@ -256,13 +263,17 @@
     async def call_service(request: Request, service: str, path: str) -> None:
         team = reading.establish_team(node, request)
         fields = reading.read_service(node, request, team, service, path)
-        await _serve(node, request, "service", team, fields)
+        await _serve_or_forward(node, request, "service", team, fields)
 
     return routes
 
 
 async def _resume(node: NodeContext, request: Request, team: str, event_id: str) -> None:
-    """Go on with a stream whose entry node was lost."""
+    """Resume a stream at the event id that the caller received last.
+
+    The node that served the stream so far may be gone, so all that is needed is in the event id
+    and in the repeated request.
+    """
     grant, offset = node.signer.read_event_id(event_id)
     if grant.team != team:
         raise CallerError(403, "Last-Event-ID", "an event id of your own team")
--- a/packages/rookspring/src/rookspring/endpoints.py
+++ b/packages/rookspring/src/rookspring/endpoints.py
@@ -1,27 +1,31 @@
-"""Clients of endpoints: model runners and plain services, behind a registry.
+"""Clients of endpoints, which are model runners and plain services, and their registry.
 
-Each failure says whether a byte of the request may have reached the endpoint;
-in doubt it says that one may have.
+Each failure states whether a byte of the request may have reached the endpoint. If that is not
+known, it states that one may have.
 """
 
 import abc
-import functools
-import typing as t
-
 import aiohttp
+import functools
 import orjson
+import typing as t
 import yarl
-
-from rookspring_core.effects import SendOrder
-from rookspring_core.events import EndpointReported
-
 from . import defaults
 from .connections import OneConnection
 from .exceptions import EndpointError
+from rookspring_core.effects import SendOrder
+from rookspring_core.events import EndpointReported
+
+
+
 
 
 class Chunk(t.NamedTuple):
-    """Tokens of an answer; ``offset`` is that of the first in the whole answer."""
+    """Tokens of an answer.
+
+    :param offset: position of the first one in the whole answer; -1 in the last chunk.
+    :param total: length of the whole answer in the last chunk, which has no tokens; else -1.
+    """
 
     offset: int
     tokens: tuple[str, ...] | list[str]
@@ -29,7 +33,12 @@
 
 
 class Generate(t.NamedTuple):
-    """A request to a runner; ``offset`` tokens are with the caller already."""
+    """A request to a runner.
+
+    :param stream: name of the stream, unique at the runner.
+    :param offset: tokens that the caller has received; the answer continues after them.
+    :param prefix: text of these tokens.
+    """
 
     stream: str
     model: str
@@ -54,7 +63,7 @@
 
 
 def endpoint_adapter(name: str) -> t.Callable[[C], C]:
-    """Register an adapter for a protocol of endpoints."""
+    """Register a client class for a protocol of endpoints."""
 
     def register(cls: C) -> C:
         ENDPOINTS[name] = cls
@@ -64,7 +73,7 @@
 
 
 class EndpointClient(abc.ABC):
-    """What rookspring needs of an endpoint."""
+    """Client of endpoints."""
 
     @abc.abstractmethod
     def generate(
@@ -74,23 +83,33 @@
 
     @abc.abstractmethod
     def resume(self, address: str, stream: str, offset: int) -> t.AsyncGenerator[Chunk, None]:
-        """Stream what a stream that runs already has from an offset on."""
+        """Stream the tokens of a stream that already runs, from an offset on."""
 
     @abc.abstractmethod
     async def cancel(self, address: str, stream: str, reader: int) -> None:
-        """Stop a stream, unless a later reader has taken it over."""
+        """Stop a stream, unless it was resumed since.
+
+        :param reader: the reader that cancels: 0 is the stream's first, 1 one that resumed it.
+        """
 
     @abc.abstractmethod
     async def order(self, order: SendOrder, incarnation: str) -> tuple[bool | None, str]:
-        """Give an order; None when no answer came."""
+        """Send an order.
+
+        :param incarnation: the endpoint's incarnation that the order is meant for.
+        :return: whether it was accepted, None without an answer, and the reason.
+        """
 
     @abc.abstractmethod
     async def report(self, endpoint: str, address: str, now: float) -> EndpointReported | None:
-        """Ask for a load report."""
+        """Read a load report; None on any failure."""
 
     @abc.abstractmethod
     async def cache_events(self, address: str, since: int) -> tuple[int, tuple[int, ...]]:
-        """Ask for cache events after a position."""
+        """Read cache events after a position.
+
+        :return: the position to continue from, and the prefixes that were cached.
+        """
 
     @abc.abstractmethod
     async def call(
@@ -103,11 +122,14 @@
         repeatable: bool,
         timeout_s: float,
     ) -> ServiceAnswer:
-        """Call a plain service; raises :class:`EndpointError`."""
+        """Call a plain service; raises :class:`EndpointError`.
+
+        :param repeatable: the HTTP library may send the call twice.
+        """
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Let connections go."""
+        """Close all connections."""
 
 
 @endpoint_adapter("http")
@@ -117,10 +139,10 @@
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
 
-    def _open(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=15.0)
-            # Endpoints set no cookies and their answers are plain, so neither is looked for.
+            # Endpoints set no cookies and do not compress answers, so neither is handled.
             self._session = aiohttp.ClientSession(
                 connector=connector,
                 read_bufsize=1 << 18,
@@ -145,7 +167,7 @@
             "prefix": asked.prefix,
         }
         headers = {"traceparent": traceparent} if traceparent else {}
-        request = self._open().post(
+        request = self._get_session().post(
             _generate_url(address),
             data=orjson.dumps(body),
             headers=headers,
@@ -155,8 +177,8 @@
             yield chunk
 
     async def resume(self, address: str, stream: str, offset: int) -> t.AsyncGenerator[Chunk, None]:
-        """Stream on from an offset."""
-        request = self._open().get(
+        """Stream the tokens of a stream that already runs, from an offset on."""
+        request = self._get_session().get(
             f"http://{address}/v1/streams/{stream}",
             params={"offset": str(offset)},
             timeout=_STREAM_TIMEOUT,
@@ -165,17 +187,17 @@
             yield chunk
 
     async def cancel(self, address: str, stream: str, reader: int) -> None:
-        """Stop a stream; a lost cancel only costs tokens nobody reads."""
+        """Stop a stream; if the call fails, the stream only generates tokens that nobody reads."""
         url = f"http://{address}/v1/streams/{stream}?reader={reader}"
         limit = aiohttp.ClientTimeout(total=defaults.REPORT_CALL_S)
         try:
-            async with self._open().delete(url, timeout=limit) as response:
+            async with self._get_session().delete(url, timeout=limit) as response:
                 await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return
 
     async def order(self, order: SendOrder, incarnation: str) -> tuple[bool | None, str]:
-        """Give an order over a connection of its own, never sent twice by the library."""
+        """Send an order over a connection of its own, so that the HTTP library never resends it."""
         body = {
             "token": list(order.token),
             "action": order.action,
@@ -198,10 +220,12 @@
         return bool(answer.get("accepted")), str(answer.get("reason", ""))
 
     async def report(self, endpoint: str, address: str, now: float) -> EndpointReported | None:
-        """Ask for a load report."""
+        """Read a load report; None on any failure."""
         limit = aiohttp.ClientTimeout(total=defaults.REPORT_CALL_S)
         try:
-            async with self._open().get(f"http://{address}/v1/report", timeout=limit) as response:
+            async with self._get_session().get(
+                f"http://{address}/v1/report", timeout=limit
+            ) as response:
                 raw = orjson.loads(await response.read())
                 return read_report(endpoint, raw, now)
         except (
@@ -216,11 +240,11 @@
             return None
 
     async def cache_events(self, address: str, since: int) -> tuple[int, tuple[int, ...]]:
-        """Ask for cache events; none on any failure, since they are hints."""
+        """Read cache events; none on any failure, as they are only hints."""
         limit = aiohttp.ClientTimeout(total=defaults.REPORT_CALL_S)
         url = f"http://{address}/v1/cache_events?from={since}"
         try:
-            async with self._open().get(url, timeout=limit) as response:
+            async with self._get_session().get(url, timeout=limit) as response:
                 raw = orjson.loads(await response.read())
                 return int(raw["next"]), tuple(int(one) for one in raw["prefixes"])
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError, TypeError):
@@ -240,12 +264,12 @@
         url = f"http://{address}/{path}"
         limit = aiohttp.ClientTimeout(total=timeout_s, connect=defaults.CONNECT_S)
         if repeatable:
-            return await _call_service(self._open(), method, url, body, headers, limit)
+            return await _call_service(self._get_session(), method, url, body, headers, limit)
         async with aiohttp.ClientSession(connector=OneConnection()) as session:
             return await _call_service(session, method, url, body, headers, limit)
 
     async def close(self) -> None:
-        """Let connections go."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
 
@@ -267,11 +291,15 @@
                 _raise_if_not_run(raw)
             return ServiceAnswer(response.status, response.content_type, raw)
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-        raise _turn(error) from None
+        raise _to_endpoint_error(error) from None
+
 
+def _to_endpoint_error(error: Exception) -> EndpointError:
+    """Return the error for a failed call.
 
-def _turn(error: Exception) -> EndpointError:
-    """Say what a failed call tells of its endpoint."""
+    It states whether a byte may have been sent, whether nothing listens at the address, and whether
+    the endpoint broke the connection.
+    """
     name = type(error).__name__
     if isinstance(error, aiohttp.ClientConnectorError):
         refused = isinstance(error.os_error, ConnectionRefusedError)
@@ -298,25 +326,25 @@
 
 @functools.lru_cache(maxsize=4096)
 def _generate_url(address: str) -> yarl.URL:
-    """Parse an address once."""
+    """Return the URL for requests to a runner, parsed once per address."""
     return yarl.URL(f"http://{address}/v1/generate")
 
 
 async def _read_stream(request: t.Any) -> t.AsyncGenerator[Chunk, None]:
-    """Read lines of a runner's answer; each network read is parsed at once."""
+    """Read the lines of a runner's answer, and yield their chunks as data arrives."""
     try:
         async with request as response:
             if response.status != 200:
                 _raise_if_not_run(await response.read())
                 raise EndpointError(f"status {response.status}", sent=True)
-            rest = b""
+            partial = b""
             async for data in response.content.iter_any():
-                lines = (rest + data).split(b"\n") if rest else data.split(b"\n")
-                rest = lines.pop()
+                lines = (partial + data).split(b"\n") if partial else data.split(b"\n")
+                partial = lines.pop()
                 for line in lines:
                     yield _read_chunk(line)
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-        raise _turn(error) from None
+        raise _to_endpoint_error(error) from None
 
 
 def _read_chunk(line: bytes) -> Chunk:
@@ -331,9 +359,9 @@
 
 
 def read_report(endpoint: str, raw: t.Mapping[str, t.Any], now: float) -> EndpointReported:
-    """Turn a report's mapping into an event.
+    """Decode a report.
 
-    :raises KeyError, TypeError, ValueError: when it is malformed.
+    :raises KeyError, TypeError, ValueError: if it is malformed.
     """
     token = raw.get("order_token", (0, 0))
     return EndpointReported(
--- a/packages/rookspring/src/rookspring/exchanges.py
+++ b/packages/rookspring/src/rookspring/exchanges.py
@@ -1,26 +1,26 @@
-"""One caller's request in I/O: its body, its responder and what was passed on."""
+"""A caller's request at the I/O layer: its body, its responder and the answer so far."""
 
 import abc
 import asyncio
+import orjson
 import time
 import typing as t
-
-import orjson
-from opentelemetry import trace
-
-from rookspring_core.streams import StreamGuard
-
 from . import clock
 from .tokens import ResumeGrant
 from .tokens import Signer
+from opentelemetry import trace
+from rookspring_core.streams import StreamGuard
+
+
+
 
 
 class Responder(abc.ABC):
-    """Where an answer goes: a caller's connection, or the node that forwarded it."""
+    """Sends an answer to the caller, or to the node that forwarded the request."""
 
     @abc.abstractmethod
     async def start(self, status: int, headers: dict[str, str]) -> None:
-        """Begin the answer."""
+        """Send status and headers."""
 
     @abc.abstractmethod
     async def send(self, data: bytes) -> None:
@@ -32,7 +32,11 @@
 
 
 class Exchange:
-    """A request between its arrival and the end of its answer."""
+    """A request from its arrival to the end of its answer.
+
+    :param target: the model or service.
+    :param traceparent: trace header for the calls that are made for this request.
+    """
 
     def __init__(
         self,
@@ -56,12 +60,12 @@
         self.first_token_s: float | None = None
 
     def finish(self) -> None:
-        """The answer has ended, well or not."""
+        """Resolve ``done``: the answer has ended, complete or broken off."""
         if not self.done.done():
             self.done.set_result(None)
 
     async def answer(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Send a whole answer at once."""
+        """Send an answer whose body is complete."""
         await self.responder.start(status, headers)
         self.started = True
         await self.responder.send(body)
@@ -80,7 +84,7 @@
 
 
 class ChatExchange(Exchange):
-    """A request to a model, in the shape of the usual chat API."""
+    """A request to a model, in the format of the OpenAI chat API."""
 
     def __init__(self, *args: t.Any, **fields: t.Any) -> None:
         super().__init__(*args)
@@ -96,27 +100,30 @@
         self.created = int(time.time())
         self.reader = 0
         self.engine_stream = ""
-        self._head = b""
-        self._tail = b""
-        self._id = b""
+        self._event_head = b""
+        self._event_tail = b""
+        self._event_id = b""
 
     def shown_model(self) -> str:
-        """Give the model's name as the caller wrote it."""
+        """Return the model's name as the caller wrote it, with the adapter if there is one."""
         return f"{self.model}:{self.adapter}" if self.adapter else self.model
 
     def prepare(self, signer: Signer, endpoint: str, stream: str, base: int) -> None:
-        """Build what is the same in every event of one attempt; only once is signed."""
+        """Build the parts that are the same in every event of an attempt, signed only once.
+
+        :param base: offset in the whole answer of the engine stream's first token.
+        """
         self.engine_stream = stream
         grant = ResumeGrant(
             self.team, endpoint, stream, self.request_id, self.target, base, self.total
         )
-        self._id = b"id: " + signer.issue_grant(grant).encode() + b"~"
-        frame = self._frame({"content": "\x00"}, None)
-        head, tail = orjson.dumps(frame).split(b'"\\u0000"')
-        self._head = b"\ndata: " + head
-        self._tail = tail + b"\n\n"
+        self._event_id = b"id: " + signer.issue_grant(grant).encode() + b"~"
+        chunk = self._make_chunk({"content": "\x00"}, None)
+        head, tail = orjson.dumps(chunk).split(b'"\\u0000"')
+        self._event_head = b"\ndata: " + head
+        self._event_tail = tail + b"\n\n"
 
-    def _frame(self, delta: dict[str, str], finish: str | None) -> dict[str, t.Any]:
+    def _make_chunk(self, delta: dict[str, str], finish: str | None) -> dict[str, t.Any]:
         return {
             "id": f"chatcmpl-{self.request_id}",
             "object": "chat.completion.chunk",
@@ -126,22 +133,22 @@
         }
 
     async def deliver(self, tokens: t.Sequence[str]) -> None:
-        """Pass tokens on to the caller, or keep them for the whole answer."""
+        """Add tokens to the answer, and send them if the caller asked for a stream."""
         text = "".join(tokens)
         self.parts.append(text)
         if self.first_token_s is None:
             self.first_token_s = clock.now() - self.arrived
         if not self.stream:
             return
-        place = str(self.guard.offset).encode()
-        event = self._id + place + self._head + orjson.dumps(text) + self._tail
+        offset = str(self.guard.offset).encode()
+        event = self._event_id + offset + self._event_head + orjson.dumps(text) + self._event_tail
         if not self.started:
-            # The role and the first token go out together.
+            # The role and the first token are sent together.
             event = await self.begin() + event
         await self.responder.send(event)
 
     async def begin(self) -> bytes:
-        """Send the headers, and give the first event, which names the role."""
+        """Send the headers of a stream, and return its first event, which contains the role."""
         self.started = True
         headers = {
             "Content-Type": "text/event-stream",
@@ -149,11 +156,11 @@
             "X-Request-Id": self.request_id,
         }
         await self.responder.start(200, headers)
-        role = orjson.dumps(self._frame({"role": "assistant", "content": ""}, None))
+        role = orjson.dumps(self._make_chunk({"role": "assistant", "content": ""}, None))
         return b"data: " + role + b"\n\n"
 
     def usage(self) -> dict[str, int]:
-        """Count tokens, in the shape of the usual chat API."""
+        """Return the token counts; those of the prompt are estimated at 4 characters per token."""
         prompt = max(1, len(self.prompt) // 4)
         total = self.guard.offset
         return {
@@ -163,7 +170,7 @@
         }
 
     def whole(self) -> bytes:
-        """Give the whole answer as one object."""
+        """Return the whole answer as one JSON object."""
         return orjson.dumps(
             {
                 "id": f"chatcmpl-{self.request_id}",
@@ -182,32 +189,36 @@
         )
 
     async def conclude(self) -> None:
-        """Send the end: the last event with the total, or the whole answer."""
+        """Send the last events of a stream, with the token counts, or else the whole answer."""
         if not self.stream:
             headers = {"Content-Type": "application/json", "X-Request-Id": self.request_id}
             await self.answer(200, headers, self.whole())
             return
         first = b"" if self.started else await self.begin()
-        last = self._frame({}, "stop")
+        last = self._make_chunk({}, "stop")
         last["usage"] = self.usage()
         end = b"data: " + orjson.dumps(last) + b"\n\ndata: [DONE]\n\n"
         await self.responder.send(first + end)
         await self.responder.end()
 
     async def replay(self, answer: bytes) -> None:
-        """Give a remembered answer again, in the form that was asked for now."""
+        """Send the stored answer of an earlier request, as a stream if this one asked for that."""
         raw = orjson.loads(answer)
         self.parts = [raw["choices"][0]["message"]["content"]]
         self.guard.offset = raw["usage"]["completion_tokens"]
         if self.stream:
             first = await self.begin()
-            frame = self._frame({"content": self.parts[0]}, None)
-            await self.responder.send(first + b"data: " + orjson.dumps(frame) + b"\n\n")
+            chunk = self._make_chunk({"content": self.parts[0]}, None)
+            await self.responder.send(first + b"data: " + orjson.dumps(chunk) + b"\n\n")
         await self.conclude()
 
 
 def error_body(message: str, reason: str, outcome: str) -> bytes:
-    """Build an error's body; every one names its outcome."""
+    """Build the body of an error.
+
+    :param reason: its code.
+    :param outcome: ``not_run``, ``ran`` or ``unknown``.
+    """
     kind = "invalid_request_error" if outcome == "not_run" else "server_error"
     return orjson.dumps(
         {"error": {"message": message, "type": kind, "code": reason}, "outcome": outcome}
--- a/packages/rookspring/src/rookspring/following.py
+++ b/packages/rookspring/src/rookspring/following.py
@@ -1,27 +1,13 @@
-"""Loops that follow the platform: lease, box list, head, and operators' resources.
+"""Loops that read or watch the platform: lease, box list, head and operators' resources.
 
-Each backs off with jitter while the platform does not answer, so that no node
-turns an outage into a load. Relays watch; other nodes hear from them and only
-read for themselves, seldom, as a backstop.
+Each backs off with jitter while the platform does not answer, so that retries do not
+overload it after an outage. Only relays watch the head and read the box list often. Other
+nodes get revisions and box lists from relays, and read them seldom, as a backstop.
 """
 
 import asyncio
 import random
 import typing as t
-
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-
-from rookspring_core import Resource
-from rookspring_core import control_jobs
-from rookspring_core.events import BoxListReceived
-from rookspring_core.events import DesiredSeen
-from rookspring_core.events import HeadSeen
-from rookspring_core.events import IntentsSeen
-from rookspring_core.events import LeaseSeen
-from rookspring_core.events import PlatformAnswered
-
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -33,15 +19,32 @@
 from .node_context import NodeContext
 from .platform import Stored
 from .published import HEAD
-from .published import KIND
 from .published import Head
+from .published import KIND
 from .published import parse_head
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+from rookspring_core import Resource
+from rookspring_core import control_jobs
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import DesiredSeen
+from rookspring_core.events import HeadSeen
+from rookspring_core.events import IntentsSeen
+from rookspring_core.events import LeaseSeen
+from rookspring_core.events import PlatformAnswered
+
+
+
 
 A = t.TypeVar("A")
 
 
 def note(node: NodeContext, answer: Result[A, PlatformError]) -> Result[A, PlatformError]:
-    """Tell the reducer whether the platform can be reached, when that changes."""
+    """Submit whether the platform could be reached, and log it when that changes.
+
+    :return: the answer, unchanged.
+    """
     down = isinstance(answer, Failure) and isinstance(answer.failure(), PlatformUnreachable)
     if node.state.platform_reachable == down:
         log("platform_down" if down else "platform_up", "WARNING" if down else "INFO")
@@ -50,7 +53,7 @@
 
 
 async def follow_lease(node: NodeContext) -> None:
-    """Read the lease object where this node may hold it."""
+    """Read the lease object, while this node is a relay."""
     back_off = BackOff()
     while True:
         if not node.state.membership.is_relay():
@@ -77,7 +80,7 @@
 
 
 async def follow_boxes(node: NodeContext) -> None:
-    """Read the box list; relays often, the others as a backstop."""
+    """Read the box list: every ``BOX_LIST_S`` on relays, ``BOX_LIST_BACKSTOP_S`` elsewhere."""
     back_off = BackOff()
     while True:
         match note(node, await node.platform.boxes()):
@@ -93,7 +96,7 @@
 
 
 async def follow_head(node: NodeContext) -> None:
-    """Watch the published head; nodes that are no relay read it seldom."""
+    """Watch the published head as a relay; else read it every ``HEAD_BACKSTOP_S`` or so."""
     back_off = BackOff()
     since = -1
     while True:
@@ -127,9 +130,9 @@
 
 
 async def apply_head(node: NodeContext, head: Head) -> bool:
-    """Read what a newer head names and put it in force.
+    """Read the shards of a newer head and put its revision in force.
 
-    :return: whether the node is now at least at that revision.
+    :return: whether the revision in force is now that of the head or a later one.
     """
     if head.revision <= node.state.catalogue.revision:
         return True
@@ -141,7 +144,7 @@
 
 
 async def read_head_surely(node: NodeContext) -> None:
-    """Read the head and its entries for the lease holder, however long that takes."""
+    """Read the head and its entries, retried until that succeeds or the lease is lost."""
     back_off = BackOff()
     while control_jobs.holding(node.state):
         answer = note(node, await node.published.read_head())
@@ -159,7 +162,7 @@
 
 
 async def follow_desired(node: NodeContext, epoch: int) -> None:
-    """Follow operators' resources while this node holds the lease of an epoch."""
+    """List and watch operators' resources while this node holds the lease of an epoch."""
     back_off = BackOff()
     known: dict[str, Resource] = {}
     since = -1
@@ -174,7 +177,8 @@
         else:
             changes = note(node, await node.platform.watch("resource", since, defaults.WATCH_S))
             if isinstance(changes, Failure):
-                # Too old or unreachable: what is known stays until it can be listed again.
+                # What is known stays in use: after ``PlatformTooOld`` until it is listed again,
+                # else until a watch from the same version succeeds.
                 since = -1 if isinstance(changes.failure(), PlatformTooOld) else since
                 await back_off.pause()
                 continue
@@ -192,7 +196,7 @@
 
 
 async def read_intents(node: NodeContext, epoch: int) -> None:
-    """Read the intents that earlier holders left, with their versions."""
+    """Read all stored intents, of earlier lease holders too, and remember their versions."""
     back_off = BackOff()
     while node.state.control.acting_epoch == epoch:
         answer = note(node, await node.platform.list_kind("intent"))
@@ -213,5 +217,5 @@
 
 
 def listed(node: NodeContext, rows: t.Any) -> BoxListReceived:
-    """Make the event of a box list."""
+    """Build the event that a box list was received."""
     return BoxListReceived(clock.now(), tuple(rows))
--- a/packages/rookspring/src/rookspring/forwarding.py
+++ b/packages/rookspring/src/rookspring/forwarding.py
@@ -1,15 +1,14 @@
-"""Forwarding of keyed requests to the node that issued their session.
+"""Forwarding of requests with an idempotency key to the node that issued their session.
 
-Only that incarnation may start them. Where it cannot be reached, nothing is
-known of earlier sends of the same key, so the answer is ``unknown``.
+Only that incarnation of the node may start them. If it cannot be reached, whether the key was
+run before is unknown, and so is the outcome that the caller gets. Exceptions: the node wrote
+its outcomes when it was drained, or the caller declares that it sends the key for the first
+time.
 """
 
 import asyncio
 import time
 import typing as t
-
-from returns.result import Success
-
 from . import callers
 from . import defaults
 from .exceptions import CallerError
@@ -22,17 +21,23 @@
 from .node_context import NodeContext
 from .peers import Link
 from .tokens import SessionClaims
+from returns.result import Success
+
+
 
 
 class LinkResponder(Responder):
-    """Sends an answer to the node that forwarded the request."""
+    """Sends an answer over the link to the node that forwarded the request.
+
+    :param number: number of the forwarded request, by which that node finds its caller.
+    """
 
     def __init__(self, link: Link, number: int) -> None:
         self._link = link
         self._number = number
 
     async def start(self, status: int, headers: dict[str, str]) -> None:
-        """Begin the answer."""
+        """Send status and headers."""
         self._link.send(ForwardStart(self._number, status, headers))
 
     async def send(self, data: bytes) -> None:
@@ -45,7 +50,10 @@
 
 
 class PendingForward:
-    """A request that was forwarded and whose answer is on its way."""
+    """A forwarded request whose answer is not complete.
+
+    :ivar items: received parts of the answer; None when the link has broken.
+    """
 
     def __init__(self, link: Link) -> None:
         self.link = link
@@ -53,7 +61,7 @@
 
 
 async def serve_forward(node: NodeContext, link: Link, forward: Forward) -> None:
-    """Serve a request that another node's caller sent."""
+    """Serve a request that another node forwarded, and send the answer back over its link."""
     responder = LinkResponder(link, forward.number)
     try:
         exchange = callers.start(
@@ -66,14 +74,14 @@
 
 
 def take_part(node: NodeContext, item: t.Any) -> None:
-    """Hand a part of an answer to whom waits for it."""
+    """Queue a received part of an answer for the forwarded request that it belongs to."""
     pending = node.forwards.get(item.number)
     if pending is not None:
         pending.items.put_nowait(item)
 
 
 def break_off(node: NodeContext, link: Link) -> None:
-    """A stream ended: what was forwarded over it has no answer any more."""
+    """End the wait for answers that were expected over a link that has ended."""
     for pending in node.forwards.values():
         if pending.link is link:
             pending.items.put_nowait(None)
@@ -88,7 +96,7 @@
     body: bytes,
     responder: Responder,
 ) -> None:
-    """Forward a keyed request, or answer for an incarnation that has gone."""
+    """Forward a keyed request, or answer it here if the session's incarnation is not linked."""
     link = node.peers.links.get(claims.node)
     if link is None or link.incarnation != claims.incarnation:
         await answer_for_gone(node, claims, fields, responder)
@@ -100,13 +108,13 @@
     fields = {**fields, "traceparent": node.telemetry.header(span, fields.get("traceparent", ""))}
     try:
         link.send(Forward(number, kind, team, fields, body))
-        await _pass_on(node, pending, responder)
+        await _copy_answer(node, pending, responder)
     finally:
         node.forwards.pop(number, None)
         span.end()
 
 
-async def _pass_on(node: NodeContext, pending: PendingForward, responder: Responder) -> None:
+async def _copy_answer(node: NodeContext, pending: PendingForward, responder: Responder) -> None:
     started = False
     while True:
         try:
@@ -114,8 +122,8 @@
         except TimeoutError:
             item = None
         if item is None:
-            why = "the session's node broke off"
-            await _answer_unknown(responder, started, why, "node_broke_off")
+            message = "the session's node broke off"
+            await _answer_unknown(responder, started, message, "node_broke_off")
             return
         if isinstance(item, ForwardStart):
             started = True
@@ -128,9 +136,9 @@
 
 
 async def _answer_unknown(
-    responder: Responder, started: bool, why: str, code: str = "outcome_unknown"
+    responder: Responder, started: bool, message: str, code: str = "outcome_unknown"
 ) -> None:
-    body = error_body(why, code, "unknown")
+    body = error_body(message, code, "unknown")
     if started:
         await responder.send(b"event: error\ndata: " + body + b"\n\n")
     else:
@@ -139,27 +147,30 @@
     await responder.end()
 
 
-async def _answer_ended(responder: Responder) -> None:
-    text = "the session's node is out of reach and this key was not run; open a new session"
+async def _answer_session_ended(responder: Responder) -> None:
+    message = "the session's node is out of reach and this key was not run; open a new session"
     await responder.start(410, {"Content-Type": "application/json"})
-    await responder.send(error_body(text, "session_ended", "not_run"))
+    await responder.send(error_body(message, "session_ended", "not_run"))
     await responder.end()
 
 
 async def answer_for_gone(
     node: NodeContext, claims: SessionClaims, fields: dict[str, t.Any], responder: Responder
 ) -> None:
-    """Answer from the outcomes that a node wrote at its planned stop, if it did."""
+    """Answer a keyed request from the outcomes that the session's node wrote when it was drained.
+
+    Without these the outcome is unknown, unless the caller declares a first send.
+    """
     name = f"{claims.node}.{claims.incarnation}"
-    kept = await node.platform.get("outcomes", name)
+    stored_index = await node.platform.get("outcomes", name)
     session, sequence = fields["once_key"]
     page = ""
-    if isinstance(kept, Success):
-        page = str(kept.unwrap().value["sessions"].get(session, ""))
+    if isinstance(stored_index, Success):
+        page = str(stored_index.unwrap().value["sessions"].get(session, ""))
     if not page and fields["first_send"]:
-        # The caller declares that no node has had this key, and this one passed it
-        # on to none; the only one that might start it is gone.
-        await _answer_ended(responder)
+        # The caller declares that it sent this key to no other node, and this one did not forward
+        # it. The only incarnation that may start it is gone, so it was not run.
+        await _answer_session_ended(responder)
         return
     if not page:
         await _answer_unknown(responder, False, "the node that issued the session is gone")
@@ -171,8 +182,9 @@
     rows = stored.unwrap().value["sessions"][session]
     row = rows["keys"].get(str(sequence))
     if row is None and sequence > int(rows["low_water"]):
-        # That incarnation ended with this key never begun, and no other may begin it.
-        await _answer_ended(responder)
+        # No key above the low-water mark was evicted, so this one was never started; no other
+        # incarnation may start it.
+        await _answer_session_ended(responder)
         return
     if row is None or row[0] != "ran" or row[1] != fields["body_digest"]:
         await _answer_unknown(responder, False, "the outcome is no longer known")
@@ -184,7 +196,11 @@
 
 
 async def write_outcomes(node: NodeContext) -> None:
-    """Keep recent outcomes in the platform at a planned stop, in pages below its limit."""
+    """Write recent outcomes to the platform, after a drain.
+
+    They are split into pages, to stay below the platform's size limit. The object named after the
+    incarnation maps each session to its page.
+    """
     exported = node.state.once.export()
     name = f"{node.state.identity.name}.{node.state.identity.incarnation}"
     pages: list[dict[str, t.Any]] = [{}]
--- a/packages/rookspring/src/rookspring/http_platform.py
+++ b/packages/rookspring/src/rookspring/http_platform.py
@@ -1,15 +1,8 @@
-"""The platform's object service over HTTP, as the project's own protocol has it."""
-
-import typing as t
+"""Platform adapter for rookspring's own HTTP protocol of an object service."""
 
 import aiohttp
 import orjson
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-
-from rookspring_core.events import BoxListed
-
+import typing as t
 from . import defaults
 from .connections import OneConnection
 from .exceptions import PlatformConflict
@@ -24,24 +17,31 @@
 from .platform import PlatformClient
 from .platform import Stored
 from .platform import platform_adapter
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+from rookspring_core.events import BoxListed
+
+
+
 
 if t.TYPE_CHECKING:
     from .telemetry import Telemetry
 
 
 class HttpCaller:
-    """Calls over HTTP within a budget, none of which the library sends twice.
+    """Makes rate-limited HTTP calls; writes are never sent twice by the HTTP library.
 
-    :param count: is told how each call ended.
+    :param count: called with the method and the end of each call.
     """
 
     def __init__(self, base: str, count: t.Callable[[str, str], None]) -> None:
         self._base = base
         self._count = count
         self._session: aiohttp.ClientSession | None = None
-        self._budget = CallBudget(defaults.PLATFORM_CALLS_PER_S, defaults.PLATFORM_CALLS_BURST)
+        self._limiter = CallBudget(defaults.PLATFORM_CALLS_PER_S, defaults.PLATFORM_CALLS_BURST)
 
-    def _open(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession()
         return self._session
@@ -54,21 +54,24 @@
         timeout_s: float | None = None,
         headers: t.Mapping[str, str] | None = None,
     ) -> Result[tuple[int, bytes], PlatformError]:
-        """Make one call and give status and body."""
-        await self._budget.take()
+        """Make one call and return status and body.
+
+        :param timeout_s: limit of the whole call; None for the default.
+        """
+        await self._limiter.take()
         data = None if body is None else orjson.dumps(body)
-        rows = dict(headers or {})
+        all_headers = dict(headers or {})
         if data is not None:
-            rows["Content-Type"] = "application/json"
+            all_headers["Content-Type"] = "application/json"
         total_s = defaults.PLATFORM_CALL_S if timeout_s is None else timeout_s
         limit = aiohttp.ClientTimeout(total=total_s, connect=defaults.CONNECT_S)
         try:
             if method == "GET":
-                return await self._send(self._open(), method, path, rows, data, limit)
-            # The library's own resend of a write that took effect would meet its own
-            # new version, and its author would be told of a conflict.
+                return await self._send(self._get_session(), method, path, all_headers, data, limit)
+            # If the library resent a write that had taken effect, the second one would fail
+            # with a conflict, as the first had changed the version.
             async with aiohttp.ClientSession(connector=OneConnection()) as session:
-                return await self._send(session, method, path, rows, data, limit)
+                return await self._send(session, method, path, all_headers, data, limit)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             self._count(method, "unreachable")
             return Failure(PlatformUnreachable(f"{path}: {type(error).__name__}"))
@@ -90,7 +93,7 @@
             return Success((response.status, raw))
 
     async def close(self) -> None:
-        """Let connections go."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
 
@@ -98,10 +101,10 @@
 @platform_adapter("http")
 @platform_adapter("https")
 class HttpPlatform(PlatformClient):
-    """The platform over HTTP.
+    """Client of a platform over HTTP.
 
-    :param count: is told how each call ended.
-    :param telemetry: records a span of each call, a trace of its own.
+    :param count: called with the method and the end of each call.
+    :param telemetry: records each call as a span in a trace of its own; None records none.
     """
 
     def __init__(
@@ -124,7 +127,7 @@
         headers = {} if expected is None else {"If-Match": str(expected)}
         if self._telemetry is None:
             answer = await self._caller.call(method, path, body, timeout_s, headers)
-            return answer.bind(lambda pair: self._judge(path, *pair))
+            return answer.bind(lambda pair: self._to_result(path, *pair))
         span = self._telemetry.begin("platform", method=method, path=path)
         traceparent = self._telemetry.header(span)
         if traceparent:
@@ -133,20 +136,20 @@
             answer = await self._caller.call(method, path, body, timeout_s, headers)
         finally:
             span.end()
-        return answer.bind(lambda pair: self._judge(path, *pair))
+        return answer.bind(lambda pair: self._to_result(path, *pair))
 
-    def _judge(self, path: str, status: int, raw: bytes) -> Result[t.Any, PlatformError]:
+    def _to_result(self, path: str, status: int, raw: bytes) -> Result[t.Any, PlatformError]:
         if status == 200:
             return Success(orjson.loads(raw))
         text = f"{path}: {raw[:200].decode('utf-8', 'replace')}"
-        turned: dict[int, type[PlatformError]] = {
+        errors: dict[int, type[PlatformError]] = {
             404: PlatformMissing,
             409: PlatformConflict,
             410: PlatformTooOld,
             413: PlatformRefused,
             429: PlatformRefused,
         }
-        return Failure(turned.get(status, PlatformUnreachable)(text))
+        return Failure(errors.get(status, PlatformUnreachable)(text))
 
     async def get(self, kind: str, name: str) -> Result[Stored, PlatformError]:
         """Read one object."""
@@ -175,7 +178,7 @@
     async def watch(
         self, kind: str, since: int, timeout_s: float
     ) -> Result[Changes, PlatformError]:
-        """Wait for changes after a version."""
+        """Wait up to ``timeout_s`` seconds for changes after a version."""
         path = f"/watch/{kind}?from={since}&timeout_s={timeout_s}"
         answer = await self._call("GET", path, timeout_s=timeout_s + defaults.PLATFORM_CALL_S)
         return answer.map(
@@ -188,7 +191,7 @@
         return answer.map(lambda raw: tuple(BoxListed(**row) for row in raw["boxes"]))
 
     async def close(self) -> None:
-        """Let connections go."""
+        """Close all connections."""
         await self._caller.close()
 
 
--- a/packages/rookspring/src/rookspring/node.py
+++ b/packages/rookspring/src/rookspring/node.py
@@ -1,4 +1,4 @@
-"""One node: the reducer's loop, its effects performed, its servers and its tasks."""
+"""One node: passes events to the reducer, carries out its effects, runs servers and tasks."""
 
 import asyncio
 import collections
@@ -6,24 +6,6 @@
 import secrets
 import ssl
 import typing as t
-
-from rookspring_core import Identity
-from rookspring_core import InvariantBroken
-from rookspring_core import NodeState
-from rookspring_core import control_jobs
-from rookspring_core import defaults as core_defaults
-from rookspring_core import reduce
-from rookspring_core.events import BoxListed
-from rookspring_core.events import CacheEventsReceived
-from rookspring_core.events import CallerLeft
-from rookspring_core.events import DrainAsked
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import Event
-from rookspring_core.events import ReportMissed
-from rookspring_core.events import RequestArrived
-from rookspring_core.events import ResumeAsked
-from rookspring_core.events import Ticked
-
 from . import clock
 from . import defaults
 from . import following
@@ -49,12 +31,31 @@
 from .settings import Settings
 from .telemetry import Telemetry
 from .tokens import Signer
+from rookspring_core import Identity
+from rookspring_core import InvariantBroken
+from rookspring_core import NodeState
+from rookspring_core import control_jobs
+from rookspring_core import defaults as core_defaults
+from rookspring_core import reduce
+from rookspring_core.events import BoxListed
+from rookspring_core.events import CacheEventsReceived
+from rookspring_core.events import CallerLeft
+from rookspring_core.events import DrainAsked
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import Event
+from rookspring_core.events import ReportMissed
+from rookspring_core.events import RequestArrived
+from rookspring_core.events import ResumeAsked
+from rookspring_core.events import Ticked
+
+
 
 
 class Node:
     """A running node. One process runs one; the demo runs several.
 
-    :param on_broken: is called with the error when an invariant does not hold.
+    :param on_broken: called with the error when an invariant does not hold; without it, the error
+        is raised.
     """
 
     def __init__(
@@ -107,12 +108,15 @@
         self._tasks: set[asyncio.Task[t.Any]] = set()
         self.http_server: t.Any = None
         self._on_broken = on_broken
-        self._ready_told = False
+        self._ready_logged = False
 
     # Events and effects.
 
     def submit(self, event: Event) -> None:
-        """Take an event: reduce it and perform the effects."""
+        """Pass an event to the reducer and carry out the effects that it returns.
+
+        Ignored once the node is closed.
+        """
         if self.closed:
             return
         revision = self.state.catalogue.revision
@@ -125,29 +129,29 @@
             self._on_broken(error)
             return
         if self.state.catalogue.revision != revision:
-            self._applied()
+            self._revision_applied()
         for effect in effects:
             PERFORMERS[type(effect)](self, effect)
 
-    def _applied(self) -> None:
+    def _revision_applied(self) -> None:
         revision = self.state.catalogue.revision
         epoch = self.state.control.lease.epoch
         self.history.add(revision, epoch, self.state.control.entries)
         self.metrics.revision.set({}, revision)
         log("revision_applied", node=self.settings.name, revision=revision)
-        if not self._ready_told:
-            self._ready_told = True
+        if not self._ready_logged:
+            self._ready_logged = True
             log("node_ready", node=self.settings.name, revision=revision)
         self.beat()
 
     def begin(self, exchange: Exchange, event: RequestArrived | ResumeAsked) -> None:
-        """Begin a request: its exchange is known before its event is reduced."""
+        """Start a request; its exchange is registered first, as effects look it up."""
         self.exchanges[exchange.request_id] = exchange
         self.metrics.requests.inc({"target": exchange.target})
         self.submit(event)
 
     def finish(self, exchange: Exchange, outcome: str) -> None:
-        """An exchange's last byte has gone."""
+        """End an exchange whose answer has been sent or broken off, and record its outcome."""
         self.exchanges.pop(exchange.request_id, None)
         exchange.span.set_attribute("outcome", outcome)
         exchange.span.end()
@@ -156,32 +160,32 @@
         exchange.finish()
 
     def leave(self, exchange: Exchange) -> None:
-        """A caller's connection broke while it was being written to."""
+        """End an exchange whose caller's connection broke while it was written to."""
         self.submit(CallerLeft(clock.now(), exchange.request_id))
         self.finish(exchange, "left")
 
     async def answering(self, exchange: Exchange, sending: t.Awaitable[None]) -> None:
-        """Send an answer; a broken connection ends the exchange in silence."""
+        """Send an answer; if the caller's connection breaks, just end the exchange."""
         try:
             await sending
         except CallerGone:
             self.finish(exchange, "left")
 
     def count_tokens(self, count: int) -> None:
-        """Count tokens passed on."""
+        """Count tokens that were passed on to callers."""
         self.metrics.tokens.add({}, count)
 
     def _count_platform(self, method: str, end: str) -> None:
         self.metrics.platform_calls.inc({"method": method, "end": end})
 
     def spawn(self, work: t.Coroutine[t.Any, t.Any, None]) -> asyncio.Task[None]:
-        """Run work in a task of its own, which ends with the node."""
+        """Run a coroutine in a task of its own, which is cancelled when the node closes."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_ended)
         return task
 
-    def _ended(self, task: asyncio.Task[t.Any]) -> None:
+    def _task_ended(self, task: asyncio.Task[t.Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             error = task.exception()
@@ -194,16 +198,19 @@
 
     def beat(self) -> None:
         """Send a heartbeat to all linked nodes."""
-        whole = gossip.make_beat(self)
-        short = gossip.shorten_beat(whole)
+        full = gossip.make_beat(self)
+        short = gossip.shorten_beat(full)
         membership = self.state.membership
         relays = membership.relays(self.state.identity.data_centre)
         for name, link in list(self.peers.links.items()):
-            # In a large deployment rows go to the data centre's relays alone.
-            link.send(whole if membership.is_full_mesh() or name in relays else short)
+            # Without a full mesh, only the data centre's relays get the full heartbeat.
+            link.send(full if membership.is_full_mesh() or name in relays else short)
 
     def take_boxes(self, rows: tuple[BoxListed, ...], share: bool) -> None:
-        """Take a box list, and pass it on if this node read it as a relay."""
+        """Apply a box list, if it changed, and as a relay send it to all linked nodes.
+
+        :param share: this node read the list from the platform itself.
+        """
         if rows == self.boxes:
             return
         self.boxes = rows
@@ -217,14 +224,15 @@
 
     async def _poll_loop(self) -> None:
         while True:
-            due = [view for view in self.state.endpoints.values() if self._polls(view)]
+            due = [view for view in self.state.endpoints.values() if self._should_poll(view)]
             if due:
                 await asyncio.gather(*(self._poll(view.name, view.address) for view in due))
             await asyncio.sleep(defaults.REPORT_INTERVAL_S * (0.9 + 0.2 * random.random()))
 
-    def _polls(self, view: t.Any) -> bool:
-        mine = self.state.membership.poller_of(view.name, view.data_centre)
-        if mine == self.settings.name:
+    def _should_poll(self, view: t.Any) -> bool:
+        """Return whether this node is the poller of an endpoint, or its reports are overdue."""
+        poller = self.state.membership.poller_of(view.name, view.data_centre)
+        if poller == self.settings.name:
             return True
         return bool(clock.now() - view.reported_at > defaults.REPORT_MISSING_S)
 
@@ -241,15 +249,15 @@
         for link in list(self.peers.links.values()):
             link.send(item)
 
-    async def _hint_loop(self) -> None:
+    async def _cache_event_loop(self) -> None:
         while True:
             await asyncio.sleep(defaults.CACHE_EVENTS_S)
             for view in list(self.state.endpoints.values()):
-                mine = self.state.membership.poller_of(view.name, view.data_centre)
-                if view.role == "runner" and mine == self.settings.name:
-                    await self._read_hints(view.name, view.address)
+                poller = self.state.membership.poller_of(view.name, view.data_centre)
+                if view.role == "runner" and poller == self.settings.name:
+                    await self._read_cache_events(view.name, view.address)
 
-    async def _read_hints(self, name: str, address: str) -> None:
+    async def _read_cache_events(self, name: str, address: str) -> None:
         since = self._cache_positions.get(name, 0)
         after, prefixes = await self.endpoints.cache_events(address, since)
         self._cache_positions[name] = after
@@ -259,7 +267,7 @@
             for link in list(self.peers.links.values()):
                 link.send(item)
 
-    # Life.
+    # Start and stop.
 
     async def _tick_loop(self) -> None:
         while True:
@@ -267,11 +275,11 @@
             await asyncio.sleep(core_defaults.TICK_S)
 
     def ready(self) -> bool:
-        """Say whether callers may come: a revision is in force and no stop began."""
+        """Return whether callers are served: a revision is in force and no drain has begun."""
         return self.state.catalogue.revision > 0 and not self.state.leaving
 
     def update_gauges(self) -> None:
-        """Set gauges from the state, for a scrape."""
+        """Set the gauges from the state, before metrics are rendered."""
         state = self.state
         self.metrics.inflight.set({}, len(state.requests))
         self.metrics.waiting.set({}, sum(len(queue) for queue in state.queues.values()))
@@ -281,14 +289,14 @@
         self.metrics.unplaced.set({}, sum(1 for at in hosts.values() if not at))
 
     async def start(self) -> None:
-        """Listen and begin all tasks."""
+        """Open the peer and caller sockets and start all loops."""
         settings = self.settings
         await self.peers.listen(settings.host, settings.peer_port)
         self.http_server = await web.serve(self)
         for loop in (
             self._tick_loop(),
             self._poll_loop(),
-            self._hint_loop(),
+            self._cache_event_loop(),
             gossip.beat_loop(self),
             following.follow_boxes(self),
             following.follow_lease(self),
@@ -298,14 +306,17 @@
         log("node_started", node=settings.name, address=settings.caller_address)
 
     def drain(self, hurry: bool = False) -> None:
-        """Begin the planned stop; ``hurry`` skips the life of given addresses."""
+        """Start draining.
+
+        :param hurry: don't wait until the addresses that callers have cached expire.
+        """
         log("node_draining", node=self.settings.name, hurry=hurry)
         self.submit(DrainAsked(clock.now(), hurry))
 
     async def run_until_stopped(self) -> None:
-        """Wait for the end of a planned stop, then write outcomes and close."""
+        """Wait until the node is drained, then write outcomes and close."""
         await self.stopping.wait()
-        # Answers whose requests are over may still be on their way out.
+        # Requests have ended in the reducer, but their answers may still be being sent.
         while self.exchanges:
             await asyncio.sleep(0.02)
         await forwarding.write_outcomes(self)
@@ -313,7 +324,7 @@
         log("node_stopped", node=self.settings.name)
 
     async def close(self) -> None:
-        """End at once, whatever is in flight."""
+        """Close at once: cancel all tasks, with whatever is in flight, and close connections."""
         self.closed = True
         await web.close(self.http_server)
         await self.peers.close()
--- a/packages/rookspring/src/rookspring/node_context.py
+++ b/packages/rookspring/src/rookspring/node_context.py
@@ -1,19 +1,12 @@
-"""What the parts of a node take: its state, clients and calls, as a protocol.
+"""The interface of a node that its modules depend on, as a protocol.
 
-:mod:`node` has all of it and wires the parts; the parts know this alone, so that no
-circle of imports goes through the module that wires them.
+:mod:`node` implements it and imports those modules. They import this one only, which avoids
+import cycles through :mod:`node`.
 """
 
 import asyncio
 import collections
 import typing as t
-
-from rookspring_core import NodeState
-from rookspring_core.events import BoxListed
-from rookspring_core.events import Event
-from rookspring_core.events import RequestArrived
-from rookspring_core.events import ResumeAsked
-
 from .dialling import Dialler
 from .endpoints import EndpointClient
 from .exchanges import Exchange
@@ -25,10 +18,17 @@
 from .settings import Settings
 from .telemetry import Telemetry
 from .tokens import Signer
+from rookspring_core import NodeState
+from rookspring_core.events import BoxListed
+from rookspring_core.events import Event
+from rookspring_core.events import RequestArrived
+from rookspring_core.events import ResumeAsked
+
+
 
 
 class NodeContext(t.Protocol):
-    """A node as its parts see it."""
+    """A node: its state, its clients and the calls that its modules may make."""
 
     settings: Settings
     state: NodeState
@@ -42,7 +42,7 @@
     dialler: Dialler
     tls: t.Any
     exchanges: dict[str, Exchange]
-    # Forwarded requests and old revisions are of types that their own modules keep.
+    # Untyped: their types are defined in modules that import this one.
     forwards: dict[int, t.Any]
     history: t.Any
     forward_count: int
@@ -54,37 +54,43 @@
     stopping: asyncio.Event
 
     def submit(self, event: Event) -> None:
-        """Take an event: reduce it and perform the effects."""
+        """Pass an event to the reducer and carry out the effects that it returns."""
 
     def begin(self, exchange: Exchange, event: RequestArrived | ResumeAsked) -> None:
-        """Begin a request: its exchange is known before its event is reduced."""
+        """Start a request; its exchange is registered first, as effects look it up."""
 
     def finish(self, exchange: Exchange, outcome: str) -> None:
-        """An exchange's last byte has gone."""
+        """End an exchange whose answer has been sent or broken off, and record its outcome."""
 
     def leave(self, exchange: Exchange) -> None:
-        """A caller's connection broke while it was being written to."""
+        """End an exchange whose caller's connection broke while it was written to."""
 
     async def answering(self, exchange: Exchange, sending: t.Awaitable[None]) -> None:
-        """Send an answer; a broken connection ends the exchange in silence."""
+        """Send an answer; if the caller's connection breaks, just end the exchange."""
 
     def count_tokens(self, count: int) -> None:
-        """Count tokens passed on."""
+        """Count tokens that were passed on to callers."""
 
     def spawn(self, work: t.Coroutine[t.Any, t.Any, None]) -> asyncio.Task[None]:
-        """Run work in a task of its own, which ends with the node."""
+        """Run a coroutine in a task of its own, which is cancelled when the node closes."""
 
     def beat(self) -> None:
         """Send a heartbeat to all linked nodes."""
 
     def take_boxes(self, rows: tuple[BoxListed, ...], share: bool) -> None:
-        """Take a box list, and pass it on if this node read it as a relay."""
+        """Apply a box list, if it changed, and as a relay send it to all linked nodes.
+
+        :param share: this node read the list from the platform itself.
+        """
 
     def ready(self) -> bool:
-        """Say whether callers may come."""
+        """Return whether callers are served."""
 
     def update_gauges(self) -> None:
-        """Set gauges from the state, for a scrape."""
+        """Set the gauges from the state, before metrics are rendered."""
 
     def drain(self, hurry: bool = False) -> None:
-        """Begin the planned stop."""
+        """Start draining.
+
+        :param hurry: don't wait until the addresses that callers have cached expire.
+        """
--- a/packages/rookspring/src/rookspring/operators.py
+++ b/packages/rookspring/src/rookspring/operators.py
@@ -1,26 +1,12 @@
-"""The resource API: how operators declare what they want and watch what happens.
+"""The HTTP API for operators: resources, status, explanations and drain.
 
-Writes are conditional updates of the platform's objects; acceptance follows
-within seconds and shows in each resource's ``status``.
+Resources are written as objects of the platform, on the condition of a version if the request
+names one. The lease holder accepts or rejects them later, usually within seconds; each
+resource's ``status`` shows the result.
 """
 
-import typing as t
-
 import orjson
-from returns.result import Failure
-from sanic import Blueprint
-from sanic import Request
-from sanic.response import HTTPResponse
-from sanic.response import raw
-
-from rookspring_core import Resource
-from rookspring_core import ResourceInvalid
-from rookspring_core import check_resource
-from rookspring_core import control_jobs
-from rookspring_core import requests as core_requests
-from rookspring_core.organisations import digest_of
-from rookspring_core.resources import KINDS
-
+import typing as t
 from . import clock
 from .callers import json_answer
 from .exceptions import CallerError
@@ -31,6 +17,21 @@
 from .exceptions import PlatformTooOld
 from .node_context import NodeContext
 from .platform import Stored
+from returns.result import Failure
+from rookspring_core import Resource
+from rookspring_core import ResourceInvalid
+from rookspring_core import check_resource
+from rookspring_core import control_jobs
+from rookspring_core import requests as core_requests
+from rookspring_core.organisations import digest_of
+from rookspring_core.resources import KINDS
+from sanic import Blueprint
+from sanic import Request
+from sanic.response import HTTPResponse
+from sanic.response import raw
+
+
+
 
 _STATUS: dict[type[PlatformError], int] = {
     PlatformConflict: 409,
@@ -41,9 +42,9 @@
 
 
 def establish_operator(node: NodeContext, request: Request) -> None:
-    """Check that the request bears an operator's key.
+    """Check that the request carries an operator's key, from the settings or of a declared team.
 
-    :raises CallerError: 401 when it does not.
+    :raises CallerError: 401 if it does not.
     """
     bearer = request.headers.get("authorization", "")
     scheme, _, key = bearer.partition(" ")
@@ -56,7 +57,7 @@
         raise CallerError(401, "Authorization", "Bearer and an operator's key")
 
 
-def _turn(error: PlatformError) -> CallerError:
+def _to_caller_error(error: PlatformError) -> CallerError:
     status = _STATUS.get(type(error), 503)
     # An unanswered write may have taken effect; a read has no effect.
     outcome = "unknown" if status == 503 else "not_run"
@@ -70,7 +71,10 @@
 
 
 def describe(node: NodeContext, kind: str, name: str, version: int) -> dict[str, t.Any]:
-    """Build a resource's status conditions."""
+    """Build the ``status`` of a resource.
+
+    :param version: the version that the status is for; another one may be in force.
+    """
     catalogue = node.state.catalogue
     key = f"{kind}.{name}"
     accepted = catalogue.accepted.get(key, 0)
@@ -80,7 +84,7 @@
         "accepted_version": accepted,
         "reason": reason if refused_version == version else "",
         "revision": catalogue.revision,
-        "in_force_on": _in_force(node),
+        "in_force_on": _count_in_force(node),
         "nodes": node.state.membership.size() + 1,
     }
     if kind == "Model":
@@ -94,7 +98,7 @@
     return status
 
 
-def _in_force(node: NodeContext) -> int:
+def _count_in_force(node: NodeContext) -> int:
     revision = node.state.catalogue.revision
     peers = node.state.membership.peers.values()
     return 1 + sum(1 for peer in peers if peer.heard.revision >= revision)
@@ -123,7 +127,7 @@
             return await _watch(node, request, kind)
         answer = await node.platform.list_kind("resource")
         if isinstance(answer, Failure):
-            raise _turn(answer.failure())
+            raise _to_caller_error(answer.failure())
         listing = answer.unwrap()
         items = [_document(node, one) for one in listing.items if one.value["kind"] == kind]
         return json_answer({"version": listing.version, "items": items})
@@ -133,7 +137,7 @@
         establish_operator(node, request)
         answer = await node.platform.get("resource", f"{_check_kind(kind)}.{name}")
         if isinstance(answer, Failure):
-            raise _turn(answer.failure())
+            raise _to_caller_error(answer.failure())
         return json_answer(_document(node, answer.unwrap()))
 
     @routes.put("/resources/<kind:str>/<name:str>")
@@ -144,7 +148,7 @@
         value = {"kind": kind, "name": name, "spec": resource.spec}
         answer = await node.platform.put("resource", resource.key, value, expected)
         if isinstance(answer, Failure):
-            raise _turn(answer.failure())
+            raise _to_caller_error(answer.failure())
         stored = Stored(resource.key, answer.unwrap(), value)
         return json_answer(_document(node, stored))
 
@@ -155,13 +159,13 @@
         _check_unused(node, kind, name)
         answer = await node.platform.delete("resource", f"{kind}.{name}", _read_version(request))
         if isinstance(answer, Failure):
-            raise _turn(answer.failure())
+            raise _to_caller_error(answer.failure())
         return json_answer({"deleted": f"{kind}.{name}", "version": answer.unwrap()})
 
     @routes.get("/endpoints")
     async def list_endpoints(request: Request) -> HTTPResponse:
         establish_operator(node, request)
-        return json_answer({"items": _endpoints(node)})
+        return json_answer({"items": _list_endpoint_rows(node)})
 
     @routes.get("/status")
     async def show_status(request: Request) -> HTTPResponse:
@@ -194,7 +198,10 @@
 
 
 async def _watch(node: NodeContext, request: Request, kind: str) -> HTTPResponse:
-    """Give a kind's changes after a version, waiting for the first, with a bookmark."""
+    """Answer with a kind's changes after a version, and the version to continue from.
+
+    Waits up to ``timeout_s`` seconds for the first change.
+    """
     try:
         since = int(request.args.get("from", "0"))
         timeout_s = min(30.0, max(0.0, float(request.args.get("timeout_s", "10"))))
@@ -202,7 +209,7 @@
         raise CallerError(400, "from, timeout_s", "numbers were expected") from None
     answer = await node.platform.watch("resource", since, timeout_s)
     if isinstance(answer, Failure):
-        raise _turn(answer.failure())
+        raise _to_caller_error(answer.failure())
     changes = answer.unwrap()
     items: list[dict[str, t.Any]] = []
     for one in changes.items:
@@ -250,7 +257,7 @@
         raise CallerError(409, "name", text)
 
 
-def _endpoints(node: NodeContext) -> list[dict[str, t.Any]]:
+def _list_endpoint_rows(node: NodeContext) -> list[dict[str, t.Any]]:
     now = clock.now()
     rows: list[dict[str, t.Any]] = []
     for view in sorted(node.state.endpoints.values(), key=lambda one: one.name):
@@ -283,7 +290,7 @@
 
 
 def status_of(node: NodeContext) -> dict[str, t.Any]:
-    """Build what the person on call asks for first."""
+    """Build the overview of this node and what it knows of the cluster, for ``/status``."""
     state = node.state
     identity = state.identity
     unplaced = [name for name, at in control_jobs.resident_models(state).items() if not at]
@@ -312,7 +319,7 @@
         "lease_holder": state.control.lease.holder,
         "lease_epoch": state.control.lease.epoch,
         "revision": state.catalogue.revision,
-        "in_force_on": _in_force(node),
+        "in_force_on": _count_in_force(node),
         "nodes": sorted(nodes, key=lambda one: str(one["name"])),
         "models": len(state.catalogue.models),
         "models_not_resident": sorted(unplaced),
@@ -323,7 +330,7 @@
         "keys": keys,
         "moves": state.control.moves,
         "refusals": dict(node.refusal_counts),
-        "endpoints": _endpoints(node),
+        "endpoints": _list_endpoint_rows(node),
     }
 
 
--- a/packages/rookspring/src/rookspring/performers.py
+++ b/packages/rookspring/src/rookspring/performers.py
@@ -1,11 +1,22 @@
-"""Performers of effects, each registered by the effect's type."""
+"""Functions that carry out the reducer's effects, each registered for one type of effect."""
 
 import asyncio
 import typing as t
-
+from . import attempts
+from . import clock
+from . import defaults
+from . import following
+from .evidence import encode_evidence
+from .evidence import tell_verdict
+from .exceptions import PlatformConflict
+from .exchanges import ChatExchange
+from .exchanges import error_body
+from .leavings import encode_leaving
+from .logs import log
+from .messages import Down
+from .node_context import NodeContext
 from returns.result import Failure
 from returns.result import Success
-
 from rookspring_core.effects import Announce
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
@@ -30,19 +41,8 @@
 from rookspring_core.events import Published
 from rookspring_core.events import RevisionSeen
 
-from . import attempts
-from . import clock
-from . import defaults
-from . import following
-from .evidence import encode_evidence
-from .evidence import tell_verdict
-from .exceptions import PlatformConflict
-from .exchanges import ChatExchange
-from .exchanges import error_body
-from .leavings import encode_leaving
-from .logs import log
-from .messages import Down
-from .node_context import NodeContext
+
+
 
 Performer = t.Callable[[NodeContext, t.Any], None]
 PERFORMERS: dict[type[t.Any], Performer] = {}
@@ -50,7 +50,7 @@
 
 
 def performs(effect_type: type[t.Any]) -> t.Callable[[F], F]:
-    """Register the performer of an effect type."""
+    """Register the function that carries out effects of a type."""
 
     def register(function: F) -> F:
         PERFORMERS[effect_type] = function
@@ -72,7 +72,7 @@
 
 @performs(AttachStream)
 def attach(node: NodeContext, effect: AttachStream) -> None:
-    """Start to read on from a running stream."""
+    """Continue, in a task of its own, to read a stream that already runs."""
     exchange = node.exchanges.get(effect.request_id)
     task = node.spawn(attempts.run_attach(node, effect))
     if exchange is not None:
@@ -81,7 +81,7 @@
 
 @performs(Refuse)
 def refuse(node: NodeContext, effect: Refuse) -> None:
-    """Answer with an error, at once."""
+    """Send the caller an error, unless its exchange has ended."""
     exchange = node.exchanges.get(effect.request_id)
     if exchange is None:
         return
@@ -98,7 +98,7 @@
     async def send() -> None:
         body = error_body(effect.message, effect.reason, effect.outcome)
         if exchange.started:
-            # Headers are gone, so the error is the stream's last event.
+            # The headers have been sent, so the error is the last event of the stream.
             await exchange.responder.send(b"event: error\ndata: " + body + b"\n\n")
             await exchange.responder.end()
         else:
@@ -114,27 +114,33 @@
 
 @performs(ShareDown)
 def share_down(node: NodeContext, effect: ShareDown) -> None:
-    """Tell the linked nodes that nothing listens at an endpoint."""
+    """Send the linked nodes that nothing listens at an endpoint's address."""
     for link in list(node.peers.links.values()):
         link.send(Down(effect.endpoint))
 
 
 @performs(ShareEvidence)
 def share_evidence(node: NodeContext, effect: ShareEvidence) -> None:
-    """Tell the linked nodes of requests under which endpoints ended; what is news goes on there."""
-    told = encode_evidence(effect.evidence, clock.now())
+    """Send evidence of crashes to the linked nodes, except the one that it came from.
+
+    Each of them forwards what is new to it.
+    """
+    message = encode_evidence(effect.evidence, clock.now())
     for name, link in list(node.peers.links.items()):
         if name != effect.source:
-            link.send(told)
+            link.send(message)
 
 
 @performs(ShareLeaving)
 def share_leaving(node: NodeContext, effect: ShareLeaving) -> None:
-    """Tell the linked nodes of endpoints that leave; what is news goes on there."""
-    told = encode_leaving(effect.rows, clock.now())
+    """Send which endpoints are leaving to the linked nodes, except the one that it came from.
+
+    Each of them forwards what is new to it.
+    """
+    message = encode_leaving(effect.rows, clock.now())
     for name, link in list(node.peers.links.items()):
         if name != effect.source:
-            link.send(told)
+            link.send(message)
 
 
 @performs(VerdictFound)
@@ -145,7 +151,7 @@
 
 @performs(Replay)
 def replay(node: NodeContext, effect: Replay) -> None:
-    """Give a remembered answer again."""
+    """Answer with the stored answer of an earlier request with the same key."""
     exchange = node.exchanges.get(effect.request_id)
     if exchange is None:
         return
@@ -163,7 +169,11 @@
 
 @performs(Cancel)
 def cancel(node: NodeContext, effect: Cancel) -> None:
-    """Stop reading now; stop the engine's stream after a grace, unless it is resumed."""
+    """Stop reading the answer, and after ``CANCEL_GRACE_S`` cancel the engine's stream.
+
+    In between another node can resume the stream; the engine then ignores the cancel, as a
+    later reader has taken over.
+    """
     exchange = node.exchanges.get(effect.request_id)
     view = node.state.endpoints.get(effect.endpoint)
     if exchange is None:
@@ -182,12 +192,12 @@
 
 @performs(Forget)
 def forget(node: NodeContext, effect: Forget) -> None:
-    """Nothing to do: the exchange goes when its last byte has."""
+    """Do nothing: ``finish`` removes the exchange once its answer has ended."""
 
 
 @performs(WriteLease)
 def write_lease(node: NodeContext, effect: WriteLease) -> None:
-    """Write the lease object on its version."""
+    """Write the lease object, provided that its version is unchanged."""
     asked_at = clock.now()
     value = {
         "holder": node.settings.name if effect.nonce else "",
@@ -211,7 +221,7 @@
 
 @performs(ReadDesired)
 def read_desired(node: NodeContext, effect: ReadDesired) -> None:
-    """Follow operators' resources for as long as the lease is held."""
+    """Follow operators' resources while the lease is held, and read earlier holders' intents."""
     log("lease_acquired", node=node.settings.name, epoch=effect.epoch)
     node.spawn(following.follow_desired(node, effect.epoch))
     node.spawn(following.read_intents(node, effect.epoch))
@@ -219,13 +229,13 @@
 
 @performs(ReadHead)
 def read_head(node: NodeContext, effect: ReadHead) -> None:
-    """Read the head and its entries, until that succeeds."""
+    """Read the head and its entries, retried until that succeeds."""
     node.spawn(following.read_head_surely(node))
 
 
 @performs(Publish)
 def publish(node: NodeContext, effect: Publish) -> None:
-    """Write shards and move the head."""
+    """Write the shards, update the head and submit how that ended."""
 
     async def write() -> None:
         answer = await node.published.publish(
@@ -248,7 +258,10 @@
 
 @performs(WriteIntent)
 def write_intent(node: NodeContext, effect: WriteIntent) -> None:
-    """Record an order before it is sent; the object's version fences other holders."""
+    """Record an order before it is sent.
+
+    The write is conditional, so it fails if another lease holder has written since.
+    """
     value = {"epoch": effect.epoch, "rows": [list(row) for row in effect.rows]}
 
     async def write() -> None:
@@ -269,7 +282,7 @@
 
 @performs(SendOrder)
 def send_order(node: NodeContext, effect: SendOrder) -> None:
-    """Give an endpoint an order."""
+    """Send an endpoint an order, and submit its answer."""
     view = node.state.endpoints.get(effect.endpoint)
     incarnation = view.report.incarnation if view and view.report else ""
     log(
@@ -301,11 +314,11 @@
 
 @performs(Announce)
 def announce(node: NodeContext, effect: Announce) -> None:
-    """Tell the other nodes at once."""
+    """Send a heartbeat now, so that the other nodes get the new state at once."""
     node.beat()
 
 
 @performs(Stop)
 def stop(node: NodeContext, effect: Stop) -> None:
-    """Let the process end."""
+    """Mark the node as drained, upon which it closes."""
     node.stopping.set()
--- a/packages/rookspring/src/rookspring/platform.py
+++ b/packages/rookspring/src/rookspring/platform.py
@@ -1,21 +1,21 @@
-"""What rookspring needs of a platform's object store, and the registry of its adapters.
+"""The interface to a platform's object store, and the registry of its adapters.
 
-Every call is counted and taken from a budget, so that no fault of ours can
-become a load on the platform. Answers come as ``Result``; what cannot be known
-(a write whose answer never came) is :class:`PlatformUnreachable`.
+Adapters count every call and limit their rate, so that a fault in rookspring cannot overload
+the platform. Calls return a ``Result``. A write without an answer, which may have taken
+effect, fails with :class:`PlatformUnreachable`.
 """
 
 import abc
 import asyncio
 import importlib
 import typing as t
-
+from . import clock
+from .exceptions import PlatformError
 from returns.result import Result
-
 from rookspring_core.events import BoxListed
 
-from . import clock
-from .exceptions import PlatformError
+
+
 
 if t.TYPE_CHECKING:
     from .telemetry import Telemetry
@@ -24,8 +24,8 @@
 class Stored(t.NamedTuple):
     """One object with its version.
 
-    :param era: how often the store had come back from a copy when it gave this. Versions go
-        back with it, so they are ordered within an era only.
+    :param era: how often the store had been restored from a copy when it answered. A restore
+        also resets versions to older ones, so they are ordered within an era only.
     """
 
     name: str
@@ -35,19 +35,22 @@
 
     @property
     def position(self) -> tuple[int, int]:
-        """Where the store stood, in an order that holds over eras."""
+        """Era and version, which are ordered across restores too."""
         return self.era, self.version
 
 
 class Listing(t.NamedTuple):
-    """All objects of a kind and the version to watch from."""
+    """All objects of a kind, and the version from which to watch for changes."""
 
     version: int
     items: tuple[Stored, ...]
 
 
 class Changes(t.NamedTuple):
-    """Changes since a version and the bookmark to go on from; a value None is a deletion."""
+    """Changes after a version, and the version to continue from.
+
+    An item whose value is None was deleted.
+    """
 
     version: int
     items: tuple[Stored, ...]
@@ -55,12 +58,12 @@
 
 P = t.TypeVar("P", bound=type["PlatformClient"])
 PLATFORMS: dict[str, type["PlatformClient"]] = {}
-# Modules that register an adapter of our own when it is first asked for.
+# Modules with rookspring's own adapters, imported when a scheme is first used.
 BUILT_IN = {"http": ".http_platform", "https": ".http_platform"}
 
 
 def platform_adapter(scheme: str) -> t.Callable[[P], P]:
-    """Register an adapter for a scheme of the ``platform`` setting."""
+    """Register an adapter for a URL scheme of the ``platform`` setting."""
 
     def register(cls: P) -> P:
         PLATFORMS[scheme] = cls
@@ -70,10 +73,10 @@
 
 
 class PlatformClient(abc.ABC):
-    """What rookspring needs of a platform. Writes are conditional on a version."""
+    """Client of a platform's object store. Writes can be made conditional on a version."""
 
-    # Is told the era that an answer names, before the answer itself is taken; gives the newest
-    # that is known.
+    # Called with the era of an answer before the answer is processed; returns the newest era
+    # known.
     hear_era: t.Callable[[int], int] = staticmethod(lambda era: era)
 
     @abc.abstractmethod
@@ -88,52 +91,65 @@
     async def put(
         self, kind: str, name: str, value: t.Any, expected: int | None
     ) -> Result[int, PlatformError]:
-        """Write an object; ``expected`` 0 means that it must not exist yet."""
+        """Write an object and return its new version.
+
+        :param expected: version that it must have; 0 if it must not exist yet, None for any.
+        """
 
     @abc.abstractmethod
     async def delete(
         self, kind: str, name: str, expected: int | None
     ) -> Result[int, PlatformError]:
-        """Delete an object."""
+        """Delete an object.
+
+        :param expected: version that it must have; None for any.
+        """
 
     @abc.abstractmethod
     async def watch(
         self, kind: str, since: int, timeout_s: float
     ) -> Result[Changes, PlatformError]:
-        """Wait for changes after a version."""
+        """Wait up to ``timeout_s`` seconds for changes after a version."""
 
     @abc.abstractmethod
     async def boxes(self) -> Result[tuple[BoxListed, ...], PlatformError]:
-        """Read the list of boxes, which lags."""
+        """Read the list of boxes, which may be out of date."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Let connections go."""
+        """Close all connections."""
 
 
 class CallBudget:
-    """Bounds the calls of one node, whatever asks for them."""
+    """Token bucket that limits the calls that one client makes to the platform.
+
+    :param rate: calls per second.
+    :param burst: calls that may be made at once.
+    """
 
     def __init__(self, rate: float, burst: float) -> None:
         self.rate = rate
         self.burst = burst
-        self._level = burst
-        self._at = 0.0
+        self._available = burst
+        self._refilled_at = 0.0
 
     async def take(self) -> None:
-        """Wait until a call may be made."""
+        """Wait until a call may be made, and count it."""
         now = clock.now()
-        self._level = min(self.burst, self._level + (now - self._at) * self.rate)
-        self._at = now
-        self._level -= 1.0
-        if self._level < 0.0:
-            await asyncio.sleep(-self._level / self.rate)
+        self._available = min(self.burst, self._available + (now - self._refilled_at) * self.rate)
+        self._refilled_at = now
+        self._available -= 1.0
+        if self._available < 0.0:
+            await asyncio.sleep(-self._available / self.rate)
 
 
 def open_platform(
     address: str, count: t.Callable[[str, str], None], telemetry: "Telemetry | None" = None
 ) -> PlatformClient:
-    """Make the client that the address's scheme names."""
+    """Create the client for the scheme of an address.
+
+    :param count: called with the method and the end of each call.
+    """
     scheme = address.partition("://")[0]
     if scheme in BUILT_IN:
         importlib.import_module(BUILT_IN[scheme], __package__)
--- a/packages/rookspring/src/rookspring/published.py
+++ b/packages/rookspring/src/rookspring/published.py
@@ -1,34 +1,37 @@
-"""Publication in the platform: immutable shards behind one small head.
+"""Publication in the platform: immutable shards and one small head object that lists them.
 
-A shard is named by its content, so an unchanged one is neither written nor read
-again. Only the head is moved, by conditional update; it names all its shards,
-so a reader sees one whole revision or another, never a mixture.
+A shard's name is a hash of its content, so an unchanged shard is neither written nor read
+again. Only the head is updated, by a conditional write. As it lists all shards of its
+revision, a reader never mixes two revisions.
 """
 
 import hashlib
-import typing as t
-
 import orjson
+import typing as t
+from .exceptions import PlatformConflict
+from .exceptions import PlatformError
+from .exceptions import PlatformMissing
+from .platform import PlatformClient
 from returns.result import Failure
 from returns.result import Result
 from returns.result import Success
-
 from rookspring_core import Entry
 from rookspring_core import Resource
 from rookspring_core.acceptance import shard_of
 from rookspring_core.events import RevisionSeen
 
-from .exceptions import PlatformConflict
-from .exceptions import PlatformError
-from .exceptions import PlatformMissing
-from .platform import PlatformClient
+
+
 
 KIND = "published"
 HEAD = "head"
 
 
 class Head(t.NamedTuple):
-    """The head object and the platform's version of it."""
+    """The head object, with its version in the platform.
+
+    :param shards: name of each shard by its number.
+    """
 
     version: int
     revision: int
@@ -40,26 +43,26 @@
 
 
 def encode_entry(entry: Entry) -> list[t.Any]:
-    """Turn an entry into plain data."""
+    """Encode an entry as JSON values."""
     return [list(entry.resource) if entry.resource else None, *entry[1:]]
 
 
 def decode_entry(raw: t.Any) -> Entry:
-    """Turn plain data into an entry."""
+    """Decode an entry from JSON values."""
     resource = Resource(*raw[0]) if raw[0] else None
     return Entry(resource, int(raw[1]), str(raw[2]))
 
 
 class PublishedStore:
-    """Reads and writes publications, with the shards of the last one at hand."""
+    """Reads and writes publications, and caches the shards of the last one."""
 
     def __init__(self, platform: PlatformClient) -> None:
         self._platform = platform
         self._shards: dict[str, dict[str, Entry]] = {}
-        self._names: list[frozenset[str]] = []
+        self._recent_shards: list[frozenset[str]] = []
 
     async def read_head(self) -> Result[Head, PlatformError]:
-        """Read the head; an absent one is revision 0."""
+        """Read the head; ``EMPTY_HEAD``, of revision 0, if there is none."""
         answer = await self._platform.get(KIND, HEAD)
         match answer:
             case Success(stored):
@@ -69,28 +72,29 @@
         return Failure(answer.failure())
 
     async def read_revision(self, head: Head, now: float) -> Result[RevisionSeen, PlatformError]:
-        """Read the shards of a head that are not at hand yet."""
+        """Read the shards of a head that are not cached, and return all of its entries."""
         entries: dict[str, Entry] = {}
         shards: dict[str, dict[str, Entry]] = {}
         for name in head.shards.values():
-            known = self._shards.get(name)
-            if known is None:
+            cached = self._shards.get(name)
+            if cached is None:
                 answer = await self._platform.get(KIND, name)
                 if isinstance(answer, Failure):
                     return Failure(answer.failure())
                 raw = answer.unwrap().value["entries"]
-                known = {key: decode_entry(one) for key, one in raw.items()}
-            shards[name] = known
-            entries.update(known)
+                cached = {key: decode_entry(one) for key, one in raw.items()}
+            shards[name] = cached
+            entries.update(cached)
         self._shards = shards
         return Success(RevisionSeen(now, head.revision, head.epoch, entries))
 
     async def publish(
         self, revision: int, epoch: int, expected: int, entries: t.Mapping[str, Entry]
     ) -> Result[int, PlatformError]:
-        """Write the shards that changed, then move the head.
+        """Write the shards that changed, then update the head.
 
-        :return: the platform's version of the new head.
+        :param expected: version that the head must have now.
+        :return: version of the updated head.
         """
         parts: dict[int, dict[str, t.Any]] = {}
         decoded: dict[int, dict[str, Entry]] = {}
@@ -108,28 +112,28 @@
             if name in self._shards:
                 continue
             answer = await self._platform.put(KIND, name, {"entries": part}, 0)
-            # A conflict means that the same content is there already.
+            # On a conflict the shard exists already, with the same content.
             if isinstance(answer, Failure) and not isinstance(answer.failure(), PlatformConflict):
                 return Failure(answer.failure())
         head = {"revision": revision, "epoch": epoch, "shards": names}
         answer = await self._platform.put(KIND, HEAD, head, expected)
         if isinstance(answer, Success):
             self._shards = shards
-            self._names.append(frozenset(names.values()))
+            self._recent_shards.append(frozenset(names.values()))
         return answer
 
     async def sweep(self, keep: int) -> None:
-        """Delete shards that none of the last ``keep`` heads names.
+        """Delete shards that none of the last ``keep`` heads published here lists.
 
         A reader of an older head finds a shard missing and reads the head again.
         """
-        while len(self._names) > keep:
-            dropped = self._names.pop(0)
-            kept = frozenset().union(*self._names)
+        while len(self._recent_shards) > keep:
+            dropped = self._recent_shards.pop(0)
+            kept = frozenset().union(*self._recent_shards)
             for name in sorted(dropped - kept):
                 await self._platform.delete(KIND, name, None)
 
 
 def parse_head(version: int, value: t.Mapping[str, t.Any]) -> Head:
-    """Turn the head's value into a head."""
+    """Decode the head object."""
     return Head(version, int(value["revision"]), int(value["epoch"]), dict(value["shards"]))
--- a/packages/rookspring/src/rookspring/reading.py
+++ b/packages/rookspring/src/rookspring/reading.py
@@ -1,21 +1,21 @@
-"""Reading and checking of callers' requests; every fault names its field."""
+"""Parsing and checks of callers' requests; each error names the faulty field."""
 
 import hashlib
 import math
+import orjson
 import re
 import typing as t
-
-import orjson
-from sanic import Request
-
-from rookspring_core import defaults as core_defaults
-from rookspring_core.organisations import digest_of
-
 from .exceptions import CallerError
 from .node_context import NodeContext
 from .tokens import SessionClaims
+from rookspring_core import defaults as core_defaults
+from rookspring_core.organisations import digest_of
+from sanic import Request
+
 
-_KEY = re.compile(r"^(?P<session>[\w.=-]{8,512})/(?P<sequence>\d{1,15})$")
+
+
+_IDEMPOTENCY_KEY = re.compile(r"^(?P<session>[\w.=-]{8,512})/(?P<sequence>\d{1,15})$")
 _HOP_HEADERS = {
     "authorization",
     "connection",
@@ -31,9 +31,9 @@
 
 
 def establish_team(node: NodeContext, request: Request) -> str:
-    """Give the team whose key the request bears.
+    """Return the team whose key the request carries.
 
-    :raises CallerError: 401 when there is none.
+    :raises CallerError: 401 if there is none.
     """
     bearer = request.headers.get("authorization", "")
     scheme, _, key = bearer.partition(" ")
@@ -44,10 +44,10 @@
     return str(team)
 
 
-def _read_deadline(request: Request, otherwise_s: float) -> float:
+def _read_deadline(request: Request, default_s: float) -> float:
     text = request.headers.get("x-rookspring-deadline-ms")
     if text is None:
-        return otherwise_s
+        return default_s
     try:
         value = float(text) / 1000.0
     except ValueError:
@@ -58,10 +58,10 @@
     return value
 
 
-def _read_priority(request: Request, otherwise: str) -> str:
+def _read_priority(request: Request, default: str) -> str:
     text = request.headers.get("x-rookspring-priority")
     if text is None:
-        return otherwise
+        return default
     if text not in core_defaults.PRIORITY_RANK:
         names = ", ".join(core_defaults.PRIORITY_RANK)
         raise CallerError(400, "X-Rookspring-Priority", f"one of {names}")
@@ -77,7 +77,7 @@
         if session is not None:
             node.signer.read_session(session, "X-Rookspring-Session")
         return None
-    found = _KEY.match(text)
+    found = _IDEMPOTENCY_KEY.match(text)
     if found is None:
         expected = "SESSION/SEQUENCE, with a session from POST /v1/sessions and a whole number"
         raise CallerError(400, "Idempotency-Key", expected)
@@ -87,8 +87,8 @@
     return claims, (found["session"], int(found["sequence"]))
 
 
-def _read_first(request: Request) -> bool:
-    """Say whether the caller declares that it sends a key for the first time."""
+def _read_first_send(request: Request) -> bool:
+    """Return whether the caller declares that it sends this key for the first time."""
     text = request.headers.get("x-rookspring-attempt")
     if text is None:
         return False
@@ -98,7 +98,10 @@
 
 
 class ChatFields(t.TypedDict):
-    """What a chat request asks for, after all checks."""
+    """The checked fields of a chat request.
+
+    :param total: most tokens of the answer.
+    """
 
     model: str
     adapter: str
@@ -114,9 +117,9 @@
 
 
 def read_body(request: Request) -> dict[str, t.Any]:
-    """Decode a JSON object.
+    """Decode the body, a JSON object.
 
-    :raises CallerError: when the body is none.
+    :raises CallerError: if it is anything else.
     """
     try:
         body = orjson.loads(request.body or b"")
@@ -157,9 +160,9 @@
 
 
 def read_chat(node: NodeContext, request: Request, team: str) -> ChatFields:
-    """Check a chat request.
+    """Parse and check a chat request.
 
-    :raises CallerError: naming the field at fault.
+    :raises CallerError: naming the faulty field.
     """
     body = read_body(request)
     name = body.get("model")
@@ -186,13 +189,13 @@
         deadline_s=_read_deadline(request, spec.deadline_s),
         once_key=keyed[1] if keyed else None,
         body_digest=hashlib.sha256(request.body).hexdigest(),
-        first_send=_read_first(request),
+        first_send=_read_first_send(request),
         traceparent=request.headers.get("traceparent", ""),
     )
 
 
 class ServiceFields(t.TypedDict):
-    """What a call of a plain service asks for, after all checks."""
+    """The checked fields of a call of a plain service."""
 
     service: str
     method: str
@@ -210,9 +213,9 @@
 def read_service(
     node: NodeContext, request: Request, team: str, service: str, path: str
 ) -> ServiceFields:
-    """Check a call of a plain service.
+    """Parse and check a call of a plain service.
 
-    :raises CallerError: naming the field at fault.
+    :raises CallerError: naming the faulty field.
     """
     spec = node.state.catalogue.services.get(service)
     if spec is None:
@@ -241,6 +244,6 @@
         deadline_s=_read_deadline(request, spec.deadline_s),
         once_key=keyed[1] if keyed else None,
         body_digest=digest.hexdigest(),
-        first_send=_read_first(request),
+        first_send=_read_first_send(request),
         traceparent=request.headers.get("traceparent", ""),
     )
--- a/packages/rookspring/src/rookspring/tokens.py
+++ b/packages/rookspring/src/rookspring/tokens.py
@@ -1,19 +1,22 @@
-"""Signed identifiers: sessions and resume grants, with keys that can be rotated."""
+"""Signed session identifiers and event ids, with keys that can be rotated."""
 
+import orjson
 import secrets
 import typing as t
-
-import orjson
+from .exceptions import CallerError
 from itsdangerous import BadSignature
 from itsdangerous import Signer as PlainSigner
 from itsdangerous.encoding import base64_decode
 from itsdangerous.encoding import base64_encode
 
-from .exceptions import CallerError
+
 
 
 class SessionClaims(t.NamedTuple):
-    """What a session identifier says: who issued it, and for which team."""
+    """Content of a session identifier.
+
+    :param node: node that issued it, with its ``incarnation``.
+    """
 
     node: str
     incarnation: str
@@ -22,9 +25,12 @@
 
 
 class ResumeGrant(t.NamedTuple):
-    """What a resume token says: whose stream lies where, and its first offset.
+    """Content of a stream's event ids, which allows any node to resume the stream.
 
+    :param endpoint: endpoint that runs the stream.
+    :param stream: name of the stream at that endpoint.
     :param base: offset in the whole answer of the engine stream's first token.
+    :param total: most tokens of the whole answer.
     """
 
     team: str
@@ -37,7 +43,7 @@
 
 
 class Signer:
-    """Signs with the first key; verifies with any, so that keys can be rotated."""
+    """Signs with the first key and verifies with any of them, so that keys can be rotated."""
 
     def __init__(self, keys: t.Sequence[str]) -> None:
         newest_last = list(reversed(keys))
@@ -45,14 +51,14 @@
         self._grants = PlainSigner(newest_last, salt="resume")
 
     def issue_session(self, node: str, incarnation: str, team: str) -> str:
-        """Make a session identifier."""
+        """Create a session identifier."""
         claims = SessionClaims(node, incarnation, team, secrets.token_hex(6))
         return _sign(self._sessions, claims)
 
     def read_session(self, text: str, field: str) -> SessionClaims:
         """Verify a session identifier.
 
-        :raises CallerError: when it was not issued here or was altered.
+        :raises CallerError: if it was not signed with one of the keys, or was altered.
         """
         try:
             return SessionClaims(*_verify(self._sessions, text))
@@ -60,13 +66,13 @@
             raise CallerError(400, field, "a session issued by POST /v1/sessions") from None
 
     def issue_grant(self, grant: ResumeGrant) -> str:
-        """Make the signed part of a stream's event ids."""
+        """Create the signed part of a stream's event ids."""
         return _sign(self._grants, grant)
 
     def read_event_id(self, text: str) -> tuple[ResumeGrant, int]:
         """Verify an event id, ``GRANT~OFFSET``.
 
-        :raises CallerError: when it was not issued here or was altered.
+        :raises CallerError: if it was not signed with one of the keys, or was altered.
         """
         signed, _, offset = text.partition("~")
         expected = "an event id that this system sent"
@@ -80,7 +86,7 @@
 
 
 def _sign(signer: PlainSigner, claims: tuple[t.Any, ...]) -> str:
-    # No compression: it costs more time than the bytes it saves are worth here.
+    # Not compressed: for texts this short the time costs more than the bytes saved.
     return signer.sign(base64_encode(orjson.dumps(list(claims)))).decode()
 
 
