--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -1,11 +1,13 @@
 import asyncio
+
 from behave import given
 from behave import then
 from behave import when
 from returns.result import Success
+
 from rookspring import clock
 from rookspring import defaults
-from rookspring.endpoints import Generate
+from rookspring.endpoints import GenerationRequest
 from rookspring.endpoints import HttpEndpoint
 from rookspring.exceptions import EndpointError
 from rookspring.exceptions import PlatformConflict
@@ -30,8 +32,6 @@
 from rookspring_fakes import serve
 from rookspring_platform import ObjectStore
 
-
-
 ENDS = {
     PlatformConflict: "conflict",
     PlatformMissing: "missing",
@@ -189,7 +189,7 @@
         return {True: "accepted", False: "refused", None: "unanswered"}[accepted]
 
     def generate(self, offset):
-        generation = Generate("s", "m", "", "prompt", 5, 1, offset)
+        generation = GenerationRequest("s", "m", "", "prompt", 5, 1, offset)
         return self.client.generate(self.served.address, generation, "")
 
     async def read(self, chunks):
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -14,7 +14,7 @@
 from relay_stage import RelayStage
 from relay_stage import request
 
-from rookspring.platform import Stored
+from rookspring.platform import StoredObject
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
 from rookspring_fakes import ModelServer
@@ -104,7 +104,7 @@
 @then("it names no endpoint, and the error names {told}")
 def names_none(context, told):
     try:
-        read = read_entry(Stored("i1", 1, context.entry), 0.0)
+        read = read_entry(StoredObject("i1", 1, context.entry), 0.0)
     except ValueError as error:
         assert told in str(error), error
     else:
@@ -113,7 +113,7 @@
 
 def check_entry(raw):
     try:
-        row, report = read_entry(Stored("i1", 1, raw), 0.0)
+        row, report = read_entry(StoredObject("i1", 1, raw), 0.0)
     except ValueError as error:
         assert str(error)
         return
@@ -133,7 +133,7 @@
 @then("{entries:d} drawn entries and {reports:d} drawn reports are read whole, or refused")
 def drawn_shapes(context, entries, reports):
     draw(changed(GOOD), check_entry, entries)
-    _, known = read_entry(Stored("i1", 1, GOOD), 0.0)
+    _, known = read_entry(StoredObject("i1", 1, GOOD), 0.0)
 
     def check_report(raw):
         report = read_report(json.dumps(raw).encode(), known, 1.0)
@@ -181,7 +181,7 @@
         {"name": f"m{one}", "version": 1, "adapters": [f"a{two}@1" for two in range(adapters)]}
         for one in range(models)
     ]
-    stored = Stored("i1", 1, GOOD | {"models": held})
+    stored = StoredObject("i1", 1, GOOD | {"models": held})
     began = time.process_time()
     for _ in range(count):
         read_entry(stored, 0.0)
--- a/features/steps/organisation_steps.py
+++ b/features/steps/organisation_steps.py
@@ -18,7 +18,7 @@
 from rookspring import relay
 from rookspring.dialect import Errand
 from rookspring.http_messages import HttpRequest
-from rookspring.platform import Stored
+from rookspring.platform import StoredObject
 from rookspring_core import keys
 from rookspring_core.events import NearLimitReceived
 from rookspring_core.events import RequestArrived
@@ -74,7 +74,7 @@
 
 
 def read_raw(raw):
-    return configuration.read_table(Stored("main", 3, raw))
+    return configuration.read_table(StoredObject("main", 3, raw))
 
 
 def relay_node_with(table):
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -15,7 +15,7 @@
 from rookspring.exceptions import SettingsError
 from rookspring.http_messages import HttpHead
 from rookspring.http_messages import HttpRequest
-from rookspring.platform import Stored
+from rookspring.platform import StoredObject
 from rookspring_platform import PlatformDialect
 from rookspring_platform import configuration
 from rookspring_platform import endpoints
@@ -133,7 +133,7 @@
 
 
 def decoded_entry(**changed):
-    return endpoints.read_entry(Stored("i-1", 3, {**ENTRY, **changed}), 1.0)[1]
+    return endpoints.read_entry(StoredObject("i-1", 3, {**ENTRY, **changed}), 1.0)[1]
 
 
 DECODED = {
--- a/features/steps/relay_key_steps.py
+++ b/features/steps/relay_key_steps.py
@@ -7,7 +7,7 @@
 from relay_stage import configuration
 from relay_stage import request
 
-from rookspring.platform import Stored
+from rookspring.platform import StoredObject
 
 
 def tenants(*keys):
@@ -47,7 +47,7 @@
         asked = asyncio.create_task(send(context, key, ms))
         await asyncio.sleep(seconds)
         peers.take_stored = take
-        peers.take_stored(Stored("main", 99, raw))
+        peers.take_stored(StoredObject("main", 99, raw))
         return await asked
 
     context.answer = context.loop.run(work())
--- a/features/steps/relay_socket_steps.py
+++ b/features/steps/relay_socket_steps.py
@@ -13,7 +13,7 @@
 from rookspring import clock
 from rookspring.exceptions import SettingsError
 from rookspring.messages import TableGiven
-from rookspring.platform import Stored
+from rookspring.platform import StoredObject
 from rookspring_fakes.model_server import EVENTS
 
 SAFE_HEADERS = {"host", "x-rookspring-request-id", "content-length"}
@@ -248,7 +248,7 @@
         await asyncio.sleep(0.1)
         if given != "none":
             item = TableGiven(int(given), configuration(int(given)))
-            peers.take_table(Stored("main", item.version, item.value), "node n2")
+            peers.take_table(StoredObject("main", item.version, item.value), "node n2")
 
     context.loop.run(work())
 
--- a/features/steps/socket_steps.py
+++ b/features/steps/socket_steps.py
@@ -1,21 +1,21 @@
-import aiohttp
 import asyncio
 import hashlib
 import json
-import openai
 import os
+
+import aiohttp
+import openai
 from aiohttp import web
 from behave import given
 from behave import then
 from behave import when
+
 from rookspring.endpoints import HttpEndpoint
 from rookspring.exceptions import EndpointError
 from rookspring_fakes import Caller
 from rookspring_fakes import serve
 from rookspring_fakes.caller import expected_text
 
-
-
 MODEL = "pitwall-llm-00"
 CHAT = {"model": MODEL, "messages": [{"role": "user", "content": "hi"}], "max_tokens": 5}
 AUTH = {"Authorization": "Bearer demo"}
--- a/features/steps/store_copy_socket_steps.py
+++ b/features/steps/store_copy_socket_steps.py
@@ -42,7 +42,7 @@
         host, port = site._server.sockets[0].getsockname()[:2]
         stage.log_lines.clear()
         client = store_module.ObjectStore(f"objects://{host}:{port}", lambda method, end: None)
-        client.hear_era = stage.node.context.platform.hear_era
+        client.record_era = stage.node.context.platform.record_era
         context.answer = await client.list_kind("any")
         context.lines = list(stage.log_lines)
         await client.close()
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -25,7 +25,7 @@
 from rookspring import relay_suspects
 from rookspring.messages import decode
 from rookspring.peers import Link
-from rookspring.platform import Stored
+from rookspring.platform import StoredObject
 from rookspring_core import allotment_checks
 from rookspring_core import defaults as core_defaults
 from rookspring_core.allotments import WindowTolerance
@@ -135,7 +135,7 @@
     # The store.
 
     @property
-    def table(self) -> Stored:
+    def table(self) -> StoredObject:
         """The configuration as the store holds it."""
         found = self.store.get(TABLE, "main")
         assert found is not None
@@ -188,7 +188,7 @@
         if not self.deaf or node.state.table is None:
             node.peers.take_stored(self.table)
 
-    def store_rows(self, since: int) -> tuple[tuple[Stored, ...], int, bool]:
+    def store_rows(self, since: int) -> tuple[tuple[StoredObject, ...], int, bool]:
         """Give what changed since a revision, the revision now, and whether that is all.
 
         Where the store has no such revision it says so, and is asked for all.
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -12,7 +12,7 @@
 from rookspring import relay_slots
 from rookspring import relay_suspects
 from rookspring.messages import encode
-from rookspring.platform import Stored
+from rookspring.platform import StoredObject
 from rookspring.reach import Reach
 from rookspring.relay_following import row_again_s
 from rookspring.relay_lists import EndpointList
@@ -123,7 +123,7 @@
         """Name the configuration."""
         return "main"
 
-    def read_table(self, row: Stored) -> RouteTable | None:
+    def read_table(self, row: StoredObject) -> RouteTable | None:
         """Read a configuration: a version, and organisations where there are any."""
         version, rows = row.value
         directory = None
@@ -134,7 +134,7 @@
             )
         return RouteTable(version, {}, {}, CallerLimits(0, 0, 0.0, 0.0), directory)
 
-    def read_endpoint(self, row: Stored, now: float) -> tuple[BoxListed, EndpointReported]:
+    def read_endpoint(self, row: StoredObject, now: float) -> tuple[BoxListed, EndpointReported]:
         """Read an endpoint's entry."""
         state, model, born = row.value
         listed = BoxListed(
@@ -303,7 +303,7 @@
         asked_in = self.state.store_era
         fleet.at(fleet.now + takes_s, lambda: fleet.hand(self, come))
 
-    def take_listed(self, rows: tuple[Stored, ...], whole: bool, source: str) -> None:
+    def take_listed(self, rows: tuple[StoredObject, ...], whole: bool, source: str) -> None:
         """Take a list from another node."""
         self.list.take_told(rows, whole and source == self.state.topology.followed)
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_store.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_store.py
@@ -6,7 +6,7 @@
 
 import typing as t
 
-from rookspring.platform import Stored
+from rookspring.platform import StoredObject
 
 # Kinds of the fleet's objects.
 ENDPOINTS = "endpoints"
@@ -19,7 +19,7 @@
     """All that the store held at a moment."""
 
     revision: int
-    objects: dict[tuple[str, str], Stored]
+    objects: dict[tuple[str, str], StoredObject]
 
 
 class FleetStore:
@@ -29,12 +29,12 @@
         self.era = 0
         self.revision = 1
         self.away = False
-        self._objects: dict[tuple[str, str], Stored] = {}
+        self._objects: dict[tuple[str, str], StoredObject] = {}
 
     def put(self, kind: str, name: str, value: t.Any) -> int:
         """Write an object, whatever is there."""
         self.revision += 1
-        self._objects[(kind, name)] = Stored(name, self.revision, value, self.era)
+        self._objects[(kind, name)] = StoredObject(name, self.revision, value, self.era)
         return self.revision
 
     def put_if(self, kind: str, name: str, value: t.Any, expected: int) -> int | None:
@@ -47,19 +47,19 @@
             return None
         return self.put(kind, name, value)
 
-    def get(self, kind: str, name: str) -> Stored | None:
+    def get(self, kind: str, name: str) -> StoredObject | None:
         """Read one object."""
         found = self._objects.get((kind, name))
         if found is None or found.value is None:
             return None
         return found._replace(era=self.era)
 
-    def rows(self, kind: str) -> tuple[Stored, ...]:
+    def rows(self, kind: str) -> tuple[StoredObject, ...]:
         """Read all objects of a kind."""
         rows = (one for (its_kind, _), one in self._objects.items() if its_kind == kind)
         return tuple(one._replace(era=self.era) for one in rows if one.value is not None)
 
-    def changes(self, kind: str, since: int) -> tuple[Stored, ...] | None:
+    def changes(self, kind: str, since: int) -> tuple[StoredObject, ...] | None:
         """Read what changed after a revision; None where the store has no such revision."""
         if since > self.revision:
             return None
--- a/packages/rookspring/src/rookspring/attempts.py
+++ b/packages/rookspring/src/rookspring/attempts.py
@@ -2,16 +2,7 @@
 
 import asyncio
 import typing as t
-from . import clock
-from . import defaults
-from .connections import refuses
-from .endpoints import Chunk
-from .endpoints import Generate
-from .exceptions import CallerGone
-from .exceptions import EndpointError
-from .exchanges import ChatExchange
-from .exchanges import ServiceExchange
-from .node_context import NodeContext
+
 from rookspring_core import notice_handlers
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Dispatch
@@ -22,7 +13,16 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-
+from . import clock
+from . import defaults
+from .connections import refuses
+from .endpoints import Chunk
+from .endpoints import GenerationRequest
+from .exceptions import CallerGone
+from .exceptions import EndpointError
+from .exchanges import ChatExchange
+from .exchanges import ServiceExchange
+from .node_context import NodeContext
 
 
 async def run_attempt(node: NodeContext, effect: Dispatch) -> None:
@@ -53,7 +53,7 @@
         await _check_down(error, view.address)
         _fail(node, effect, error)
     except CallerGone:
-        node.leave(exchange)
+        node.handle_disconnect(exchange)
     finally:
         span.end()
 
@@ -102,8 +102,8 @@
 ) -> None:
     # Request ids are random, so streams of different nodes do not collide at an engine.
     stream = f"{exchange.request_id}.{effect.attempt}"
-    exchange.prepare(node.signer, effect.endpoint, stream, effect.offset)
-    generation = Generate(
+    exchange.prepare_events(node.signer, effect.endpoint, stream, effect.offset)
+    generation = GenerationRequest(
         stream=stream,
         model=exchange.model,
         adapter=exchange.adapter,
@@ -134,7 +134,7 @@
         await _check_down(error, view.address)
         _fail(node, effect, error)
     except CallerGone:
-        node.leave(exchange)
+        node.handle_disconnect(exchange)
     finally:
         span.end()
 
@@ -185,12 +185,12 @@
 async def _finish_chat(
     node: NodeContext, effect: Dispatch | AttachStream, exchange: ChatExchange
 ) -> None:
-    answer = exchange.whole()
+    answer = exchange.build_answer()
     node.metrics.attempts.inc({"end": "whole"})
     # The outcome is recorded before the last bytes are sent. If the caller's connection breaks
     # on them, a retry with the same key gets the stored answer.
     node.submit(AttemptSucceeded(clock.now(), effect.request_id, effect.attempt, 200, answer))
-    await exchange.conclude()
+    await exchange.finish_answer()
     node.finish(exchange, "ran")
 
 
--- a/packages/rookspring/src/rookspring/callers.py
+++ b/packages/rookspring/src/rookspring/callers.py
@@ -4,14 +4,29 @@
 """
 
 import asyncio
-import orjson
 import secrets
 import typing as t
 import zlib
+
+import orjson
+from sanic import Blueprint
+from sanic import Request
+from sanic.exceptions import SanicException
+from sanic.response import HTTPResponse
+from sanic.response import raw
+
+from rookspring_core import cluster
+from rookspring_core import defaults as core_defaults
+from rookspring_core.events import CallerLeft
+from rookspring_core.events import RequestArrived
+from rookspring_core.events import ResumeAsked
+from rookspring_core.events import SessionOpened
+from rookspring_core.fingerprints import make_fingerprint
+
 from . import clock
 from . import defaults
 from . import forwarding
-from . import reading
+from . import request_parsing
 from .exceptions import CallerError
 from .exceptions import CallerGone
 from .exchanges import ChatExchange
@@ -19,21 +34,6 @@
 from .exchanges import Responder
 from .exchanges import ServiceExchange
 from .node_context import NodeContext
-from rookspring_core import cluster
-from rookspring_core import defaults as core_defaults
-from rookspring_core.events import CallerLeft
-from rookspring_core.events import RequestArrived
-from rookspring_core.events import ResumeAsked
-from rookspring_core.events import SessionOpened
-from rookspring_core.fingerprints import make_fingerprint
-from sanic import Blueprint
-from sanic import Request
-from sanic.exceptions import SanicException
-from sanic.response import HTTPResponse
-from sanic.response import raw
-
-
-
 
 
 class SanicResponder(Responder):
@@ -85,7 +85,7 @@
     await responder.end()
 
 
-def start(
+def start_request(
     node: NodeContext, kind: str, team: str, fields: t.Any, body: bytes, responder: Responder
 ) -> Exchange:
     """Start a request at this node.
@@ -100,7 +100,7 @@
 
 
 def _start_chat(
-    node: NodeContext, team: str, fields: reading.ChatFields, responder: Responder
+    node: NodeContext, team: str, fields: request_parsing.ChatFields, responder: Responder
 ) -> Exchange:
     span = node.telemetry.begin("entry", fields["traceparent"], model=fields["model"])
     exchange = ChatExchange(
@@ -143,7 +143,11 @@
 
 
 def _start_service(
-    node: NodeContext, team: str, fields: reading.ServiceFields, body: bytes, responder: Responder
+    node: NodeContext,
+    team: str,
+    fields: request_parsing.ServiceFields,
+    body: bytes,
+    responder: Responder,
 ) -> Exchange:
     span = node.telemetry.begin("entry", fields["traceparent"], service=fields["service"])
     exchange = ServiceExchange(
@@ -200,7 +204,7 @@
         if (claims.node, claims.incarnation) != (identity.name, identity.incarnation):
             await forwarding.forward(node, claims, kind, team, fields, request.body, responder)
             return
-    exchange = start(node, kind, team, fields, request.body, responder)
+    exchange = start_request(node, kind, team, fields, request.body, responder)
     await _wait(node, exchange)
 
 
@@ -226,7 +230,7 @@
 
     @routes.get("/v1/models")
     async def list_models(request: Request) -> HTTPResponse:
-        reading.establish_team(node, request)
+        request_parsing.authenticate_team(node, request)
         catalogue = node.state.catalogue
         names = list(catalogue.models)
         names += [f"{spec.model}:{name}" for name, spec in catalogue.adapters.items()]
@@ -238,7 +242,7 @@
 
     @routes.post("/v1/sessions")
     async def open_session(request: Request) -> HTTPResponse:
-        team = reading.establish_team(node, request)
+        team = request_parsing.authenticate_team(node, request)
         if node.state.leaving:
             raise CallerError(503, "session", "a node that is not leaving; ask for addresses")
         identity = node.state.identity
@@ -249,20 +253,22 @@
 
     @routes.post("/v1/chat/completions")
     async def complete_chat(request: Request) -> None:
-        team = reading.establish_team(node, request)
+        team = request_parsing.authenticate_team(node, request)
         event_id = request.headers.get("last-event-id")
         if event_id:
             await _resume(node, request, team, event_id)
             return
-        await _serve_or_forward(node, request, "chat", team, reading.read_chat(node, request, team))
+        await _serve_or_forward(
+            node, request, "chat", team, request_parsing.read_chat(node, request, team)
+        )
 
     @routes.route(  # type: ignore[untyped-decorator]
         "/v1/services/<service:str>/<path:path>",
         methods=["GET", "POST", "PUT", "PATCH", "DELETE"],
     )
     async def call_service(request: Request, service: str, path: str) -> None:
-        team = reading.establish_team(node, request)
-        fields = reading.read_service(node, request, team, service, path)
+        team = request_parsing.authenticate_team(node, request)
+        fields = request_parsing.read_service(node, request, team, service, path)
         await _serve_or_forward(node, request, "service", team, fields)
 
     return routes
@@ -277,8 +283,8 @@
     grant, offset = node.signer.read_event_id(event_id)
     if grant.team != team:
         raise CallerError(403, "Last-Event-ID", "an event id of your own team")
-    fields = reading.read_chat(node, request, team)
-    text = reading.read_body(request).get("resume_text", "")
+    fields = request_parsing.read_chat(node, request, team)
+    text = request_parsing.read_body(request).get("resume_text", "")
     if not isinstance(text, str):
         raise CallerError(400, "resume_text", "the text received so far")
     if fields["model"] != grant.model or fields["total"] != grant.total:
@@ -300,7 +306,7 @@
         offset=offset,
         text=text,
     )
-    exchange.prepare(node.signer, grant.endpoint, grant.stream, grant.base)
+    exchange.prepare_events(node.signer, grant.endpoint, grant.stream, grant.base)
     exchange.reader = 1
     now = clock.now()
     node.begin(
--- a/packages/rookspring/src/rookspring/dialect.py
+++ b/packages/rookspring/src/rookspring/dialect.py
@@ -15,7 +15,7 @@
 from .http_messages import Header
 from .http_messages import HttpHead
 from .http_messages import HttpRequest
-from .platform import Stored
+from .platform import StoredObject
 
 
 class Ask(t.NamedTuple):
@@ -137,11 +137,11 @@
         """Say whether a request is the platform's own readiness check."""
 
     @abc.abstractmethod
-    def read_table(self, stored: Stored) -> RouteTable | None:
+    def read_table(self, stored: StoredObject) -> RouteTable | None:
         """Read a configuration; None for objects that are none."""
 
     @abc.abstractmethod
-    def read_endpoint(self, stored: Stored, now: float) -> tuple[BoxListed, EndpointReported]:
+    def read_endpoint(self, stored: StoredObject, now: float) -> tuple[BoxListed, EndpointReported]:
         """Read an endpoint's entry; raises ``ValueError`` when it is malformed."""
 
     @abc.abstractmethod
--- a/packages/rookspring/src/rookspring/performers.py
+++ b/packages/rookspring/src/rookspring/effect_handlers.py
@@ -2,21 +2,10 @@
 
 import asyncio
 import typing as t
-from . import attempts
-from . import clock
-from . import defaults
-from . import following
-from .evidence import encode_evidence
-from .evidence import tell_verdict
-from .exceptions import PlatformConflict
-from .exchanges import ChatExchange
-from .exchanges import error_body
-from .leavings import encode_leaving
-from .logs import log
-from .messages import Down
-from .node_context import NodeContext
+
 from returns.result import Failure
 from returns.result import Success
+
 from rookspring_core.effects import Announce
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
@@ -41,25 +30,36 @@
 from rookspring_core.events import Published
 from rookspring_core.events import RevisionSeen
 
+from . import attempts
+from . import clock
+from . import defaults
+from . import platform_loops
+from .evidence import encode_evidence
+from .evidence import tell_verdict
+from .exceptions import PlatformConflict
+from .exchanges import ChatExchange
+from .exchanges import error_body
+from .leavings import encode_leaving
+from .logs import log
+from .messages import Down
+from .node_context import NodeContext
 
-
-
-Performer = t.Callable[[NodeContext, t.Any], None]
-PERFORMERS: dict[type[t.Any], Performer] = {}
+EffectHandler = t.Callable[[NodeContext, t.Any], None]
+EFFECT_HANDLERS: dict[type[t.Any], EffectHandler] = {}
 F = t.TypeVar("F", bound=t.Callable[..., None])
 
 
-def performs(effect_type: type[t.Any]) -> t.Callable[[F], F]:
+def handles_effect(effect_type: type[t.Any]) -> t.Callable[[F], F]:
     """Register the function that carries out effects of a type."""
 
     def register(function: F) -> F:
-        PERFORMERS[effect_type] = function
+        EFFECT_HANDLERS[effect_type] = function
         return function
 
     return register
 
 
-@performs(Dispatch)
+@handles_effect(Dispatch)
 def dispatch(node: NodeContext, effect: Dispatch) -> None:
     """Start an attempt in a task of its own."""
     exchange = node.exchanges.get(effect.request_id)
@@ -70,8 +70,8 @@
         exchange.task = task
 
 
-@performs(AttachStream)
-def attach(node: NodeContext, effect: AttachStream) -> None:
+@handles_effect(AttachStream)
+def attach_stream(node: NodeContext, effect: AttachStream) -> None:
     """Continue, in a task of its own, to read a stream that already runs."""
     exchange = node.exchanges.get(effect.request_id)
     task = node.spawn(attempts.run_attach(node, effect))
@@ -79,7 +79,7 @@
         exchange.task = task
 
 
-@performs(Refuse)
+@handles_effect(Refuse)
 def refuse(node: NodeContext, effect: Refuse) -> None:
     """Send the caller an error, unless its exchange has ended."""
     exchange = node.exchanges.get(effect.request_id)
@@ -109,17 +109,17 @@
             await exchange.answer(effect.status, headers, body)
         node.finish(exchange, effect.outcome)
 
-    node.spawn(node.answering(exchange, send()))
+    node.spawn(node.send_answer(exchange, send()))
 
 
-@performs(ShareDown)
+@handles_effect(ShareDown)
 def share_down(node: NodeContext, effect: ShareDown) -> None:
     """Send the linked nodes that nothing listens at an endpoint's address."""
     for link in list(node.peers.links.values()):
         link.send(Down(effect.endpoint))
 
 
-@performs(ShareEvidence)
+@handles_effect(ShareEvidence)
 def share_evidence(node: NodeContext, effect: ShareEvidence) -> None:
     """Send evidence of crashes to the linked nodes, except the one that it came from.
 
@@ -131,7 +131,7 @@
             link.send(message)
 
 
-@performs(ShareLeaving)
+@handles_effect(ShareLeaving)
 def share_leaving(node: NodeContext, effect: ShareLeaving) -> None:
     """Send which endpoints are leaving to the linked nodes, except the one that it came from.
 
@@ -143,13 +143,13 @@
             link.send(message)
 
 
-@performs(VerdictFound)
-def perform_verdict(node: NodeContext, effect: VerdictFound) -> None:
+@handles_effect(VerdictFound)
+def record_verdict(node: NodeContext, effect: VerdictFound) -> None:
     """Log and count a verdict."""
     tell_verdict(node.metrics, effect)
 
 
-@performs(Replay)
+@handles_effect(Replay)
 def replay(node: NodeContext, effect: Replay) -> None:
     """Answer with the stored answer of an earlier request with the same key."""
     exchange = node.exchanges.get(effect.request_id)
@@ -164,10 +164,10 @@
             await exchange.answer(effect.status, headers, effect.answer)
         node.finish(exchange, "ran")
 
-    node.spawn(node.answering(exchange, send()))
+    node.spawn(node.send_answer(exchange, send()))
 
 
-@performs(Cancel)
+@handles_effect(Cancel)
 def cancel(node: NodeContext, effect: Cancel) -> None:
     """Stop reading the answer, and after ``CANCEL_GRACE_S`` cancel the engine's stream.
 
@@ -190,12 +190,12 @@
     node.spawn(stop())
 
 
-@performs(Forget)
+@handles_effect(Forget)
 def forget(node: NodeContext, effect: Forget) -> None:
     """Do nothing: ``finish`` removes the exchange once its answer has ended."""
 
 
-@performs(WriteLease)
+@handles_effect(WriteLease)
 def write_lease(node: NodeContext, effect: WriteLease) -> None:
     """Write the lease object, provided that its version is unchanged."""
     asked_at = clock.now()
@@ -219,21 +219,21 @@
     node.spawn(write())
 
 
-@performs(ReadDesired)
+@handles_effect(ReadDesired)
 def read_desired(node: NodeContext, effect: ReadDesired) -> None:
     """Follow operators' resources while the lease is held, and read earlier holders' intents."""
     log("lease_acquired", node=node.settings.name, epoch=effect.epoch)
-    node.spawn(following.follow_desired(node, effect.epoch))
-    node.spawn(following.read_intents(node, effect.epoch))
+    node.spawn(platform_loops.follow_desired(node, effect.epoch))
+    node.spawn(platform_loops.read_intents(node, effect.epoch))
 
 
-@performs(ReadHead)
+@handles_effect(ReadHead)
 def read_head(node: NodeContext, effect: ReadHead) -> None:
     """Read the head and its entries, retried until that succeeds."""
-    node.spawn(following.read_head_surely(node))
+    node.spawn(platform_loops.read_head_until_success(node))
 
 
-@performs(Publish)
+@handles_effect(Publish)
 def publish(node: NodeContext, effect: Publish) -> None:
     """Write the shards, update the head and submit how that ended."""
 
@@ -256,7 +256,7 @@
     node.spawn(write())
 
 
-@performs(WriteIntent)
+@handles_effect(WriteIntent)
 def write_intent(node: NodeContext, effect: WriteIntent) -> None:
     """Record an order before it is sent.
 
@@ -274,13 +274,13 @@
                 won = True
             case Failure(PlatformConflict()):
                 won = False
-                await following.read_intents(node, effect.epoch)
+                await platform_loops.read_intents(node, effect.epoch)
         node.submit(IntentWritten(clock.now(), effect.endpoint, effect.sequence, won))
 
     node.spawn(write())
 
 
-@performs(SendOrder)
+@handles_effect(SendOrder)
 def send_order(node: NodeContext, effect: SendOrder) -> None:
     """Send an endpoint an order, and submit its answer."""
     view = node.state.endpoints.get(effect.endpoint)
@@ -312,13 +312,13 @@
     node.spawn(send())
 
 
-@performs(Announce)
+@handles_effect(Announce)
 def announce(node: NodeContext, effect: Announce) -> None:
     """Send a heartbeat now, so that the other nodes get the new state at once."""
-    node.beat()
+    node.send_heartbeat()
 
 
-@performs(Stop)
+@handles_effect(Stop)
 def stop(node: NodeContext, effect: Stop) -> None:
     """Mark the node as drained, upon which it closes."""
     node.stopping.set()
--- a/packages/rookspring/src/rookspring/endpoints.py
+++ b/packages/rookspring/src/rookspring/endpoints.py
@@ -5,19 +5,19 @@
 """
 
 import abc
-import aiohttp
 import functools
-import orjson
 import typing as t
+
+import aiohttp
+import orjson
 import yarl
-from . import defaults
-from .connections import OneConnection
-from .exceptions import EndpointError
+
 from rookspring_core.effects import SendOrder
 from rookspring_core.events import EndpointReported
 
-
-
+from . import defaults
+from .connections import OneConnection
+from .exceptions import EndpointError
 
 
 class Chunk(t.NamedTuple):
@@ -32,7 +32,7 @@
     total: int = -1
 
 
-class Generate(t.NamedTuple):
+class GenerationRequest(t.NamedTuple):
     """A request to a runner.
 
     :param stream: name of the stream, unique at the runner.
@@ -59,14 +59,14 @@
 
 
 C = t.TypeVar("C", bound=type["EndpointClient"])
-ENDPOINTS: dict[str, type["EndpointClient"]] = {}
+ENDPOINT_CLIENTS: dict[str, type["EndpointClient"]] = {}
 
 
 def endpoint_adapter(name: str) -> t.Callable[[C], C]:
     """Register a client class for a protocol of endpoints."""
 
     def register(cls: C) -> C:
-        ENDPOINTS[name] = cls
+        ENDPOINT_CLIENTS[name] = cls
         return cls
 
     return register
@@ -77,7 +77,7 @@
 
     @abc.abstractmethod
     def generate(
-        self, address: str, asked: Generate, traceparent: str
+        self, address: str, generation: GenerationRequest, traceparent: str
     ) -> t.AsyncGenerator[Chunk, None]:
         """Run a request and stream its tokens; raises :class:`EndpointError`."""
 
@@ -153,18 +153,18 @@
         return self._session
 
     async def generate(
-        self, address: str, asked: Generate, traceparent: str
+        self, address: str, generation: GenerationRequest, traceparent: str
     ) -> t.AsyncGenerator[Chunk, None]:
         """Run a request and stream its tokens."""
         body = {
-            "id": asked.stream,
-            "model": asked.model,
-            "adapter": asked.adapter,
-            "prompt": asked.prompt,
-            "max_tokens": asked.max_tokens,
-            "rank": asked.rank,
-            "offset": asked.offset,
-            "prefix": asked.prefix,
+            "id": generation.stream,
+            "model": generation.model,
+            "adapter": generation.adapter,
+            "prompt": generation.prompt,
+            "max_tokens": generation.max_tokens,
+            "rank": generation.rank,
+            "offset": generation.offset,
+            "prefix": generation.prefix,
         }
         headers = {"traceparent": traceparent} if traceparent else {}
         request = self._get_session().post(
--- a/packages/rookspring/src/rookspring/exchanges.py
+++ b/packages/rookspring/src/rookspring/exchanges.py
@@ -2,17 +2,17 @@
 
 import abc
 import asyncio
-import orjson
 import time
 import typing as t
-from . import clock
-from .tokens import ResumeGrant
-from .tokens import Signer
-from opentelemetry import trace
-from rookspring_core.streams import StreamGuard
 
+import orjson
+from opentelemetry import trace
 
+from rookspring_core.streams import StreamGuard
 
+from . import clock
+from .signing import ResumeGrant
+from .signing import Signer
 
 
 class Responder(abc.ABC):
@@ -53,7 +53,7 @@
         self.responder = responder
         self.span = span
         self.traceparent = traceparent
-        self.arrived = clock.now()
+        self.arrived_at = clock.now()
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.started = False
         self.task: asyncio.Task[None] | None = None
@@ -94,8 +94,8 @@
         self.total: int = fields["total"]
         self.rank: int = fields["rank"]
         self.stream: bool = fields["stream"]
-        self.offset0: int = fields.get("offset", 0)
-        self.guard = StreamGuard(0, self.offset0)
+        self.initial_offset: int = fields.get("offset", 0)
+        self.guard = StreamGuard(0, self.initial_offset)
         self.parts: list[str] = [fields["text"]] if fields.get("text") else []
         self.created = int(time.time())
         self.reader = 0
@@ -104,11 +104,11 @@
         self._event_tail = b""
         self._event_id = b""
 
-    def shown_model(self) -> str:
+    def requested_model(self) -> str:
         """Return the model's name as the caller wrote it, with the adapter if there is one."""
         return f"{self.model}:{self.adapter}" if self.adapter else self.model
 
-    def prepare(self, signer: Signer, endpoint: str, stream: str, base: int) -> None:
+    def prepare_events(self, signer: Signer, endpoint: str, stream: str, base: int) -> None:
         """Build the parts that are the same in every event of an attempt, signed only once.
 
         :param base: offset in the whole answer of the engine stream's first token.
@@ -128,7 +128,7 @@
             "id": f"chatcmpl-{self.request_id}",
             "object": "chat.completion.chunk",
             "created": self.created,
-            "model": self.shown_model(),
+            "model": self.requested_model(),
             "choices": [{"index": 0, "delta": delta, "finish_reason": finish}],
         }
 
@@ -137,17 +137,17 @@
         text = "".join(tokens)
         self.parts.append(text)
         if self.first_token_s is None:
-            self.first_token_s = clock.now() - self.arrived
+            self.first_token_s = clock.now() - self.arrived_at
         if not self.stream:
             return
         offset = str(self.guard.offset).encode()
         event = self._event_id + offset + self._event_head + orjson.dumps(text) + self._event_tail
         if not self.started:
             # The role and the first token are sent together.
-            event = await self.begin() + event
+            event = await self.start_stream() + event
         await self.responder.send(event)
 
-    async def begin(self) -> bytes:
+    async def start_stream(self) -> bytes:
         """Send the headers of a stream, and return its first event, which contains the role."""
         self.started = True
         headers = {
@@ -169,14 +169,14 @@
             "total_tokens": prompt + total,
         }
 
-    def whole(self) -> bytes:
+    def build_answer(self) -> bytes:
         """Return the whole answer as one JSON object."""
         return orjson.dumps(
             {
                 "id": f"chatcmpl-{self.request_id}",
                 "object": "chat.completion",
                 "created": self.created,
-                "model": self.shown_model(),
+                "model": self.requested_model(),
                 "choices": [
                     {
                         "index": 0,
@@ -188,13 +188,13 @@
             }
         )
 
-    async def conclude(self) -> None:
+    async def finish_answer(self) -> None:
         """Send the last events of a stream, with the token counts, or else the whole answer."""
         if not self.stream:
             headers = {"Content-Type": "application/json", "X-Request-Id": self.request_id}
-            await self.answer(200, headers, self.whole())
+            await self.answer(200, headers, self.build_answer())
             return
-        first = b"" if self.started else await self.begin()
+        first = b"" if self.started else await self.start_stream()
         last = self._make_chunk({}, "stop")
         last["usage"] = self.usage()
         end = b"data: " + orjson.dumps(last) + b"\n\ndata: [DONE]\n\n"
@@ -207,10 +207,10 @@
         self.parts = [raw["choices"][0]["message"]["content"]]
         self.guard.offset = raw["usage"]["completion_tokens"]
         if self.stream:
-            first = await self.begin()
+            first = await self.start_stream()
             chunk = self._make_chunk({"content": self.parts[0]}, None)
             await self.responder.send(first + b"data: " + orjson.dumps(chunk) + b"\n\n")
-        await self.conclude()
+        await self.finish_answer()
 
 
 def error_body(message: str, reason: str, outcome: str) -> bytes:
--- a/packages/rookspring/src/rookspring/forwarding.py
+++ b/packages/rookspring/src/rookspring/forwarding.py
@@ -9,6 +9,9 @@
 import asyncio
 import time
 import typing as t
+
+from returns.result import Success
+
 from . import callers
 from . import defaults
 from .exceptions import CallerError
@@ -20,10 +23,7 @@
 from .messages import ForwardStart
 from .node_context import NodeContext
 from .peers import Link
-from .tokens import SessionClaims
-from returns.result import Success
-
-
+from .signing import SessionClaims
 
 
 class LinkResponder(Responder):
@@ -64,7 +64,7 @@
     """Serve a request that another node forwarded, and send the answer back over its link."""
     responder = LinkResponder(link, forward.number)
     try:
-        exchange = callers.start(
+        exchange = callers.start_request(
             node, forward.kind, forward.team, forward.fields, forward.body, responder
         )
     except CallerError as error:
@@ -73,14 +73,14 @@
     await exchange.done
 
 
-def take_part(node: NodeContext, item: t.Any) -> None:
+def deliver_part(node: NodeContext, item: t.Any) -> None:
     """Queue a received part of an answer for the forwarded request that it belongs to."""
     pending = node.forwards.get(item.number)
     if pending is not None:
         pending.items.put_nowait(item)
 
 
-def break_off(node: NodeContext, link: Link) -> None:
+def fail_pending(node: NodeContext, link: Link) -> None:
     """End the wait for answers that were expected over a link that has ended."""
     for pending in node.forwards.values():
         if pending.link is link:
@@ -99,7 +99,7 @@
     """Forward a keyed request, or answer it here if the session's incarnation is not linked."""
     link = node.peers.links.get(claims.node)
     if link is None or link.incarnation != claims.incarnation:
-        await answer_for_gone(node, claims, fields, responder)
+        await answer_from_outcomes(node, claims, fields, responder)
         return
     node.forward_count += 1
     number = node.forward_count
@@ -154,7 +154,7 @@
     await responder.end()
 
 
-async def answer_for_gone(
+async def answer_from_outcomes(
     node: NodeContext, claims: SessionClaims, fields: dict[str, t.Any], responder: Responder
 ) -> None:
     """Answer a keyed request from the outcomes that the session's node wrote when it was drained.
--- a/packages/rookspring/src/rookspring/gossip.py
+++ b/packages/rookspring/src/rookspring/gossip.py
@@ -74,7 +74,7 @@
             if receiver is not None:
                 receiver(node, link, item)
     finally:
-        forwarding.break_off(node, link)
+        forwarding.fail_pending(node, link)
         if node.peers.links.get(link.name) is link:
             node.submit(PeerLost(clock.now(), link.name))
 
@@ -127,10 +127,10 @@
         greet_merged(node, link)
     revision = node.state.catalogue.revision
     now = clock.now()
-    if beat.revision > max(revision, node.wanted[0]) or (
-        beat.revision > revision and now - node.wanted[1] > defaults.CONNECT_S
+    if beat.revision > max(revision, node.revision_request[0]) or (
+        beat.revision > revision and now - node.revision_request[1] > defaults.CONNECT_S
     ):
-        node.wanted = (beat.revision, now)
+        node.revision_request = (beat.revision, now)
         link.send(WantRevision(revision))
 
 
@@ -274,7 +274,7 @@
 @receives(Boxes)
 def take_boxes(node: NodeContext, link: Link, boxes: Boxes) -> None:
     """Take the box list that a relay read."""
-    node.take_boxes(tuple(BoxListed(*row) for row in boxes.rows), share=False)
+    node.update_boxes(tuple(BoxListed(*row) for row in boxes.rows), share=False)
 
 
 @receives(Forward)
@@ -288,12 +288,12 @@
 @receives(ForwardEnd)
 def take_answer(node: NodeContext, link: Link, item: t.Any) -> None:
     """Take a part of the answer to a request that this node forwarded."""
-    forwarding.take_part(node, item)
+    forwarding.deliver_part(node, item)
 
 
 async def beat_loop(node: NodeContext) -> None:
     """Send heartbeats, and dial nodes without a stream."""
     while True:
-        node.beat()
+        node.send_heartbeat()
         node.dialler.dial_missing()
         await asyncio.sleep(defaults.HEARTBEAT_S)
--- a/packages/rookspring/src/rookspring/http_platform.py
+++ b/packages/rookspring/src/rookspring/http_platform.py
@@ -1,8 +1,15 @@
 """Platform adapter for rookspring's own HTTP protocol of an object service."""
 
+import typing as t
+
 import aiohttp
 import orjson
-import typing as t
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+
+from rookspring_core.events import BoxListed
+
 from . import defaults
 from .connections import OneConnection
 from .exceptions import PlatformConflict
@@ -11,25 +18,18 @@
 from .exceptions import PlatformRefused
 from .exceptions import PlatformTooOld
 from .exceptions import PlatformUnreachable
-from .platform import CallBudget
+from .platform import CallRateLimiter
 from .platform import Changes
 from .platform import Listing
 from .platform import PlatformClient
-from .platform import Stored
+from .platform import StoredObject
 from .platform import platform_adapter
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-from rookspring_core.events import BoxListed
-
-
-
 
 if t.TYPE_CHECKING:
     from .telemetry import Telemetry
 
 
-class HttpCaller:
+class RateLimitedHttpClient:
     """Makes rate-limited HTTP calls; writes are never sent twice by the HTTP library.
 
     :param count: called with the method and the end of each call.
@@ -39,7 +39,9 @@
         self._base = base
         self._count = count
         self._session: aiohttp.ClientSession | None = None
-        self._limiter = CallBudget(defaults.PLATFORM_CALLS_PER_S, defaults.PLATFORM_CALLS_BURST)
+        self._limiter = CallRateLimiter(
+            defaults.PLATFORM_CALLS_PER_S, defaults.PLATFORM_CALLS_BURST
+        )
 
     def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
@@ -58,7 +60,7 @@
 
         :param timeout_s: limit of the whole call; None for the default.
         """
-        await self._limiter.take()
+        await self._limiter.acquire()
         data = None if body is None else orjson.dumps(body)
         all_headers = dict(headers or {})
         if data is not None:
@@ -113,7 +115,7 @@
         count: t.Callable[[str, str], None],
         telemetry: "Telemetry | None" = None,
     ) -> None:
-        self._caller = HttpCaller(base, count)
+        self._caller = RateLimitedHttpClient(base, count)
         self._telemetry = telemetry
 
     async def _call(
@@ -151,7 +153,7 @@
         }
         return Failure(errors.get(status, PlatformUnreachable)(text))
 
-    async def get(self, kind: str, name: str) -> Result[Stored, PlatformError]:
+    async def get(self, kind: str, name: str) -> Result[StoredObject, PlatformError]:
         """Read one object."""
         return (await self._call("GET", f"/objects/{kind}/{name}")).map(_stored)
 
@@ -195,5 +197,5 @@
         await self._caller.close()
 
 
-def _stored(raw: t.Any) -> Stored:
-    return Stored(raw["name"], int(raw["version"]), raw["value"])
+def _stored(raw: t.Any) -> StoredObject:
+    return StoredObject(raw["name"], int(raw["version"]), raw["value"])
--- a/packages/rookspring/src/rookspring/node.py
+++ b/packages/rookspring/src/rookspring/node.py
@@ -6,15 +6,34 @@
 import secrets
 import ssl
 import typing as t
+
+from rookspring_core import Identity
+from rookspring_core import InvariantBroken
+from rookspring_core import NodeState
+from rookspring_core import control_jobs
+from rookspring_core import defaults as core_defaults
+from rookspring_core import reduce
+from rookspring_core.events import BoxListed
+from rookspring_core.events import CacheEventsReceived
+from rookspring_core.events import CallerLeft
+from rookspring_core.events import DrainAsked
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import Event
+from rookspring_core.events import ReportMissed
+from rookspring_core.events import RequestArrived
+from rookspring_core.events import ResumeAsked
+from rookspring_core.events import Ticked
+
 from . import clock
 from . import defaults
-from . import following
 from . import forwarding
 from . import gossip
+from . import platform_loops
 from . import web
 from .dialling import Dialler
 from .dialling import want_links
-from .endpoints import ENDPOINTS
+from .effect_handlers import EFFECT_HANDLERS
+from .endpoints import ENDPOINT_CLIENTS
 from .endpoints import EndpointClient
 from .exceptions import CallerGone
 from .exchanges import ChatExchange
@@ -25,30 +44,11 @@
 from .messages import Reports
 from .metrics import Metrics
 from .peers import PeerServer
-from .performers import PERFORMERS
 from .platform import open_platform
 from .published import PublishedStore
 from .settings import Settings
+from .signing import Signer
 from .telemetry import Telemetry
-from .tokens import Signer
-from rookspring_core import Identity
-from rookspring_core import InvariantBroken
-from rookspring_core import NodeState
-from rookspring_core import control_jobs
-from rookspring_core import defaults as core_defaults
-from rookspring_core import reduce
-from rookspring_core.events import BoxListed
-from rookspring_core.events import CacheEventsReceived
-from rookspring_core.events import CallerLeft
-from rookspring_core.events import DrainAsked
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import Event
-from rookspring_core.events import ReportMissed
-from rookspring_core.events import RequestArrived
-from rookspring_core.events import ResumeAsked
-from rookspring_core.events import Ticked
-
-
 
 
 class Node:
@@ -80,7 +80,7 @@
         self.signer = Signer(settings.signing_keys)
         self.platform = open_platform(settings.platform, self._count_platform, self.telemetry)
         self.published = PublishedStore(self.platform)
-        self.endpoints: EndpointClient = t.cast(t.Any, ENDPOINTS["http"])()
+        self.endpoints: EndpointClient = t.cast(t.Any, ENDPOINT_CLIENTS["http"])()
         self.tls = _make_tls(settings)
         self.peers = PeerServer(
             settings.name, identity.incarnation, settings.shared_key, self._serve_link, self.tls
@@ -93,7 +93,7 @@
         self.history = gossip.RevisionHistory()
         self.report_log = gossip.ReportLog()
         self.boxes: tuple[BoxListed, ...] = ()
-        self.wanted = (0, 0.0)
+        self.revision_request = (0, 0.0)
         membership = self.state.membership
         self.dialler = Dialler(
             membership.name,
@@ -131,7 +131,7 @@
         if self.state.catalogue.revision != revision:
             self._revision_applied()
         for effect in effects:
-            PERFORMERS[type(effect)](self, effect)
+            EFFECT_HANDLERS[type(effect)](self, effect)
 
     def _revision_applied(self) -> None:
         revision = self.state.catalogue.revision
@@ -142,7 +142,7 @@
         if not self._ready_logged:
             self._ready_logged = True
             log("node_ready", node=self.settings.name, revision=revision)
-        self.beat()
+        self.send_heartbeat()
 
     def begin(self, exchange: Exchange, event: RequestArrived | ResumeAsked) -> None:
         """Start a request; its exchange is registered first, as effects look it up."""
@@ -159,12 +159,12 @@
             self.metrics.first_token.observe({}, exchange.first_token_s)
         exchange.finish()
 
-    def leave(self, exchange: Exchange) -> None:
+    def handle_disconnect(self, exchange: Exchange) -> None:
         """End an exchange whose caller's connection broke while it was written to."""
         self.submit(CallerLeft(clock.now(), exchange.request_id))
         self.finish(exchange, "left")
 
-    async def answering(self, exchange: Exchange, sending: t.Awaitable[None]) -> None:
+    async def send_answer(self, exchange: Exchange, sending: t.Awaitable[None]) -> None:
         """Send an answer; if the caller's connection breaks, just end the exchange."""
         try:
             await sending
@@ -196,7 +196,7 @@
     async def _serve_link(self, link: t.Any) -> None:
         await gossip.serve_link(self, link)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat to all linked nodes."""
         full = gossip.make_beat(self)
         short = gossip.shorten_beat(full)
@@ -206,7 +206,7 @@
             # Without a full mesh, only the data centre's relays get the full heartbeat.
             link.send(full if membership.is_full_mesh() or name in relays else short)
 
-    def take_boxes(self, rows: tuple[BoxListed, ...], share: bool) -> None:
+    def update_boxes(self, rows: tuple[BoxListed, ...], share: bool) -> None:
         """Apply a box list, if it changed, and as a relay send it to all linked nodes.
 
         :param share: this node read the list from the platform itself.
@@ -214,7 +214,7 @@
         if rows == self.boxes:
             return
         self.boxes = rows
-        self.submit(following.listed(self, rows))
+        self.submit(platform_loops.make_box_list_event(self, rows))
         if share and self.state.membership.is_relay():
             item = Boxes([list(row) for row in rows])
             for link in list(self.peers.links.values()):
@@ -298,9 +298,9 @@
             self._poll_loop(),
             self._cache_event_loop(),
             gossip.beat_loop(self),
-            following.follow_boxes(self),
-            following.follow_lease(self),
-            following.follow_head(self),
+            platform_loops.follow_boxes(self),
+            platform_loops.follow_lease(self),
+            platform_loops.follow_head(self),
         ):
             self.spawn(loop)
         log("node_started", node=settings.name, address=settings.caller_address)
--- a/packages/rookspring/src/rookspring/node_context.py
+++ b/packages/rookspring/src/rookspring/node_context.py
@@ -7,6 +7,13 @@
 import asyncio
 import collections
 import typing as t
+
+from rookspring_core import NodeState
+from rookspring_core.events import BoxListed
+from rookspring_core.events import Event
+from rookspring_core.events import RequestArrived
+from rookspring_core.events import ResumeAsked
+
 from .dialling import Dialler
 from .endpoints import EndpointClient
 from .exchanges import Exchange
@@ -16,15 +23,8 @@
 from .published import PublishedStore
 from .reports import ReportLog
 from .settings import Settings
+from .signing import Signer
 from .telemetry import Telemetry
-from .tokens import Signer
-from rookspring_core import NodeState
-from rookspring_core.events import BoxListed
-from rookspring_core.events import Event
-from rookspring_core.events import RequestArrived
-from rookspring_core.events import ResumeAsked
-
-
 
 
 class NodeContext(t.Protocol):
@@ -50,7 +50,7 @@
     intent_versions: dict[str, int]
     report_log: ReportLog
     boxes: tuple[BoxListed, ...]
-    wanted: tuple[int, float]
+    revision_request: tuple[int, float]
     stopping: asyncio.Event
 
     def submit(self, event: Event) -> None:
@@ -62,10 +62,10 @@
     def finish(self, exchange: Exchange, outcome: str) -> None:
         """End an exchange whose answer has been sent or broken off, and record its outcome."""
 
-    def leave(self, exchange: Exchange) -> None:
+    def handle_disconnect(self, exchange: Exchange) -> None:
         """End an exchange whose caller's connection broke while it was written to."""
 
-    async def answering(self, exchange: Exchange, sending: t.Awaitable[None]) -> None:
+    async def send_answer(self, exchange: Exchange, sending: t.Awaitable[None]) -> None:
         """Send an answer; if the caller's connection breaks, just end the exchange."""
 
     def count_tokens(self, count: int) -> None:
@@ -74,10 +74,10 @@
     def spawn(self, work: t.Coroutine[t.Any, t.Any, None]) -> asyncio.Task[None]:
         """Run a coroutine in a task of its own, which is cancelled when the node closes."""
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat to all linked nodes."""
 
-    def take_boxes(self, rows: tuple[BoxListed, ...], share: bool) -> None:
+    def update_boxes(self, rows: tuple[BoxListed, ...], share: bool) -> None:
         """Apply a box list, if it changed, and as a relay send it to all linked nodes.
 
         :param share: this node read the list from the platform itself.
--- a/packages/rookspring/src/rookspring/operators.py
+++ b/packages/rookspring/src/rookspring/operators.py
@@ -5,19 +5,15 @@
 resource's ``status`` shows the result.
 """
 
-import orjson
 import typing as t
-from . import clock
-from .callers import json_answer
-from .exceptions import CallerError
-from .exceptions import PlatformConflict
-from .exceptions import PlatformError
-from .exceptions import PlatformMissing
-from .exceptions import PlatformRefused
-from .exceptions import PlatformTooOld
-from .node_context import NodeContext
-from .platform import Stored
+
+import orjson
 from returns.result import Failure
+from sanic import Blueprint
+from sanic import Request
+from sanic.response import HTTPResponse
+from sanic.response import raw
+
 from rookspring_core import Resource
 from rookspring_core import ResourceInvalid
 from rookspring_core import check_resource
@@ -25,13 +21,17 @@
 from rookspring_core import requests as core_requests
 from rookspring_core.organisations import digest_of
 from rookspring_core.resources import KINDS
-from sanic import Blueprint
-from sanic import Request
-from sanic.response import HTTPResponse
-from sanic.response import raw
-
-
 
+from . import clock
+from .callers import json_answer
+from .exceptions import CallerError
+from .exceptions import PlatformConflict
+from .exceptions import PlatformError
+from .exceptions import PlatformMissing
+from .exceptions import PlatformRefused
+from .exceptions import PlatformTooOld
+from .node_context import NodeContext
+from .platform import StoredObject
 
 _STATUS: dict[type[PlatformError], int] = {
     PlatformConflict: 409,
@@ -41,7 +41,7 @@
 }
 
 
-def establish_operator(node: NodeContext, request: Request) -> None:
+def authenticate_operator(node: NodeContext, request: Request) -> None:
     """Check that the request carries an operator's key, from the settings or of a declared team.
 
     :raises CallerError: 401 if it does not.
@@ -70,7 +70,7 @@
     return kind
 
 
-def describe(node: NodeContext, kind: str, name: str, version: int) -> dict[str, t.Any]:
+def build_status(node: NodeContext, kind: str, name: str, version: int) -> dict[str, t.Any]:
     """Build the ``status`` of a resource.
 
     :param version: the version that the status is for; another one may be in force.
@@ -104,14 +104,14 @@
     return 1 + sum(1 for peer in peers if peer.heard.revision >= revision)
 
 
-def _document(node: NodeContext, stored: Stored) -> dict[str, t.Any]:
+def _document(node: NodeContext, stored: StoredObject) -> dict[str, t.Any]:
     value = stored.value
     return {
         "kind": value["kind"],
         "name": value["name"],
         "spec": value["spec"],
         "version": stored.version,
-        "status": describe(node, value["kind"], value["name"], stored.version),
+        "status": build_status(node, value["kind"], value["name"], stored.version),
     }
 
 
@@ -121,7 +121,7 @@
 
     @routes.get("/resources/<kind:str>")
     async def list_kind(request: Request, kind: str) -> HTTPResponse:
-        establish_operator(node, request)
+        authenticate_operator(node, request)
         _check_kind(kind)
         if "watch" in request.args:
             return await _watch(node, request, kind)
@@ -134,7 +134,7 @@
 
     @routes.get("/resources/<kind:str>/<name:str>")
     async def get_one(request: Request, kind: str, name: str) -> HTTPResponse:
-        establish_operator(node, request)
+        authenticate_operator(node, request)
         answer = await node.platform.get("resource", f"{_check_kind(kind)}.{name}")
         if isinstance(answer, Failure):
             raise _to_caller_error(answer.failure())
@@ -142,19 +142,19 @@
 
     @routes.put("/resources/<kind:str>/<name:str>")
     async def put_one(request: Request, kind: str, name: str) -> HTTPResponse:
-        establish_operator(node, request)
+        authenticate_operator(node, request)
         resource = _read_resource(request, _check_kind(kind), name)
         expected = _read_version(request)
         value = {"kind": kind, "name": name, "spec": resource.spec}
         answer = await node.platform.put("resource", resource.key, value, expected)
         if isinstance(answer, Failure):
             raise _to_caller_error(answer.failure())
-        stored = Stored(resource.key, answer.unwrap(), value)
+        stored = StoredObject(resource.key, answer.unwrap(), value)
         return json_answer(_document(node, stored))
 
     @routes.delete("/resources/<kind:str>/<name:str>")
     async def delete_one(request: Request, kind: str, name: str) -> HTTPResponse:
-        establish_operator(node, request)
+        authenticate_operator(node, request)
         _check_kind(kind)
         _check_unused(node, kind, name)
         answer = await node.platform.delete("resource", f"{kind}.{name}", _read_version(request))
@@ -164,17 +164,17 @@
 
     @routes.get("/endpoints")
     async def list_endpoints(request: Request) -> HTTPResponse:
-        establish_operator(node, request)
+        authenticate_operator(node, request)
         return json_answer({"items": _list_endpoint_rows(node)})
 
     @routes.get("/status")
     async def show_status(request: Request) -> HTTPResponse:
-        establish_operator(node, request)
-        return json_answer(status_of(node))
+        authenticate_operator(node, request)
+        return json_answer(build_node_status(node))
 
     @routes.get("/explain/<subject:str>")
     async def explain(request: Request, subject: str) -> HTTPResponse:
-        establish_operator(node, request)
+        authenticate_operator(node, request)
         now = clock.now()
         rows = [
             {
@@ -190,7 +190,7 @@
 
     @routes.post("/drain")
     async def drain(request: Request) -> HTTPResponse:
-        establish_operator(node, request)
+        authenticate_operator(node, request)
         node.drain()
         return json_answer({"draining": node.settings.name}, status=202)
 
@@ -289,7 +289,7 @@
     return "ejected" if now < view.ejected_until else "live"
 
 
-def status_of(node: NodeContext) -> dict[str, t.Any]:
+def build_node_status(node: NodeContext) -> dict[str, t.Any]:
     """Build the overview of this node and what it knows of the cluster, for ``/status``."""
     state = node.state
     identity = state.identity
--- a/packages/rookspring/src/rookspring/platform.py
+++ b/packages/rookspring/src/rookspring/platform.py
@@ -9,19 +9,19 @@
 import asyncio
 import importlib
 import typing as t
-from . import clock
-from .exceptions import PlatformError
-from returns.result import Result
-from rookspring_core.events import BoxListed
 
+from returns.result import Result
 
+from rookspring_core.events import BoxListed
 
+from . import clock
+from .exceptions import PlatformError
 
 if t.TYPE_CHECKING:
     from .telemetry import Telemetry
 
 
-class Stored(t.NamedTuple):
+class StoredObject(t.NamedTuple):
     """One object with its version.
 
     :param era: how often the store had been restored from a copy when it answered. A restore
@@ -43,7 +43,7 @@
     """All objects of a kind, and the version from which to watch for changes."""
 
     version: int
-    items: tuple[Stored, ...]
+    items: tuple[StoredObject, ...]
 
 
 class Changes(t.NamedTuple):
@@ -53,7 +53,7 @@
     """
 
     version: int
-    items: tuple[Stored, ...]
+    items: tuple[StoredObject, ...]
 
 
 P = t.TypeVar("P", bound=type["PlatformClient"])
@@ -77,10 +77,10 @@
 
     # Called with the era of an answer before the answer is processed; returns the newest era
     # known.
-    hear_era: t.Callable[[int], int] = staticmethod(lambda era: era)
+    record_era: t.Callable[[int], int] = staticmethod(lambda era: era)
 
     @abc.abstractmethod
-    async def get(self, kind: str, name: str) -> Result[Stored, PlatformError]:
+    async def get(self, kind: str, name: str) -> Result[StoredObject, PlatformError]:
         """Read one object."""
 
     @abc.abstractmethod
@@ -120,7 +120,7 @@
         """Close all connections."""
 
 
-class CallBudget:
+class CallRateLimiter:
     """Token bucket that limits the calls that one client makes to the platform.
 
     :param rate: calls per second.
@@ -133,7 +133,7 @@
         self._available = burst
         self._refilled_at = 0.0
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Wait until a call may be made, and count it."""
         now = clock.now()
         self._available = min(self.burst, self._available + (now - self._refilled_at) * self.rate)
--- a/packages/rookspring/src/rookspring/following.py
+++ b/packages/rookspring/src/rookspring/platform_loops.py
@@ -8,23 +8,11 @@
 import asyncio
 import random
 import typing as t
-from . import clock
-from . import defaults
-from .back_off import BackOff
-from .exceptions import PlatformError
-from .exceptions import PlatformMissing
-from .exceptions import PlatformTooOld
-from .exceptions import PlatformUnreachable
-from .logs import log
-from .node_context import NodeContext
-from .platform import Stored
-from .published import HEAD
-from .published import Head
-from .published import KIND
-from .published import parse_head
+
 from returns.result import Failure
 from returns.result import Result
 from returns.result import Success
+
 from rookspring_core import Resource
 from rookspring_core import control_jobs
 from rookspring_core.events import BoxListReceived
@@ -34,13 +22,27 @@
 from rookspring_core.events import LeaseSeen
 from rookspring_core.events import PlatformAnswered
 
-
-
+from . import clock
+from . import defaults
+from .back_off import BackOff
+from .exceptions import PlatformError
+from .exceptions import PlatformMissing
+from .exceptions import PlatformTooOld
+from .exceptions import PlatformUnreachable
+from .logs import log
+from .node_context import NodeContext
+from .platform import StoredObject
+from .published import HEAD
+from .published import KIND
+from .published import Head
+from .published import parse_head
 
 A = t.TypeVar("A")
 
 
-def note(node: NodeContext, answer: Result[A, PlatformError]) -> Result[A, PlatformError]:
+def report_reachability(
+    node: NodeContext, answer: Result[A, PlatformError]
+) -> Result[A, PlatformError]:
     """Submit whether the platform could be reached, and log it when that changes.
 
     :return: the answer, unchanged.
@@ -59,8 +61,8 @@
         if not node.state.membership.is_relay():
             await asyncio.sleep(defaults.LEASE_READ_S)
             continue
-        match note(node, await node.platform.get("lease", "control")):
-            case Success(Stored(_, version, value)):
+        match report_reachability(node, await node.platform.get("lease", "control")):
+            case Success(StoredObject(_, version, value)):
                 node.submit(
                     LeaseSeen(
                         clock.now(),
@@ -83,9 +85,9 @@
     """Read the box list: every ``BOX_LIST_S`` on relays, ``BOX_LIST_BACKSTOP_S`` elsewhere."""
     back_off = BackOff()
     while True:
-        match note(node, await node.platform.boxes()):
+        match report_reachability(node, await node.platform.boxes()):
             case Success(rows):
-                node.take_boxes(rows, share=True)
+                node.update_boxes(rows, share=True)
             case _:
                 await back_off.pause()
                 continue
@@ -101,7 +103,7 @@
     since = -1
     while True:
         if since < 0 or not node.state.membership.is_relay():
-            answer = note(node, await node.published.read_head())
+            answer = report_reachability(node, await node.published.read_head())
             if isinstance(answer, Failure):
                 await back_off.pause()
                 continue
@@ -115,7 +117,9 @@
                 await asyncio.sleep(defaults.HEAD_BACKSTOP_S * (0.5 + random.random()))
                 since = -1
             continue
-        changes = note(node, await node.platform.watch(KIND, since, defaults.WATCH_S))
+        changes = report_reachability(
+            node, await node.platform.watch(KIND, since, defaults.WATCH_S)
+        )
         if isinstance(changes, Failure):
             since = -1
             await back_off.pause()
@@ -136,18 +140,18 @@
     """
     if head.revision <= node.state.catalogue.revision:
         return True
-    answer = note(node, await node.published.read_revision(head, clock.now()))
+    answer = report_reachability(node, await node.published.read_revision(head, clock.now()))
     if isinstance(answer, Failure):
         return False
     node.submit(answer.unwrap())
     return True
 
 
-async def read_head_surely(node: NodeContext) -> None:
+async def read_head_until_success(node: NodeContext) -> None:
     """Read the head and its entries, retried until that succeeds or the lease is lost."""
     back_off = BackOff()
     while control_jobs.holding(node.state):
-        answer = note(node, await node.published.read_head())
+        answer = report_reachability(node, await node.published.read_head())
         if isinstance(answer, Success):
             head = answer.unwrap()
             if await apply_head(node, head):
@@ -156,7 +160,7 @@
         await back_off.pause()
 
 
-def _resource(stored: Stored) -> Resource:
+def _resource(stored: StoredObject) -> Resource:
     raw = stored.value
     return Resource(str(raw["kind"]), str(raw["name"]), dict(raw["spec"]), stored.version)
 
@@ -168,14 +172,16 @@
     since = -1
     while node.state.control.acting_epoch == epoch and not node.state.stopped:
         if since < 0:
-            listing = note(node, await node.platform.list_kind("resource"))
+            listing = report_reachability(node, await node.platform.list_kind("resource"))
             if isinstance(listing, Failure):
                 await back_off.pause()
                 continue
             known = {one.name: _resource(one) for one in listing.unwrap().items}
             since = listing.unwrap().version
         else:
-            changes = note(node, await node.platform.watch("resource", since, defaults.WATCH_S))
+            changes = report_reachability(
+                node, await node.platform.watch("resource", since, defaults.WATCH_S)
+            )
             if isinstance(changes, Failure):
                 # What is known stays in use: after ``PlatformTooOld`` until it is listed again,
                 # else until a watch from the same version succeeds.
@@ -199,7 +205,7 @@
     """Read all stored intents, of earlier lease holders too, and remember their versions."""
     back_off = BackOff()
     while node.state.control.acting_epoch == epoch:
-        answer = note(node, await node.platform.list_kind("intent"))
+        answer = report_reachability(node, await node.platform.list_kind("intent"))
         if isinstance(answer, Success):
             found = answer.unwrap().items
             node.intent_versions = {one.name: one.version for one in found}
@@ -216,6 +222,6 @@
         await back_off.pause()
 
 
-def listed(node: NodeContext, rows: t.Any) -> BoxListReceived:
+def make_box_list_event(node: NodeContext, rows: t.Any) -> BoxListReceived:
     """Build the event that a box list was received."""
     return BoxListReceived(clock.now(), tuple(rows))
--- a/packages/rookspring/src/rookspring/published.py
+++ b/packages/rookspring/src/rookspring/published.py
@@ -6,22 +6,22 @@
 """
 
 import hashlib
-import orjson
 import typing as t
-from .exceptions import PlatformConflict
-from .exceptions import PlatformError
-from .exceptions import PlatformMissing
-from .platform import PlatformClient
+
+import orjson
 from returns.result import Failure
 from returns.result import Result
 from returns.result import Success
+
 from rookspring_core import Entry
 from rookspring_core import Resource
 from rookspring_core.acceptance import shard_of
 from rookspring_core.events import RevisionSeen
 
-
-
+from .exceptions import PlatformConflict
+from .exceptions import PlatformError
+from .exceptions import PlatformMissing
+from .platform import PlatformClient
 
 KIND = "published"
 HEAD = "head"
--- a/packages/rookspring/src/rookspring/relay_context.py
+++ b/packages/rookspring/src/rookspring/relay_context.py
@@ -29,7 +29,7 @@
 from .metrics import Metrics
 from .peers import Link
 from .platform import PlatformClient
-from .platform import Stored
+from .platform import StoredObject
 from .relay import RelayExchange
 from .relay_settings import RelaySettings
 
@@ -90,7 +90,7 @@
         self.share_shed: t.Callable[[str, float], None] = lambda endpoint, for_s: None
         self.share_prompts: t.Callable[[str, bool], None] = lambda endpoint, far: None
         self.give_lists: t.Callable[[Link], None] = lambda link: None
-        self.take_listed: t.Callable[[tuple[Stored, ...], bool, str], None] = (
+        self.take_listed: t.Callable[[tuple[StoredObject, ...], bool, str], None] = (
             lambda rows, whole, source: None
         )
         self.ask_owner: t.Callable[[AskAllotment], None] = lambda asked: None
--- a/packages/rookspring/src/rookspring/relay_following.py
+++ b/packages/rookspring/src/rookspring/relay_following.py
@@ -28,7 +28,7 @@
 from .exceptions import PlatformTooOld
 from .logs import log
 from .platform import Listing
-from .platform import Stored
+from .platform import StoredObject
 from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
@@ -37,7 +37,7 @@
 NODE_KIND = "rookspring-nodes"
 LEASE_KIND = "rookspring-lease"
 
-Take = t.Callable[[tuple[Stored, ...], bool], None]
+Take = t.Callable[[tuple[StoredObject, ...], bool], None]
 
 
 class WatchTerms(t.NamedTuple):
@@ -135,7 +135,7 @@
     """Follow the configuration."""
     version = 0
 
-    def take(rows: tuple[Stored, ...], whole: bool) -> None:
+    def take(rows: tuple[StoredObject, ...], whole: bool) -> None:
         nonlocal version
         for row in rows:
             version = peers.take_stored(row) or version
@@ -163,7 +163,7 @@
             continue
         now = clock.now()
         match answer:
-            case Success(Stored(_, version, value)):
+            case Success(StoredObject(_, version, value)):
                 epoch = int(value["epoch"])
                 nonce = str(value["nonce"])
                 holder = _holder_of(context, value)
@@ -309,7 +309,7 @@
     name = context.state.identity.name
     answer = await context.eras.within(context.platform.get(NODE_KIND, name))
     match answer:
-        case Success(Stored(_, _, value)):
+        case Success(StoredObject(_, _, value)):
             return await _write_row(context, {name: value})
         case Failure(PlatformMissing()):
             return await _write_row(context, {})
--- a/packages/rookspring/src/rookspring/relay_lists.py
+++ b/packages/rookspring/src/rookspring/relay_lists.py
@@ -12,7 +12,7 @@
 from .logs import log
 from .messages import Listed
 from .peers import Link
-from .platform import Stored
+from .platform import StoredObject
 from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
@@ -43,7 +43,7 @@
 class Doubted(t.NamedTuple):
     """A row that changes nothing until it has stood for a while, in seconds."""
 
-    row: Stored
+    row: StoredObject
     since: float
     wait_s: float
 
@@ -71,7 +71,7 @@
         self._peers = peers
         self._reach = reach
         self._rows: dict[str, BoxListed] = {}
-        self._stored: dict[str, Stored] = {}
+        self._stored: dict[str, StoredObject] = {}
         # Entries that went: an older row does not bring one back.
         self._gone: dict[str, Gone] = {}
         self._missing: dict[str, Missing] = {}
@@ -80,9 +80,9 @@
         self._doubted: dict[str, Doubted] = {}
         # Rows that cannot be read, each with the reason that was told.
         self._malformed: dict[str, str] = {}
-        self._changed: dict[str, Stored] = {}
+        self._changed: dict[str, StoredObject] = {}
 
-    def take(self, rows: tuple[Stored, ...], whole: bool) -> None:
+    def take(self, rows: tuple[StoredObject, ...], whole: bool) -> None:
         """Take changed entries from the store, or all that there are."""
         now = clock.now()
         if whole:
@@ -95,7 +95,7 @@
         self.settle(now)
         self._submit(reports)
 
-    def take_told(self, rows: tuple[Stored, ...], whole: bool) -> None:
+    def take_told(self, rows: tuple[StoredObject, ...], whole: bool) -> None:
         """Take entries from the node that this one follows."""
         now = clock.now()
         if whole:
@@ -117,7 +117,7 @@
         self._context.count_malformed(len(self._malformed))
         self._pass_on()
 
-    def _take_row(self, row: Stored, now: float, listed: bool) -> EndpointReported | None:
+    def _take_row(self, row: StoredObject, now: float, listed: bool) -> EndpointReported | None:
         if row.value is None:
             self._lose(row.name, now)
             return None
@@ -128,7 +128,7 @@
         known = self._stored.get(name)
         return known is not None and known.era < self._context.state.store_era
 
-    def _may_be_copied(self, row: Stored, born: int, now: float) -> bool:
+    def _may_be_copied(self, row: StoredObject, born: int, now: float) -> bool:
         """Say whether a row of a list may be older than what is known from an earlier era."""
         known = self._stored.get(row.name)
         gone = self._gone.get(row.name)
@@ -140,7 +140,7 @@
             return False
         return self._doubt(row, now, defaults.LATE_ROW_S)
 
-    def _doubt(self, row: Stored, now: float, wait_s: float) -> bool:
+    def _doubt(self, row: StoredObject, now: float, wait_s: float) -> bool:
         """Doubt a row; says whether it has not stood for long enough yet."""
         known = self._doubted.get(row.name)
         if known is None or known.row.position[0] != row.era:
@@ -149,7 +149,7 @@
         return now - known.since < wait_s
 
     def _keep(
-        self, row: Stored, now: float, listed: bool = False, judged: bool = False
+        self, row: StoredObject, now: float, listed: bool = False, judged: bool = False
     ) -> EndpointReported | None:
         """Keep a row; gives what it tells, unless it is nothing new or of an earlier life.
 
@@ -205,7 +205,7 @@
         self._changed[row.name] = row
         return report
 
-    def _passes_over(self, row: Stored) -> bool:
+    def _passes_over(self, row: StoredObject) -> bool:
         """Say whether a row is older than what is known of its entry."""
         known = self._stored.get(row.name)
         gone = self._gone.get(row.name)
@@ -223,7 +223,7 @@
             )
         return older
 
-    def _refuse(self, row: Stored, detail: str, now: float) -> None:
+    def _refuse(self, row: StoredObject, detail: str, now: float) -> None:
         """Leave a row out that cannot be read; one that could is taken for missing.
 
         A live endpoint writes its entry anew at its next heartbeat. Until then, or until
@@ -296,5 +296,5 @@
 @receives(Listed)
 def take_listed(peers: RelayPeers, link: Link, listed: Listed) -> None:
     """Take entries from the node that this one follows; others' are not for it any more."""
-    rows = tuple(Stored(str(row[0]), int(row[1]), row[2], *row[3:]) for row in listed.rows)
+    rows = tuple(StoredObject(str(row[0]), int(row[1]), row[2], *row[3:]) for row in listed.rows)
     peers.context.take_listed(rows, bool(listed.whole), link.name)
--- a/packages/rookspring/src/rookspring/relay_node.py
+++ b/packages/rookspring/src/rookspring/relay_node.py
@@ -54,7 +54,7 @@
 from .http_server import ServerOptions
 from .logs import log
 from .metrics import Metrics
-from .platform import Stored
+from .platform import StoredObject
 from .platform import open_platform
 from .reach import Reach
 from .relay_context import RelayContext
@@ -168,7 +168,7 @@
         context.take_listed = self._take_listed
         context.stop = self._stop
 
-    def _take_listed(self, rows: tuple[Stored, ...], whole: bool, source: str) -> None:
+    def _take_listed(self, rows: tuple[StoredObject, ...], whole: bool, source: str) -> None:
         """Take a list; only that of the node that this one follows says what is missing."""
         followed = self.context.state.topology.followed
         self.endpoints.take_told(rows, whole and source == followed)
--- a/packages/rookspring/src/rookspring/relay_peers.py
+++ b/packages/rookspring/src/rookspring/relay_peers.py
@@ -24,7 +24,7 @@
 from .messages import encode
 from .peers import Link
 from .peers import PeerServer
-from .platform import Stored
+from .platform import StoredObject
 from .relay_context import RelayContext
 
 Receiver = t.Callable[["RelayPeers", Link, t.Any], None]
@@ -193,7 +193,7 @@
         )
         return name if epoch else ""
 
-    def take_stored(self, stored: Stored) -> int:
+    def take_stored(self, stored: StoredObject) -> int:
         """Read the configuration as the store gave it; see :meth:`take_table`."""
         position, version = self._read
         if position != stored.position or not version:
@@ -201,7 +201,7 @@
             self._read = (stored.position, version)
         return version
 
-    def take_table(self, stored: Stored, source: str) -> int:
+    def take_table(self, stored: StoredObject, source: str) -> int:
         """Read a configuration and put it in force if it is newer.
 
         :return: its version, or 0 where it is malformed or is none.
@@ -251,5 +251,5 @@
 @receives(TableGiven)
 def take_given(peers: RelayPeers, link: Link, given: TableGiven) -> None:
     """Take a configuration from another node."""
-    stored = Stored(peers.context.dialect.table_name(), given.version, given.value)
+    stored = StoredObject(peers.context.dialect.table_name(), given.version, given.value)
     peers.take_table(stored, f"node {link.name}")
--- a/packages/rookspring/src/rookspring/relay_proofs.py
+++ b/packages/rookspring/src/rookspring/relay_proofs.py
@@ -27,7 +27,7 @@
 from .messages import AskProof
 from .messages import Proof
 from .peers import Link
-from .platform import Stored
+from .platform import StoredObject
 from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
@@ -97,7 +97,7 @@
         self._reading = True
         return True
 
-    def take_read(self, asked_at: float, stored: Stored | None) -> None:
+    def take_read(self, asked_at: float, stored: StoredObject | None) -> None:
         """Take what the store gave; it shows what held before the store was asked.
 
         :param stored: None where it gave nothing.
--- a/packages/rookspring/src/rookspring/reading.py
+++ b/packages/rookspring/src/rookspring/request_parsing.py
@@ -2,18 +2,18 @@
 
 import hashlib
 import math
-import orjson
 import re
 import typing as t
-from .exceptions import CallerError
-from .node_context import NodeContext
-from .tokens import SessionClaims
-from rookspring_core import defaults as core_defaults
-from rookspring_core.organisations import digest_of
-from sanic import Request
 
+import orjson
+from sanic import Request
 
+from rookspring_core import defaults as core_defaults
+from rookspring_core.organisations import digest_of
 
+from .exceptions import CallerError
+from .node_context import NodeContext
+from .signing import SessionClaims
 
 _IDEMPOTENCY_KEY = re.compile(r"^(?P<session>[\w.=-]{8,512})/(?P<sequence>\d{1,15})$")
 _HOP_HEADERS = {
@@ -30,7 +30,7 @@
 }
 
 
-def establish_team(node: NodeContext, request: Request) -> str:
+def authenticate_team(node: NodeContext, request: Request) -> str:
     """Return the team whose key the request carries.
 
     :raises CallerError: 401 if there is none.
--- a/packages/rookspring/src/rookspring/tokens.py
+++ b/packages/rookspring/src/rookspring/signing.py
@@ -1,15 +1,15 @@
 """Signed session identifiers and event ids, with keys that can be rotated."""
 
-import orjson
 import secrets
 import typing as t
-from .exceptions import CallerError
+
+import orjson
 from itsdangerous import BadSignature
 from itsdangerous import Signer as PlainSigner
 from itsdangerous.encoding import base64_decode
 from itsdangerous.encoding import base64_encode
 
-
+from .exceptions import CallerError
 
 
 class SessionClaims(t.NamedTuple):
--- a/packages/rookspring/src/rookspring/store_eras.py
+++ b/packages/rookspring/src/rookspring/store_eras.py
@@ -40,7 +40,7 @@
 
     def follow(self, platform: PlatformClient) -> None:
         """Hear of eras by the answers of a client."""
-        platform.hear_era = lambda era: self.hear(era, "store")
+        platform.record_era = lambda era: self.hear(era, "store")
 
     def hear(self, era: int, source: str) -> int:
         """Take an era that an answer or another node names; an older one changes nothing.
