--- a/features/relay_sockets.feature
+++ b/features/relay_sockets.feature
@@ -1,7 +1,7 @@
 @relay
 Feature: Requests relayed between sockets, on the users' platform's protocol
 
-  Scenario Outline: the answer is the endpoint's own, whole, or none
+  Scenario Outline: a caller gets one endpoint's complete answer, a cut stream or an error
     Given a relay node with two endpoints that do: <script>
     When a caller sends a <kind> request
     Then the answer is <answer>
@@ -11,13 +11,13 @@
       | kind   | script                    | answer              | runs |
       | unsafe | answer                    | whole               | 1    |
       | safe   | answer                    | whole               | 1    |
-      | unsafe | fail                      | their 500           | 1    |
+      | unsafe | fail                      | endpoint's 500      | 1    |
       | safe   | fail, answer              | whole               | 2    |
-      | safe   | fail, fail                | their 500           | 2    |
+      | safe   | fail, fail                | endpoint's 500      | 2    |
       | unsafe | refuse                    | not run             | 0    |
       | safe   | refuse, answer            | whole               | 1    |
       | safe   | refuse, refuse            | not run             | 0    |
-      | unsafe | refuse quietly            | their 503           | 1    |
+      | unsafe | refuse quietly            | endpoint's 503      | 1    |
       | unsafe | reset                     | unknown             | 1    |
       | unsafe | close                     | unknown             | 1    |
       | unsafe | half                      | unknown             | 1    |
@@ -41,10 +41,10 @@
       | resumable | reset, stream                | 5 events          | 2    |
       | resumable | break after 3, break after 3 | 3 events, cut     | 2    |
 
-  Scenario Outline: each request ends once in the log
+  Scenario Outline: the end of each request is logged once
     Given a relay node with two endpoints that do: <script>
     When a caller sends a <kind> request
-    Then the log says once that it ended: <outcome>
+    Then the log has one entry of its end, with the outcome <outcome>
 
     Examples:
       | kind   | script        | outcome         |
@@ -52,10 +52,10 @@
       | stream | break after 3 | refused-unknown |
       | unsafe | refuse        | refused-not_run |
 
-  Scenario Outline: bytes that belong to no request reach nobody
+  Scenario Outline: bytes that belong to no request are discarded
     Given a relay node with one endpoint that does: <script>
     When a caller sends 3 unsafe requests on one connection
-    Then each answer is its own
+    Then each answer belongs to its request
 
     Examples:
       | script                 |
@@ -63,7 +63,7 @@
       | foreign first, surplus |
       | surplus, surplus       |
 
-  Scenario Outline: a request goes on as it came
+  Scenario Outline: a request is forwarded unchanged
     Given a relay node with one endpoint that does: answer
     When a caller sends raw: <request>
     Then the endpoint got the line <line> and the body <body>
@@ -75,7 +75,7 @@
       | POST /safe/x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n | POST /safe/x HTTP/1.1 | abc |
       | POST /safe/x HTTP/1.1\r\nContent-Length: 0                               | POST /safe/x HTTP/1.1           | -    |
 
-  Scenario Outline: what cannot be read is refused and reaches no endpoint
+  Scenario Outline: malformed and unroutable requests are refused and reach no endpoint
     Given a relay node with one endpoint that does: answer
     When a caller sends raw: <request>
     Then the status is <status> and the endpoint got nothing
@@ -91,130 +91,130 @@
       | POST /safe/x HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc (and no more)                   | 408    |
       | GET /none/x HTTP/1.1                                                                 | 404    |
 
-  Scenario: without a configuration nothing is missing
-    Given a relay node that knows no configuration
+  Scenario: a node without a configuration refuses requests as not run
+    Given a relay node without a configuration
     When a caller sends a safe request
     Then the answer is not run
 
-  Scenario: an endpoint learns of what is left of the deadline, and of nothing else new
+  Scenario: an endpoint gets the remaining deadline, the incarnation and the rank, and no other added header
     Given a relay node with one endpoint that does: answer
     When a caller who waits 500 ms sends a safe request
-    Then the endpoint was told a deadline between 300 and 500 ms
-    And it got no header of ours but the deadline, the incarnation and the rank
+    Then the endpoint got a deadline between 300 and 500 ms
+    And it got no other added header but the incarnation and the rank
 
-  Scenario Outline: a request past its route's time gets its final answer at once
+  Scenario Outline: a request is answered as soon as its route's timeout has passed
     Given a relay node with one endpoint that does: hang
     When a caller sends a <kind> request
     Then the answer is unknown
-    And it came between 0.9 and 1.4 s
+    And it arrived after 0.9 to 1.4 s
 
     Examples:
       | kind   |
       | unsafe |
       | stream |
 
-  Scenario: a fault of ours ends a request rather than leaving it
+  Scenario: an exception in the node ends the request at once
     Given a relay node with one endpoint that does: answer
-    When writing to the endpoint fails by a fault of ours
+    When writing the request to the endpoint raises an exception
     And a caller sends a safe request
     Then the answer is unknown
-    And it came between 0.0 and 0.9 s
+    And it arrived after 0.0 to 0.9 s
 
-  Scenario: a caller that leaves frees its endpoint
+  Scenario: the connection to the endpoint is closed when the caller leaves
     Given a relay node with one endpoint that does: hang
     When a caller sends a safe request and leaves after 0.1 s
     Then the endpoint's connection is closed within 0.4 s
 
-  Scenario: an endpoint that leaves gets nothing new
+  Scenario: a draining endpoint gets no new requests
     Given a relay node with two endpoints that do: answer
-    When the first endpoint's entry says draining
+    When the first endpoint's entry changes to draining
     And a caller sends 6 unsafe requests on one connection
     Then the first endpoint got 0 of them
 
-  Scenario: a lapsed entry counts for two seconds after an outage of the store
+  Scenario: an entry that expired in an outage of the store is used for two seconds after it
     Given a relay node with one endpoint that does: answer
-    When the store goes away, the endpoint's entry lapses, and the store comes back
+    When the store fails, the endpoint's entry expires, and the store recovers
     Then the endpoint is still used after 1.0 s
     And it is not used any more after 3.5 s
 
-  Scenario Outline: configuration in force never goes back
+  Scenario Outline: the configuration in force is never replaced by an older version
     Given a relay node with one endpoint that does: answer
-    When the operator writes versions <written> and another node gives <given>
+    When the operator writes versions <written> and another node sends <sent>
     Then version <after> is in force
 
     Examples:
-      | written | given | after |
+      | written | sent  | after |
       | 5       | none  | 5     |
       | 5, 4    | none  | 5     |
       | 5       | 4     | 5     |
       | 5       | 9     | 9     |
       | 5, 7    | 6     | 7     |
 
-  Scenario: a configuration that cannot be read changes nothing
+  Scenario: a malformed configuration changes nothing
     Given a relay node with one endpoint that does: answer
     When the operator writes a malformed version 9
     And a caller sends a safe request
     Then the answer is whole
 
-  Scenario: a planned stop cuts nothing and lets nobody new come
+  Scenario: a planned stop cuts no stream, and the node is withdrawn from lookups at once
     Given a relay node with one endpoint that does: stream
     When it is asked to stop while a stream runs
-    Then the stream ends whole with a hint to close
-    And it is out of the addresses and not ready at once
+    Then the stream ends complete with Connection: close
+    And its lookups and readiness checks are answered with 503
 
-  Scenario: a settings file that changes is taken with and without a signal
+  Scenario: changed settings are applied without a signal, and invalid ones change nothing
     Given a relay node with one endpoint that does: answer
     When its settings change
     Then the new retry terms are in force
-    And wrong settings leave them as they are
+    And invalid settings leave them unchanged
 
-  Scenario: what one node finds down, the others know
+  Scenario: a node that finds an endpoint down reports it to the others
     Given a relay node with one endpoint that does: answer
-    And a second node beside it
+    And a second node linked to it
     When the endpoint's process ends, and the first node sends it a request
     Then the answer is not run
     And the second node knows within 1 s that nothing listens there
 
-  Scenario: a node that was killed goes on with its own lease at once
+  Scenario: a killed node that is restarted takes up its own lease at once
     Given a relay node with one endpoint that does: answer
-    And it has held the lease and given orders
-    When it is killed and a node of its name and address starts
-    Then that holds the lease within 2 s, in the next epoch, and may give orders
+    And it holds the lease and may give orders
+    When it is killed and a node with its name and address starts
+    Then the new node holds the lease within 2 s, in the next epoch, and may give orders
 
-  Scenario: a node of its name at another address waits for the lease
+  Scenario: a node of the same name at another address waits for the lease
     Given a relay node with one endpoint that does: answer
-    And it has held the lease and given orders
-    When it is killed and a node of its name at another address starts
-    Then that does not hold the lease within 2 s
+    And it holds the lease and may give orders
+    When it is killed and a node with its name at another address starts
+    Then the new node does not hold the lease within 2 s
 
-  Scenario Outline: requests go by their keys
+  Scenario Outline: requests are accepted or refused by their keys
     Given a relay node with an endpoint, and an organisation with the key key-a
     When a caller sends a safe request with <key>
     Then the status is <status>, and the endpoint saw <seen>
 
     Examples:
-      | key     | status | seen       |
-      | key-a   | 200    | org-a alone |
-      | key-x   | 401    | nothing    |
-      | no key  | 401    | nothing    |
+      | key     | status | seen          |
+      | key-a   | 200    | org-a, no key |
+      | key-x   | 401    | nothing       |
+      | no key  | 401    | nothing       |
 
   Scenario: a request whose key is new waits for the configuration that has it, within its deadline
     Given a relay node with an endpoint, and an organisation with the key key-a
-    When a caller who waits 900 ms sends a safe request with key-b, of which the node hears 0.3 s later
-    Then the status is 200, and the endpoint saw org-a alone
-    And the endpoint was told a deadline between 200 and 650 ms
+    When a caller who waits 900 ms sends a safe request with key-b, which the node learns 0.3 s later
+    Then the status is 200, and the endpoint saw org-a, no key
+    And the endpoint got a deadline between 200 and 650 ms
 
-  Scenario: a key that is taken away gets 401 at once, and the ones that are left go on
+  Scenario: a revoked key gets 401 at once, and the new key is accepted
     Given a relay node with an endpoint, and an organisation with the key key-a
     When the key key-a is replaced by key-b, and a caller sends a safe request with key-a
     Then the status is 401, and the endpoint saw nothing
 
-  Scenario: a node that hears nothing refuses, and says so truthfully
+  Scenario: a node that is cut off from the store refuses requests with keys with 503
     Given a relay node with an endpoint, and an organisation with the key key-a
-    When the store goes away for 5 s and a caller sends a safe request with key-a
+    When the store fails for 5 s and a caller sends a safe request with key-a
     Then the status is 503, and the endpoint saw nothing
 
-  Scenario: between sockets, with servers that end
+  Scenario: a request that crashes its endpoints is refused after three crashes, between sockets
     Given a relay node with five endpoints that end when a body is sent to them
     When a caller sends that body every 0.4 s, 12 times, each time under another id
     Then 3 of the endpoints have ended, each within one request
@@ -222,7 +222,7 @@
     And a request with another body is answered
     And the log names the verdict and the endpoints, and the count of verdicts is 1
 
-  Scenario Outline: the log tells what an answer says of its endpoint
+  Scenario Outline: the notice about the endpoint in an answer's head is logged
     Given a relay node with one endpoint that does: <script>
     When the endpoint's answers say <line>
     And a caller sends a <kind> request
--- a/features/relay_stage.py
+++ b/features/relay_stage.py
@@ -1,10 +1,8 @@
-"""A relay node on loopback with stand-ins of the users' platform, ports by the system."""
+"""A relay node on loopback with fakes of the users' platform, on ports that the system picks."""
 
 import asyncio
 import time
-
 from loguru import logger
-
 from rookspring.relay_node import RelayNode
 from rookspring.relay_settings import RelaySettings
 from rookspring_fakes import ModelServer
@@ -13,6 +11,8 @@
 from rookspring_platform import ObjectStore
 from rookspring_platform import PlatformDialect
 
+
+
 assert ObjectStore
 
 ROUTES = {
@@ -83,7 +83,7 @@
 
 
 class RelayStage:
-    """The node, its store and its endpoints, in the loop that made it."""
+    """The node, its store and its endpoints; used only in the event loop that started it."""
 
     def __init__(self, scripts):
         self.store = ObjectPlatform()
@@ -110,7 +110,7 @@
         return self
 
     async def restart(self, **changed):
-        """Kill the node without a word to the store, and start another in its place."""
+        """Stop the node without a planned stop, and start another with changed settings."""
         for task in list(self.node.context.tasks):
             task.cancel()
         await asyncio.gather(*self.node.context.tasks, return_exceptions=True)
@@ -124,17 +124,17 @@
         await self.until(self.node.context.ready)
 
     async def add_node(self, **changed):
-        """Start another node beside it; it ends with the stage."""
+        """Start another node, which is closed together with the first."""
         node = RelayNode(self.settings._replace(**changed), PlatformDialect())
         await node.start()
         await self.until(node.context.ready)
         self.others.append(node)
         return node
 
-    async def until(self, true, limit_s=5.0):
+    async def until(self, condition, limit_s=5.0):
         end = time.monotonic() + limit_s
-        while not true():
-            assert time.monotonic() < end, "did not come about"
+        while not condition():
+            assert time.monotonic() < end, "the condition did not become true in time"
             await asyncio.sleep(0.01)
 
     async def close(self):
@@ -150,7 +150,7 @@
         return await asyncio.open_connection("127.0.0.1", self.node.listeners[which].port)
 
     async def ask(self, raw, which="callers"):
-        """Send raw bytes on a connection of its own, and read one answer."""
+        """Send raw bytes on a new connection, and read one answer."""
         reader, writer = await self.connect(which)
         try:
             writer.write(raw)
--- a/features/steps/relay_key_steps.py
+++ b/features/steps/relay_key_steps.py
@@ -1,21 +1,21 @@
 import asyncio
-
 from behave import given
 from behave import then
 from behave import when
 from relay_stage import RelayStage
 from relay_stage import configuration
 from relay_stage import request
-
 from rookspring.platform import StoredObject
 
 
+
+
 def tenants(*keys):
     return [{"name": "org-a", "api-keys": list(keys), "unit": "requests"}]
 
 
 @given("a relay node with an endpoint, and an organisation with the key {key}")
-def stage_with_key(context, key):
+def relay_with_key(context, key):
     stage = context.relay = RelayStage([["answer"]])
     context.loop.run(stage.rise(tenants=tenants(key)))
     context.loop.run(stage.until(lambda: stage.node.context.state.freshness.proved_at > 0))
@@ -34,7 +34,7 @@
 
 @when(
     "a caller who waits {ms:d} ms sends a safe request with {key}, "
-    "of which the node hears {seconds:g} s later"
+    "which the node learns {seconds:g} s later"
 )
 def send_with_new(context, ms, key, seconds):
     stage = context.relay
@@ -68,8 +68,8 @@
     context.answer = context.loop.run(work())
 
 
-@when("the store goes away for {seconds:g} s and a caller sends a safe request with {key}")
-def store_away(context, seconds, key):
+@when("the store fails for {seconds:g} s and a caller sends a safe request with {key}")
+def store_fails(context, seconds, key):
     stage = context.relay
 
     async def work():
--- a/features/steps/relay_socket_steps.py
+++ b/features/steps/relay_socket_steps.py
@@ -1,7 +1,6 @@
 import asyncio
-import time
-
 import ports
+import time
 from behave import given
 from behave import then
 from behave import when
@@ -9,37 +8,38 @@
 from relay_stage import configuration
 from relay_stage import read_answer
 from relay_stage import request
-
 from rookspring import clock
 from rookspring.exceptions import SettingsError
 from rookspring.messages import TableGiven
 from rookspring.platform import StoredObject
 from rookspring_fakes.model_server import EVENTS
 
+
+
 SAFE_HEADERS = {"host", "x-rookspring-request-id", "content-length"}
 
 
-def raise_stage(context, scripts, version=5):
+def start_relay(context, scripts, version=5):
     context.relay = context.loop.run(RelayStage(scripts).rise(version))
 
 
 @given("a relay node with two endpoints that do: {script}")
 def two_endpoints(context, script):
-    # Whichever endpoint is asked takes the next step of the one script.
+    # Both endpoints share one script: whichever gets a request takes its next step.
     steps = script.split(", ")
-    raise_stage(context, [steps, steps])
+    start_relay(context, [steps, steps])
     first, second = context.relay.servers
     second.script = first.script
 
 
 @given("a relay node with one endpoint that does: {script}")
 def one_endpoint(context, script):
-    raise_stage(context, [script.split(", ")])
+    start_relay(context, [script.split(", ")])
 
 
-@given("a relay node that knows no configuration")
+@given("a relay node without a configuration")
 def no_configuration(context):
-    raise_stage(context, [[]], version=0)
+    start_relay(context, [[]], version=0)
 
 
 @when("a caller sends a {kind} request")
@@ -50,10 +50,10 @@
     context.took_s = time.monotonic() - started
 
 
-@when("writing to the endpoint fails by a fault of ours")
+@when("writing the request to the endpoint raises an exception")
 def writing_fails(context):
     def fail(*args):
-        raise RuntimeError("a fault")
+        raise RuntimeError("injected by the test")
 
     context.relay.node.context.dialect.errand_headers = fail
 
@@ -72,7 +72,7 @@
     if answer.status == 200:
         return "whole" if answer.whole and answer.body == b"answer to q1" else "mixed"
     if "x-rookspring-server-stamp" in answer.headers:
-        return f"their {answer.status}"
+        return f"endpoint's {answer.status}"
     if answer.status in (408, 421, 429, 503):
         return "not run"
     return "unknown"
@@ -85,7 +85,7 @@
         assert float(context.answer.headers["retry-after"]) > 0
 
 
-@then("the log says once that it ended: {outcome}")
+@then("the log has one entry of its end, with the outcome {outcome}")
 def logged_once(context, outcome):
     time.sleep(0.05)
     ended = [line for line in context.relay.log_lines if "event=request_ended" in line]
@@ -97,8 +97,8 @@
     assert len(context.relay.runs) == runs, context.relay.runs
 
 
-@then("it came between {least:f} and {most:f} s")
-def came_between(context, least, most):
+@then("it arrived after {least:f} to {most:f} s")
+def arrived_after(context, least, most):
     assert least <= context.took_s <= most, context.took_s
 
 
@@ -119,7 +119,7 @@
     context.took_s = time.monotonic() - started
 
 
-@then("each answer is its own")
+@then("each answer belongs to its request")
 def each_its_own(context):
     bodies = [answer.body for answer in context.answers]
     assert bodies == [b"answer to q%d" % number for number in range(len(bodies))], bodies
@@ -150,22 +150,22 @@
     assert context.relay.asked == []
 
 
-@then("the endpoint was told a deadline between {least:d} and {most:d} ms")
-def told_deadline(context, least, most):
+@then("the endpoint got a deadline between {least:d} and {most:d} ms")
+def got_deadline(context, least, most):
     (asked,) = context.relay.asked
-    told = int(asked.headers["x-rookspring-deadline-ms"])
-    assert least <= told <= most, told
+    deadline_ms = int(asked.headers["x-rookspring-deadline-ms"])
+    assert least <= deadline_ms <= most, deadline_ms
 
 
-@then("it got no header of ours but the deadline, the incarnation and the rank")
+@then("it got no other added header but the incarnation and the rank")
 def no_other_headers(context):
     (asked,) = context.relay.asked
-    ours = {
+    added = {
         "x-rookspring-deadline-ms",
         "x-rookspring-expect-instance",
         "x-rookspring-request-priority",
     }
-    assert set(asked.headers) - SAFE_HEADERS == ours, asked.headers
+    assert set(asked.headers) - SAFE_HEADERS == added, asked.headers
 
 
 @when("a caller sends a safe request and leaves after {seconds:f} s")
@@ -187,7 +187,7 @@
     assert not any(view.inflight for view in pool.state.endpoints.values())
 
 
-@when("the first endpoint's entry says draining")
+@when("the first endpoint's entry changes to draining")
 def entry_draining(context):
     stage = context.relay
     server = stage.servers[0]
@@ -207,8 +207,8 @@
     assert len(second.asked) == len(context.answers)
 
 
-@when("the store goes away, the endpoint's entry lapses, and the store comes back")
-def lapse(context):
+@when("the store fails, the endpoint's entry expires, and the store recovers")
+def entry_expires(context):
     stage = context.relay
 
     async def work():
@@ -219,25 +219,25 @@
         await stage.until(lambda: stage.node.context.state.platform_reachable, 3.0)
 
     context.loop.run(work(), 20.0)
-    context.back_at = time.monotonic()
+    context.recovered_at = time.monotonic()
 
 
 @then("the endpoint is still used after {seconds:f} s")
 def still_used(context, seconds):
-    time.sleep(max(0.0, context.back_at + seconds - time.monotonic()))
+    time.sleep(max(0.0, context.recovered_at + seconds - time.monotonic()))
     answer = context.loop.run(context.relay.ask(request("unsafe")))
     assert answer.status == 200, answer.status
 
 
 @then("it is not used any more after {seconds:f} s")
 def not_used(context, seconds):
-    time.sleep(max(0.0, context.back_at + seconds - time.monotonic()))
+    time.sleep(max(0.0, context.recovered_at + seconds - time.monotonic()))
     answer = context.loop.run(context.relay.ask(request("unsafe")))
     assert answer.status == 503, answer.status
 
 
-@when("the operator writes versions {written} and another node gives {given}")
-def versions_come(context, written, given):
+@when("the operator writes versions {written} and another node sends {sent}")
+def versions_arrive(context, written, sent):
     stage = context.relay
     peers = stage.node.peers
 
@@ -246,8 +246,8 @@
             await stage.store.write("config", "main", configuration(int(version)))
         await stage.until(lambda: stage.node.context.state.revision >= int(written.split(", ")[0]))
         await asyncio.sleep(0.1)
-        if given != "none":
-            item = TableGiven(int(given), configuration(int(given)))
+        if sent != "none":
+            item = TableGiven(int(sent), configuration(int(sent)))
             peers.take_table(StoredObject("main", item.version, item.value), "node n2")
 
     context.loop.run(work())
@@ -288,15 +288,15 @@
     context.ready, context.lookup, context.answer = context.loop.run(work())
 
 
-@then("the stream ends whole with a hint to close")
+@then("the stream ends complete with Connection: close")
 def ends_whole(context):
     assert context.answer.whole
     assert context.answer.body.count(b"\n\n") == EVENTS
     assert context.answer.headers["connection"] == "close"
 
 
-@then("it is out of the addresses and not ready at once")
-def out_at_once(context):
+@then("its lookups and readiness checks are answered with 503")
+def withdrawn(context):
     assert context.ready.status == 503
     assert context.lookup.status == 503, context.lookup.body
 
@@ -316,8 +316,8 @@
     assert context.relay.node.context.state.retry_window_terms.share == 0.1
 
 
-@then("wrong settings leave them as they are")
-def wrong_settings(context):
+@then("invalid settings leave them unchanged")
+def invalid_settings(context):
     def fail():
         raise SettingsError(("zone: is missing",))
 
@@ -331,13 +331,13 @@
 PEER_OFFSETS = (101, 102)
 
 
-@given("a second node beside it")
+@given("a second node linked to it")
 def second_node(context):
     stage = context.relay
     base = ports.find_base()
 
     async def work():
-        # The first one starts anew, at an address that the second can be told.
+        # The first node is restarted at a fixed address, which the second gets as its seed.
         first = f"127.0.0.1:{base + PEER_OFFSETS[0]}"
         second = f"127.0.0.1:{base + PEER_OFFSETS[1]}"
         await stage.restart(peer_address=first)
@@ -365,8 +365,8 @@
     context.loop.run(context.relay.until(lambda: state.endpoints[name].down, seconds))
 
 
-@given("it has held the lease and given orders")
-def held_lease(context):
+@given("it holds the lease and may give orders")
+def holds_lease(context):
     stage = context.relay
     base = ports.find_base()
     context.peer_address = f"127.0.0.1:{base + PEER_OFFSETS[0]}"
@@ -376,21 +376,21 @@
         await stage.restart(peer_address=context.peer_address)
         lease = stage.node.context.state.control.lease
         await stage.until(lambda: lease.own_epoch == 1)
-        # A renewal tells that it may give orders.
+        # Once it has renewed the lease, it may give orders.
         version = lease.version
         await stage.until(lambda: lease.version > version)
 
     context.loop.run(work())
 
 
-@when("it is killed and a node of its name {where} starts")
+@when("it is killed and a node with its name {where} starts")
 def killed_and_started(context, where):
     address = context.peer_address if where == "and address" else context.other_address
     context.loop.run(context.relay.restart(peer_address=address))
 
 
-@then("that holds the lease within 2 s, in the next epoch, and may give orders")
-def goes_on(context):
+@then("the new node holds the lease within 2 s, in the next epoch, and may give orders")
+def new_node_holds(context):
     control = context.relay.node.context.state.control
 
     async def work():
@@ -400,7 +400,7 @@
     context.loop.run(work())
 
 
-@then("that does not hold the lease within 2 s")
+@then("the new node does not hold the lease within 2 s")
 def does_not_hold(context):
     lease = context.relay.node.context.state.control.lease
 
--- a/packages/rookspring/src/rookspring/relay.py
+++ b/packages/rookspring/src/rookspring/relay.py
@@ -1,13 +1,19 @@
-"""The relay's front: requests of callers, passed through as they are.
+"""Requests of callers, which the relay forwards unchanged to endpoints.
 
-It reads a request whole, finds its route, and hands it to the reducer; what
-becomes of it comes back as effects that :mod:`relay_attempts` performs.
+A request is read to its end, matched to a route, checked for its key and submitted to the reducer.
+The reducer's effects for it are performed by :mod:`relay_attempts`.
 """
 
 import asyncio
 import itertools
 import typing as t
-
+from . import clock
+from . import defaults
+from .dialect import Ask
+from .exceptions import CallerError
+from .http_messages import HttpRequest
+from .http_server import ServerConnection
+from .logs import log
 from rookspring_core import defaults as core_defaults
 from rookspring_core import keys
 from rookspring_core.events import CallerLeft
@@ -20,22 +26,16 @@
 from rookspring_core.routes import RouteTable
 from rookspring_core.routes import pick_service
 
-from . import clock
-from . import defaults
-from .dialect import Ask
-from .exceptions import CallerError
-from .http_messages import HttpRequest
-from .http_server import ServerConnection
-from .logs import log
+
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
 
-_numbers = itertools.count(1)
+_exchange_numbers = itertools.count(1)
 
 
 class HeldAnswer(t.NamedTuple):
-    """An endpoint's whole failure, kept in case no other endpoint does better."""
+    """A complete error answer, sent to the caller if the retries at other endpoints fail too."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -54,7 +54,7 @@
         arrived_at: float,
         organisation: Organisation | None = None,
     ) -> None:
-        self.key = f"r{next(_numbers)}"
+        self.key = f"r{next(_exchange_numbers)}"
         self.connection = connection
         self.request = request
         self.ask = ask
@@ -71,24 +71,24 @@
         self.last_event = ask.last_event
         self.events = 0
         self.first_at = 0.0
-        # When events came last, and the longest time between two, in seconds.
+        # When the last events arrived, and the longest time between two of them, in seconds.
         self.last_at = 0.0
         self.pause_s = 0.0
         self.held: HeldAnswer | None = None
         self.task: asyncio.Task[None] | None = None
         self.done: asyncio.Future[None] | None = None
-        # Ends its attempt at its deadline, by the steady clock of the loop.
+        # Ends the running attempt at the deadline; it counts by the monotonic clock of the loop.
         self.limit: asyncio.Timeout | None = None
 
     def keep_deadline(self) -> None:
-        """Set the end of its attempt anew, after time has passed that the loop did not count."""
+        """Reschedule the attempt's timeout after a suspension, which the loop's clock omits."""
         if self.limit is not None and not self.limit.expired():
             left_s = max(0.0, self.deadline_at - clock.now())
             self.limit.reschedule(asyncio.get_running_loop().time() + left_s)
 
 
 def deadline_s(ask: Ask, route: Route) -> float:
-    """Give the time that a request has: the caller's or the route's, whichever is less."""
+    """Return the lesser of the caller's and the route's time limit, in seconds."""
     if ask.deadline_s is None:
         return route.timeout_s
     return min(ask.deadline_s, route.timeout_s)
@@ -97,7 +97,7 @@
 async def serve_caller(
     context: "RelayContext", connection: ServerConnection, request: HttpRequest
 ) -> None:
-    """Serve one request of a caller to its end."""
+    """Serve one request of a caller until it is answered or refused, or its caller left."""
     arrived_at = clock.now()
     try:
         ask = context.dialect.read_ask(request)
@@ -108,25 +108,25 @@
     route = _find_route(context, connection, ask)
     if route is None:
         return
-    verdict = await _judge_key(context, connection, route, ask, arrived_at)
+    verdict = await _wait_for_key(context, connection, route, ask, arrived_at)
     if verdict.status:
         _refuse_key(context, connection, ask, route, verdict)
         return
-    # Where its key was waited for, a newer configuration is in force by now.
+    # If the request waited for its key, a newer configuration may be in force now.
     route = _find_route(context, connection, ask)
     table = context.state.table
     if route is None or table is None:
         return
     exchange = RelayExchange(connection, request, ask, route, arrived_at, verdict.organisation)
-    await _run(context, exchange, table)
+    await _run_exchange(context, exchange, table)
 
 
 def _find_route(context: "RelayContext", connection: ServerConnection, ask: Ask) -> Route | None:
-    """Give a request's route by the configuration in force; it is refused if it has none."""
+    """Return a request's route in the configuration in force; without one, answer an error."""
     table = context.state.table
     route = table.match(ask.host, ask.path) if table else None
     if route is None:
-        # Without a configuration nothing is known to be missing.
+        # Without a configuration the route may exist, so the caller is asked to retry.
         status = 404 if table else 503
         after_s = 0.0 if table else core_defaults.RETRY_AFTER_S
         log("route_missing", id=ask.request_id, host=ask.host, path=ask.path, status=status)
@@ -135,14 +135,14 @@
     return route
 
 
-async def _judge_key(
+async def _wait_for_key(
     context: "RelayContext",
     connection: ServerConnection,
     route: Route,
     ask: Ask,
     arrived_at: float,
 ) -> KeyVerdict:
-    """Say whose a request is; an unknown key waits a while for a newer configuration."""
+    """Check a request's key; if it is unknown, wait for a configuration that may have it."""
     verdict = keys.check_key(context.state, route, ask.key, arrived_at, arrived_at)
     if not verdict.may_wait or context.key_waits >= defaults.KEY_WAITS_MAX:
         return verdict
@@ -183,25 +183,27 @@
     connection.answer(verdict.status, headers, b"")
 
 
-async def _run(context: "RelayContext", exchange: RelayExchange, table: RouteTable) -> None:
+async def _run_exchange(
+    context: "RelayContext", exchange: RelayExchange, table: RouteTable
+) -> None:
     exchange.done = context.loop.create_future()
     context.exchanges[exchange.key] = exchange
 
-    def left() -> None:
+    def on_left() -> None:
         if exchange.key not in context.exchanges:
-            # It has ended already, by a cut of ours.
+            # It has ended already; this node closed the connection.
             return
         context.submit(CallerLeft(clock.now(), exchange.key))
         _log_end(exchange, "left", "caller closed the connection")
         finish(context, exchange)
 
-    exchange.connection.on_left = left
+    exchange.connection.on_left = on_left
     context.submit(arrival(exchange, table))
     await exchange.done
 
 
 def arrival(exchange: RelayExchange, table: RouteTable) -> RequestArrived:
-    """Make the event of a request's arrival."""
+    """Return the event that submits a request to the reducer."""
     ask = exchange.ask
     route = exchange.route
     service = pick_service(route, ask.request_id)
@@ -236,14 +238,14 @@
 
 
 def finish(context: "RelayContext", exchange: RelayExchange) -> None:
-    """An exchange is over, however it ended."""
+    """Remove an exchange that has ended, and resume the coroutine that serves its caller."""
     context.exchanges.pop(exchange.key, None)
     if exchange.done is not None and not exchange.done.done():
         exchange.done.set_result(None)
 
 
 def end(context: "RelayContext", exchange: RelayExchange, outcome: str, why: str) -> None:
-    """Log how a request ended, and finish it."""
+    """Log and count how a request ended, and remove its exchange."""
     context.metrics.requests.inc({"target": exchange.route.name, "end": outcome})
     context.metrics.whole_answer.observe({}, clock.now() - exchange.arrived_at)
     if exchange.first_at:
--- a/packages/rookspring/src/rookspring/relay_attempts.py
+++ b/packages/rookspring/src/rookspring/relay_attempts.py
@@ -1,20 +1,6 @@
-"""Attempts of relayed requests, and the answers that the reducer asks for."""
+"""Attempts of relayed requests at endpoints, and the answers to their callers."""
 
 import asyncio
-
-from rookspring_core import notice_handlers
-from rookspring_core import slot_requests
-from rookspring_core.effects import Announce
-from rookspring_core.effects import Cancel
-from rookspring_core.effects import Dispatch
-from rookspring_core.effects import Forget
-from rookspring_core.effects import Refuse
-from rookspring_core.endpoints import EndpointView
-from rookspring_core.events import AttemptFailed
-from rookspring_core.events import AttemptProgressed
-from rookspring_core.events import AttemptStarted
-from rookspring_core.events import AttemptSucceeded
-
 from . import clock
 from . import defaults
 from .dialect import Errand
@@ -34,16 +20,30 @@
 from .relay_context import relay_performs
 from .relay_notices import Asked
 from .relay_notices import hear_at
+from rookspring_core import notice_handlers
+from rookspring_core import slot_requests
+from rookspring_core.effects import Announce
+from rookspring_core.effects import Cancel
+from rookspring_core.effects import Dispatch
+from rookspring_core.effects import Forget
+from rookspring_core.effects import Refuse
+from rookspring_core.endpoints import EndpointView
+from rookspring_core.events import AttemptFailed
+from rookspring_core.events import AttemptProgressed
+from rookspring_core.events import AttemptStarted
+from rookspring_core.events import AttemptSucceeded
+
+
 
 
 @relay_performs(Dispatch)
 def dispatch(context: RelayContext, effect: Dispatch) -> None:
-    """Start an attempt in a task of its own."""
+    """Start an attempt in its own task."""
     exchange = context.exchanges.get(effect.request_id)
     view = context.state.endpoints.get(effect.endpoint)
     if exchange is None or view is None:
         error = EndpointError("endpoint is gone", sent=False)
-        context.loop.call_soon(_fail, context, effect, error)
+        context.loop.call_soon(_submit_failure, context, effect, error)
         return
     table = context.state.table
     log(
@@ -68,30 +68,31 @@
 async def run_attempt(
     context: RelayContext, effect: Dispatch, exchange: RelayExchange, view: EndpointView
 ) -> None:
-    """Carry out one attempt and tell how it ended."""
+    """Run one attempt and submit how it ended."""
     try:
         async with asyncio.timeout(exchange.deadline_at - clock.now()) as exchange.limit:
             await _attempt(context, effect, exchange, view)
     except TimeoutError:
-        _fail(context, effect, EndpointError("deadline", sent=True))
+        _submit_failure(context, effect, EndpointError("deadline", sent=True))
     except EndpointError as error:
         if error.broken:
-            # Whether its process ended tells what the loss is charged to, so it is asked at once:
-            # the next request there would find out later, on another node or never.
+            # The cause to which the loss is charged depends on whether the endpoint's process
+            # ended. So that is checked at once: the next request to it would find out later, on
+            # another node, or never.
             error.down = await context.pool.is_down(view.address)
-        _fail(context, effect, error)
+        _submit_failure(context, effect, error)
     except CallerGone:
-        # The connection has told that its caller left.
+        # ``on_left`` of the connection has submitted that the caller left.
         return
     except Exception as error:  # noqa: BLE001
-        # A fault of ours must not leave a caller without an end; it may have run.
+        # A bug here must not leave the caller without an answer; the request may have run.
         log("task_failed", "ERROR", error=type(error).__name__, detail=error)
-        _fail(context, effect, EndpointError("fault of this node", sent=True))
+        _submit_failure(context, effect, EndpointError("fault of this node", sent=True))
     finally:
         exchange.limit = None
 
 
-def _fail(context: RelayContext, effect: Dispatch, error: EndpointError) -> None:
+def _submit_failure(context: RelayContext, effect: Dispatch, error: EndpointError) -> None:
     context.metrics.attempts.inc({"end": "not_run" if error.said_not_run else "failed"})
     exchange = context.exchanges.get(effect.request_id)
     log(
@@ -127,13 +128,13 @@
 async def _attempt(
     context: RelayContext, effect: Dispatch, exchange: RelayExchange, view: EndpointView
 ) -> None:
-    sure = not exchange.route.repeatable
-    connection = await context.pool.take(view.address, sure)
+    unrepeatable = not exchange.route.repeatable
+    connection = await context.pool.take(view.address, unrepeatable)
     why = notice_handlers.find_withheld(
         context.state, view.name
     ) or slot_requests.find_missing_permit(context.state, exchange.key, view.name)
     if why:
-        # It was heard while the connection was made, which takes up to a second.
+        # The reason arose while connecting, which takes up to a second.
         context.pool.give_back(view.address, connection)
         raise EndpointError(why, sent=False, withheld=True)
     data = _write_request(context, exchange, view)
@@ -148,14 +149,14 @@
 
     try:
         arrived = context.state.requests[exchange.key].arrived
-        asked = Asked(exchange.ask.request_id, arrived.target, arrived.adapter, request=True)
-        hear = hear_at(context, view.name, asked)
+        call = Asked(exchange.ask.request_id, arrived.target, arrived.adapter, request=True)
+        hear = hear_at(context, view.name, call)
         reply = connection.ask(data, accept, hear, exchange.request.method == b"HEAD")
         head = await reply.wait_head()
-        await _take_answer(context, effect, exchange, reply, head, verdicts[-1])
+        await _relay_answer(context, effect, exchange, reply, head, verdicts[-1])
     finally:
-        # An answer that was not read to its end closes the connection, which also
-        # tells the endpoint that nobody waits.
+        # Closes the connection if the answer was not read to its end, which also shows the
+        # endpoint that no caller waits for it.
         context.pool.settle(view.address, connection)
 
 
@@ -177,7 +178,7 @@
     return write_head(request.method + b" " + request.target + b" HTTP/1.1", headers) + request.body
 
 
-async def _take_answer(
+async def _relay_answer(
     context: RelayContext,
     effect: Dispatch,
     exchange: RelayExchange,
@@ -193,30 +194,30 @@
         )
     success = 200 <= head.status < 300
     if success and exchange.route.kind == "stream":
-        await _pass_stream(context, effect, exchange, reply, head)
+        await _relay_stream(context, effect, exchange, reply, head)
         return
     body = await reply.read_rest(defaults.ANSWER_BYTES_MAX)
     if head.status >= 500 and exchange.route.repeatable:
         exchange.held = HeldAnswer(head.status, end_to_end(head.headers), body)
         raise EndpointError(f"answered {head.status}", sent=True)
-    _answer(exchange, HeldAnswer(head.status, end_to_end(head.headers), body))
+    _send_answer(exchange, HeldAnswer(head.status, end_to_end(head.headers), body))
     context.submit(AttemptSucceeded(clock.now(), exchange.key, effect.attempt, head.status))
     end(context, exchange, "answered", f"endpoint {effect.endpoint} gave {head.status}")
 
 
-def _answer(exchange: RelayExchange, answer: HeldAnswer) -> None:
+def _send_answer(exchange: RelayExchange, answer: HeldAnswer) -> None:
     exchange.first_at = clock.now()
     exchange.connection.answer(answer.status, answer.headers, answer.body)
 
 
-async def _pass_stream(
+async def _relay_stream(
     context: RelayContext,
     effect: Dispatch,
     exchange: RelayExchange,
     reply: Reply,
     head: HttpHead,
 ) -> None:
-    """Pass events on as they come, each whole."""
+    """Send events to the caller as they arrive; an incomplete event is held back."""
     splitter = EventSplitter()
     while part := await reply.next_part():
         events = splitter.feed(part)
@@ -225,7 +226,7 @@
         _begin_stream(exchange, head)
         exchange.last_event = events.last_id or exchange.last_event
         exchange.events += events.number
-        _note_pause(exchange)
+        _record_pause(exchange)
         context.submit(AttemptProgressed(clock.now(), exchange.key, effect.attempt, events.number))
         await exchange.connection.send(events.data)
     if splitter.rest():
@@ -236,8 +237,8 @@
     end(context, exchange, "answered", f"endpoint {effect.endpoint} ended its stream")
 
 
-def _note_pause(exchange: RelayExchange) -> None:
-    """Keep the longest pause between events, for the log."""
+def _record_pause(exchange: RelayExchange) -> None:
+    """Record the longest pause between events, which is logged."""
     now = clock.now()
     if exchange.last_at:
         exchange.pause_s = max(exchange.pause_s, now - exchange.last_at)
@@ -245,7 +246,7 @@
 
 
 def _begin_stream(exchange: RelayExchange, head: HttpHead) -> None:
-    """Send the head with the first event; a resumed stream keeps its first one."""
+    """Send the head before the first event; a resumed stream keeps the head that was sent."""
     if exchange.started:
         return
     exchange.started = True
@@ -255,16 +256,16 @@
 
 @relay_performs(Refuse)
 def refuse(context: RelayContext, effect: Refuse) -> None:
-    """End a request that has no answer, at once."""
+    """End a failed request: cut a stream that has begun, else send an error answer."""
     exchange = context.exchanges.get(effect.request_id)
     if exchange is None:
         return
     context.metrics.refusals.inc({"reason": effect.reason, "outcome": effect.outcome})
     if exchange.started:
-        # Its head has gone, so the end must show that the answer is not whole.
+        # The head was sent already, so only a cut connection shows that the answer is incomplete.
         exchange.connection.cut()
     elif exchange.held is not None:
-        _answer(exchange, exchange.held)
+        _send_answer(exchange, exchange.held)
     else:
         headers = context.dialect.refusal_headers(exchange.ask.request_id, effect.retry_after_s)
         exchange.connection.answer(effect.status, headers, b"")
@@ -274,7 +275,7 @@
 
 @relay_performs(Cancel)
 def cancel(context: RelayContext, effect: Cancel) -> None:
-    """Stop an attempt; its connection closes, so the endpoint stops as well."""
+    """Cancel an attempt, which closes its connection, so that the endpoint stops too."""
     exchange = context.exchanges.get(effect.request_id)
     if exchange is not None and exchange.task is not None:
         exchange.task.cancel()
@@ -282,10 +283,10 @@
 
 @relay_performs(Forget)
 def forget(context: RelayContext, effect: Forget) -> None:
-    """Nothing to do: the exchange goes when its answer has."""
+    """Do nothing: an exchange is removed once it has been answered."""
 
 
 @relay_performs(Announce)
 def announce(context: RelayContext, effect: Announce) -> None:
-    """Tell the other nodes at once."""
+    """Send a heartbeat to the linked nodes at once."""
     context.announce(effect.topic)
--- a/packages/rookspring/src/rookspring/relay_context.py
+++ b/packages/rookspring/src/rookspring/relay_context.py
@@ -1,12 +1,22 @@
-"""What the relay's parts take: the state, the loop and the clients, wired once.
+"""State, event loop and clients that the components of a relay node share.
 
-:mod:`relay_node` makes it. The parts import this and never the node, so that no
-circle forms round the module that wires them.
+:mod:`relay_node` creates the context. The components import this module instead of the node, so
+that there is no import cycle with the module that connects them.
 """
 
 import asyncio
 import typing as t
-
+from . import clock
+from . import defaults
+from .dialect import Dialect
+from .http_client import ConnectionPool
+from .logs import log
+from .metrics import Metrics
+from .peers import Link
+from .platform import PlatformClient
+from .platform import StoredObject
+from .relay import RelayExchange
+from .relay_settings import RelaySettings
 from rookspring_core import NodeState
 from rookspring_core import reduce
 from rookspring_core.effects import AskAllotment
@@ -21,17 +31,7 @@
 from rookspring_core.request_rates import RateRecord
 from rookspring_core.suspects import Evidence
 
-from . import clock
-from . import defaults
-from .dialect import Dialect
-from .http_client import ConnectionPool
-from .logs import log
-from .metrics import Metrics
-from .peers import Link
-from .platform import PlatformClient
-from .platform import StoredObject
-from .relay import RelayExchange
-from .relay_settings import RelaySettings
+
 
 if t.TYPE_CHECKING:
     from .store_eras import StoreEras
@@ -52,7 +52,7 @@
 
 
 class RelayContext:
-    """State and clients of one relay node."""
+    """State and clients of one relay node, and the callbacks between its components."""
 
     def __init__(
         self,
@@ -71,13 +71,14 @@
         self.pool = ConnectionPool()
         self.exchanges: dict[str, RelayExchange] = {}
         self.listed = False
-        # Set while this node is to watch the store; see ``topology.py`` of the core.
+        # Set while this node has to watch the store; see ``topology.py`` of the core.
         self.watching = asyncio.Event()
-        # Set by the node that wires the parts.
+        # Set by :class:`RelayNode`.
         self.eras: StoreEras
-        # A node is leaving, and the lease may be free.
+        # Set when the lease should be read at once: its holder may be leaving, or a new era of the
+        # store began.
         self.lease_news = asyncio.Event()
-        # Set by the node that wires the parts: tells the other nodes at once.
+        # Callbacks, which :class:`RelayNode` sets. The first ones send news to the other nodes.
         self.announce: t.Callable[[str], None] = lambda topic: None
         self.share: t.Callable[[EndpointReported], None] = lambda report: None
         self.share_coming: t.Callable[[str, str, float], None] = lambda endpoint, model, in_s: None
@@ -98,18 +99,18 @@
         self.ask_slot: t.Callable[[AskSlot], None] = lambda asked: None
         self.free_slot: t.Callable[[FreeSlot], None] = lambda freed: None
         self.ask_proof: t.Callable[[], None] = lambda: None
-        # Requests that wait for a newer configuration, which may know their key.
+        # How many requests wait for a newer configuration that may have their key.
         self.key_waits = 0
-        self.tell_holder: t.Callable[[RequestLoad], None] = lambda want: None
+        self.tell_holder: t.Callable[[RequestLoad], None] = lambda request: None
         self.stop: t.Callable[[], None] = lambda: None
         self.tasks: set[asyncio.Task[None]] = set()
 
     def count_malformed(self, number: int) -> None:
-        """Tell how many entries name no endpoint now."""
+        """Set the metric of endpoint entries that can't be read."""
         self.metrics.malformed.set({}, number)
 
     def submit(self, event: Event) -> None:
-        """Take an event: reduce it and perform the effects."""
+        """Reduce an event, log the decisions, and perform the effects."""
         decided = len(self.state.decisions)
         effects = reduce(self.state, event)
         for decision in self.state.decisions[decided:]:
@@ -119,23 +120,23 @@
             self.perform(effect)
 
     def perform(self, effect: Effect) -> None:
-        """Perform one effect; a fault of ours in one leaves the others to be performed."""
+        """Perform one effect; an exception is logged, so that the next effects are performed."""
         try:
             RELAY_PERFORMERS[type(effect)](self, effect)
         except Exception as error:  # noqa: BLE001
             log("effect_failed", "ERROR", effect=type(effect).__name__, detail=repr(error))
 
     def spawn(self, work: t.Coroutine[t.Any, t.Any, None]) -> asyncio.Task[None]:
-        """Run work in a task of its own, which ends with the node."""
+        """Run a coroutine in its own task, which is cancelled when the node stops."""
         task = self.loop.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self._ended)
         return task
 
     def keep(self, make: t.Callable[[], t.Coroutine[t.Any, t.Any, None]]) -> None:
-        """Run a loop that begins anew after a fault of ours, which is logged."""
+        """Run a loop that is restarted after an exception, which is logged."""
 
-        async def again() -> None:
+        async def run() -> None:
             while True:
                 try:
                     await make()
@@ -143,7 +144,7 @@
                     log("task_failed", "ERROR", error=type(error).__name__, detail=error)
                 await asyncio.sleep(defaults.LOOP_RESTART_S)
 
-        self.spawn(again())
+        self.spawn(run())
 
     def _ended(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
@@ -152,9 +153,9 @@
             log("task_failed", "ERROR", error=type(error).__name__, detail=error)
 
     def ready(self) -> bool:
-        """Say whether callers may come."""
+        """Return whether this node can serve callers."""
         return self.state.table is not None and self.listed and not self.state.leaving
 
     def now(self) -> float:
-        """Give the time by the product's clock, in seconds."""
+        """Return the time by the clock of :mod:`clock`, in seconds."""
         return clock.now()
--- a/packages/rookspring/src/rookspring/relay_following.py
+++ b/packages/rookspring/src/rookspring/relay_following.py
@@ -1,25 +1,12 @@
-"""Loops of a relay node that follow the platform's store.
+"""Loops of a relay node that watch or poll the platform's store.
 
-Each lists a kind, then watches it from there. A watch that ends in any way but by
-answering is followed by a list, since changes may have been missed.
+A kind is listed, then watched from the version of the list. After a watch that failed, the kind is
+listed again, since changes may have been missed.
 """
 
 import asyncio
 import contextlib
 import typing as t
-
-from returns.result import Failure
-from returns.result import Success
-
-from rookspring_core import control_jobs
-from rookspring_core.events import EvidenceReceived
-from rookspring_core.events import LeaseSeen
-from rookspring_core.events import StoreRead
-from rookspring_core.events import TableProved
-from rookspring_core.events import UsageRestored
-from rookspring_core.hashing import stable_hash
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from . import relay_suspects
@@ -32,8 +19,21 @@
 from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
+from returns.result import Failure
+from returns.result import Success
+from rookspring_core import control_jobs
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.events import LeaseSeen
+from rookspring_core.events import StoreRead
+from rookspring_core.events import TableProved
+from rookspring_core.events import UsageRestored
+from rookspring_core.hashing import stable_hash
+from rookspring_core.state import NodeState
+
+
+
 
-# Kinds of this project's own in the store.
+# Kinds of objects that relay nodes themselves write to the store.
 NODE_KIND = "rookspring-nodes"
 LEASE_KIND = "rookspring-lease"
 
@@ -44,8 +44,8 @@
     """How a kind is watched.
 
     :param wait_s: how long a watch waits for a change, in seconds.
-    :param fold_s: how long changes may gather before the next watch, in seconds.
-    :param fresh: an answer tells that what this node has of the store is fresh.
+    :param batch_s: pause before the next watch, in which changes collect, in seconds.
+    :param fresh: an answer shows that this node's data from the store is current.
     """
 
     wait_s: float
@@ -54,18 +54,20 @@
 
 
 def watch_terms(context: RelayContext, endpoints: bool) -> WatchTerms:
-    """Give the terms on which this node watches now.
+    """Return how this node has to watch now.
 
-    Where few watch for all, they ask often enough for the others to see within
-    ``STORE_STALE_S`` that one is cut off.
+    If a few watchers read the store for all nodes, they call it often enough for the others to
+    notice within ``STORE_STALE_S`` that one is cut off.
+
+    :param endpoints: the kind is that of the endpoints' entries.
     """
     if not context.state.topology.mesh:
         wait_s = defaults.FEW_WATCH_S if endpoints else defaults.FEW_WATCH_TABLE_S
         holding = context.state.control.holding(clock.now())
-        fold_s = defaults.ENDPOINT_FOLD_S if holding else defaults.FEW_FOLD_S
+        batch_s = defaults.ENDPOINT_FOLD_S if holding else defaults.FEW_FOLD_S
     else:
-        wait_s, fold_s = defaults.RELAY_WATCH_S, defaults.ENDPOINT_FOLD_S
-    return WatchTerms(wait_s, fold_s if endpoints else 0.0, endpoints)
+        wait_s, batch_s = defaults.RELAY_WATCH_S, defaults.ENDPOINT_FOLD_S
+    return WatchTerms(wait_s, batch_s if endpoints else 0.0, endpoints)
 
 
 async def follow_kind(
@@ -76,12 +78,13 @@
     endpoints: bool = False,
     listed: t.Callable[[float], None] = lambda asked_at: None,
 ) -> None:
-    """List a kind and watch it from there, for as long as this node watches the store.
+    """List a kind, then watch it from there for as long as this node is a watcher.
 
-    Every node lists once at its start, so that it need not wait for others.
+    Every node lists once when it starts, so that it need not wait for others.
 
-    :param take: gets rows and whether they are all there are.
-    :param listed: is told when the store was asked, once a list of it has been taken.
+    :param take: called with rows, and whether they are all that there are.
+    :param endpoints: the kind is that of the endpoints' entries.
+    :param on_listed: called with the time at which a list was requested, after it was applied.
     """
     back_off = BackOff(defaults.RELAY_BACKOFF_MAX_S)
     since = -1
@@ -119,7 +122,7 @@
 
 
 async def _pause(context: RelayContext, back_off: BackOff) -> None:
-    """Wait before the store is asked again: longer where another node keeps this one fresh."""
+    """Wait before the next call, longer if another node sends this one current data."""
     await back_off.pause()
     if context.state.topology.has_fresh_source(clock.now()):
         await asyncio.sleep(defaults.FED_PAUSE_S)
@@ -132,7 +135,7 @@
 
 
 async def follow_table(context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
-    """Follow the configuration."""
+    """Watch the configuration and apply it."""
     version = 0
 
     def take(rows: tuple[StoredObject, ...], whole: bool) -> None:
@@ -148,14 +151,18 @@
 
 
 async def follow_lease(context: RelayContext, reach: Reach) -> None:
-    """Read the lease object where this node may hold it."""
+    """Read the lease object repeatedly while this node may take or hold the lease."""
     back_off = BackOff(defaults.RELAY_BACKOFF_MAX_S)
-    # The first look tells a node that was restarted whether the lease is still its own.
-    looked = False
+    # The first read shows a restarted node whether it still holds the lease.
+    has_read = False
     while True:
         context.lease_news.clear()
-        if looked and not control_jobs.should_read_lease(context.state) and not _recalls(context):
-            await _wait_news(context, defaults.RELAY_LEASE_LOOK_S)
+        if (
+            has_read
+            and not control_jobs.should_read_lease(context.state)
+            and not _needs_restore(context)
+        ):
+            await _wait_lease_check(context, defaults.RELAY_LEASE_LOOK_S)
             continue
         era = context.state.store_era
         answer = await context.eras.within(context.platform.get(LEASE_KIND, lease_name(era)))
@@ -169,57 +176,60 @@
                 holder = _holder_of(context, value)
                 settled = bool(value.get("settled", False))
                 turn_in_s = value.get("turn_in_s")
-                _recall(context, value)
+                _restore_from_lease(context, value)
                 seen = LeaseSeen(now, version, holder, epoch, nonce, settled, era, turn_in_s)
                 context.submit(seen)
             case Failure(PlatformMissing()):
-                await _recall_before(context, era, looked)
+                await _restore_from_earlier_era(context, era, has_read)
                 context.submit(LeaseSeen(now, 0, "", 0, "", era=era))
             case Failure(error):
                 reach.failed("read lease", error)
                 await back_off.pause()
                 continue
-        looked = True
+        has_read = True
         reach.answered()
         back_off.reset()
         freed_soon = control_jobs.awaits_release(context.state)
-        look_s = defaults.RELAY_LEASE_FREED_S if freed_soon else defaults.RELAY_LEASE_READ_S
-        await _wait_news(context, look_s)
+        wait_s = defaults.RELAY_LEASE_FREED_S if freed_soon else defaults.RELAY_LEASE_READ_S
+        await _wait_lease_check(context, wait_s)
 
 
 def lease_name(era: int) -> str:
-    """Name the lease object of an era of the store; no copy holds that of a later era."""
+    """Return the name of an era's lease object.
+
+    No backup from which the store is restored holds the object of the era that begins then.
+    """
     return f"control-{era}" if era else "control"
 
 
-def _recall(context: RelayContext, value: t.Any) -> None:
-    """Take what the lease tells besides its holder: organisations' use, and verdicts."""
+def _restore_from_lease(context: RelayContext, value: t.Any) -> None:
+    """Restore the organisations' usage and the verdicts that the lease object stores."""
     now = clock.now()
     context.submit(UsageRestored(now, tuple(value.get("used", {}).items())))
     kept = relay_suspects.read_verdicts(value.get("verdicts", ()), now)
     context.submit(EvidenceReceived(now, kept, "the lease"))
 
 
-async def _recall_before(context: RelayContext, era: int, looked: bool) -> None:
-    """Take that from the lease of an earlier era, where nobody has written this one's yet."""
-    if era and (not looked or _recalls(context)):
+async def _restore_from_earlier_era(context: RelayContext, era: int, has_read: bool) -> None:
+    """Restore from the newest lease object if that of the current era isn't written yet."""
+    if era and (not has_read or _needs_restore(context)):
         listing = await context.eras.within(context.platform.list_kind(LEASE_KIND))
         rows = listing.value_or(Listing(0, ())).items
         if rows:
-            _recall(context, max(rows, key=lambda row: int(row.value["epoch"])).value)
+            _restore_from_lease(context, max(rows, key=lambda row: int(row.value["epoch"])).value)
             return
     context.submit(UsageRestored(clock.now(), ()))
 
 
-def _recalls(context: RelayContext) -> bool:
-    """Say whether the lease is to tell what organisations had used."""
+def _needs_restore(context: RelayContext) -> bool:
+    """Return whether the organisations' earlier usage is yet to be read from the lease."""
     state = context.state
     keyed = state.table is not None and state.table.directory is not None
     return keyed and state.allotments.needs_recall(clock.now())
 
 
 def _holder_of(context: RelayContext, value: t.Any) -> str:
-    """Name the lease's holder; another box of this one's name is another holder."""
+    """Return the lease's holder; one of this node's name at another address is another node."""
     holder = str(value["holder"])
     address = value.get("address", "")
     own = context.state.identity
@@ -228,18 +238,18 @@
     return holder
 
 
-async def _wait_news(context: RelayContext, most_s: float) -> None:
-    """Wait until the lease may have been freed, or a time is over."""
+async def _wait_lease_check(context: RelayContext, max_s: float) -> None:
+    """Wait until the lease should be read at once, for ``max_s`` seconds at most."""
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(most_s):
+        async with asyncio.timeout(max_s):
             await context.lease_news.wait()
 
 
 async def follow_nodes(context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
-    """Make this node known in the store, and learn of the others there.
+    """Write this node's row to the store, and learn the other nodes from theirs.
 
-    The nodes tell each other of those that come later, so only who watches the store, or
-    hears of nobody who does, reads the list again.
+    Nodes that join later are learnt from other nodes, so the list is read again only while this
+    node watches the store. A node that gets no fresh data from others watches it too.
     """
     back_off = BackOff(defaults.RELAY_BACKOFF_MAX_S)
     written = False
@@ -265,7 +275,7 @@
 
 
 async def _write_row(context: RelayContext, rows: t.Mapping[str, t.Any]) -> bool:
-    """Write this node's row, unless it stands there as it is."""
+    """Write this node's row unless the store has it already; return whether it has it now."""
     identity = context.state.identity
     row = {
         "address": identity.address,
@@ -283,7 +293,7 @@
 
 
 async def rewrite_row(context: RelayContext) -> None:
-    """Write this node's row again, or take it out, when a copy brought back what was before."""
+    """Write this node's row again, or delete it if leaving, after each restore of the store."""
     while True:
         await context.eras.wait_risen()
         await asyncio.sleep(row_again_s(context.state))
@@ -296,16 +306,16 @@
 
 
 def row_again_s(state: NodeState) -> float:
-    """Give when this node looks after its row once an era began, in seconds.
+    """Return the delay from the start of an era until this node checks its row, in seconds.
 
-    All nodes do, so they are spread out: the store takes so many calls a second from them all.
+    All nodes check theirs, so a hash of the name spreads them out, to limit the store's call rate.
     """
     share = stable_hash("row", state.identity.name) % 1000 / 1000.0
     return defaults.ROW_AGAIN_PER_NODE_S * state.membership.count() * share
 
 
 async def _restore_row(context: RelayContext) -> bool:
-    """Write this node's row, unless the store has it as it is; says whether it stands there."""
+    """Write this node's row if it is missing or differs; return whether the store has it now."""
     name = context.state.identity.name
     answer = await context.eras.within(context.platform.get(NODE_KIND, name))
     match answer:
@@ -318,7 +328,7 @@
 
 
 async def forget_row(context: RelayContext) -> None:
-    """Take this node's row out of the store at a planned stop."""
+    """Delete this node's row from the store, for a planned stop."""
     answer = await context.platform.delete(NODE_KIND, context.state.identity.name, None)
     if isinstance(answer, Failure):
         log("store_call_failed", "WARNING", call="delete own row", detail=answer.failure())
--- a/packages/rookspring/src/rookspring/relay_lists.py
+++ b/packages/rookspring/src/rookspring/relay_lists.py
@@ -1,12 +1,7 @@
-"""The platform's list of endpoints: read from the store, or told by a node that did."""
+"""The platform's list of endpoints, read from the store or received from another node."""
 
 import asyncio
 import typing as t
-
-from rookspring_core.events import BoxListed
-from rookspring_core.events import BoxListReceived
-from rookspring_core.events import EndpointReported
-
 from . import clock
 from . import defaults
 from .logs import log
@@ -17,12 +12,18 @@
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import BoxListed
+from rookspring_core.events import EndpointReported
+
+
 
 
 class Missing(t.NamedTuple):
-    """An entry that is missing: until when it may come back.
+    """An entry that is missing from the store: until when it is kept.
 
-    :param lacked: no more is known than that the store lacked it when it came back from a copy.
+    :param lost_in_restore: it was known before the store was restored from a backup, and is only
+        missing since; the endpoint need not have deleted it.
     """
 
     until: float
@@ -30,9 +31,11 @@
 
 
 class Gone(t.NamedTuple):
-    """An entry that went: where the store stood at its last row, and which life it was of.
+    """An entry that was dropped.
 
-    :param lacked: as of one that is missing.
+    :param position: position of its last row in the store's history.
+    :param started_ms: start time of the endpoint's process in that row, in milliseconds.
+    :param lost_in_restore: as in :class:`MissingEntry`.
     """
 
     position: tuple[int, int]
@@ -41,29 +44,32 @@
 
 
 class Doubted(t.NamedTuple):
-    """A row that changes nothing until it has stood for a while, in seconds."""
+    """A row that may be outdated: it is applied once it has remained for ``wait_s`` seconds."""
 
     row: StoredObject
     since: float
     wait_s: float
 
     def stood(self, now: float) -> bool:
-        """Say whether it has stood for long enough."""
+        """Return whether it has remained for long enough."""
         return now - self.since >= self.wait_s
 
 
 class EndpointList:
-    """Endpoints as the store lists them, with what lapsed while it was away.
+    """The endpoints that the store lists, and those whose entries are missing for a short time.
 
-    A row of an endpoint's earlier life that comes late changes nothing, unless it stands for
-    longer than a late word can: then the endpoint's clock has stepped back. Nor does a row
-    of a list, where one of the store's era before is known: it may be of the copy from which
-    the store came back. A live endpoint writes its entry again, which comes as a change; what
-    stands for longer than that takes, or than the entry of one that is gone can, is taken.
+    Two kinds of rows are not applied at once:
 
-    An entry that is missing after an outage is given ``LAPSE_GRACE_S`` to come back,
-    since live endpoints write theirs anew; after that the endpoint counts as gone. What
-    changes is passed on to the nodes that follow this one, which take it as it is.
+    - A row of an earlier process of an endpoint, which usually is a late one. If it stays listed
+      for longer than a row can be late, the endpoint's clock was stepped back, and it is applied.
+    - A row from a list, if the known row is of an earlier era: it may stem from the backup from
+      which the store was restored. A live endpoint writes its entry again, which arrives as a
+      change. The row is applied if it is still listed after the time that this takes, or after
+      the time for which the entry of an endpoint that is gone can remain.
+
+    An entry that is missing after an outage is kept for ``LAPSE_GRACE_S``, since live endpoints
+    write theirs again; then the endpoint is dropped. Changes are sent to the nodes that follow
+    this one, which apply them as they are.
     """
 
     def __init__(self, context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
@@ -72,18 +78,18 @@
         self._reach = reach
         self._rows: dict[str, BoxListed] = {}
         self._stored: dict[str, StoredObject] = {}
-        # Entries that went: an older row does not bring one back.
+        # Dropped entries; rows that are no newer than these are ignored.
         self._gone: dict[str, Gone] = {}
         self._missing: dict[str, Missing] = {}
-        # When each endpoint was started; see ``lives`` of the core.
+        # When each endpoint's process started; see ``restarts.py`` of the core.
         self._born: dict[str, int] = {}
         self._doubted: dict[str, Doubted] = {}
-        # Rows that cannot be read, each with the reason that was told.
+        # Malformed rows, each with the error that was logged.
         self._malformed: dict[str, str] = {}
         self._changed: dict[str, StoredObject] = {}
 
     def take(self, rows: tuple[StoredObject, ...], whole: bool) -> None:
-        """Take changed entries from the store, or all that there are."""
+        """Apply rows from the store: changed ones, or all that there are if ``whole``."""
         now = clock.now()
         if whole:
             names = {row.name for row in rows}
@@ -96,7 +102,7 @@
         self._submit(reports)
 
     def take_told(self, rows: tuple[StoredObject, ...], whole: bool) -> None:
-        """Take entries from the node that this one follows."""
+        """Apply rows from another node, which are all that it has if ``whole``."""
         now = clock.now()
         if whole:
             for name in set(self._rows) - {row.name for row in rows}:
@@ -105,7 +111,7 @@
         for row in rows:
             if row.value is None:
                 self._drop(row.name)
-            elif (report := self._keep(row, now, judged=True)) is not None:
+            elif (report := self._keep(row, now, checked=True)) is not None:
                 reports.append(report)
         self.settle(now)
         self._submit(reports)
@@ -124,12 +130,12 @@
         return self._keep(row, now, listed)
 
     def _known_before(self, name: str) -> bool:
-        """Say whether an entry is known from an earlier era of the store alone."""
+        """Return whether the latest row that is known of an entry is of an earlier era."""
         known = self._stored.get(name)
         return known is not None and known.era < self._context.state.store_era
 
     def _may_be_copied(self, row: StoredObject, born: int, now: float) -> bool:
-        """Say whether a row of a list may be older than what is known from an earlier era."""
+        """Return whether a listed row may be older than the known one of an earlier era."""
         known = self._stored.get(row.name)
         gone = self._gone.get(row.name)
         if known is not None:
@@ -141,7 +147,7 @@
         return self._doubt(row, now, defaults.LATE_ROW_S)
 
     def _doubt(self, row: StoredObject, now: float, wait_s: float) -> bool:
-        """Doubt a row; says whether it has not stood for long enough yet."""
+        """Defer a row; return whether it has to wait for longer."""
         known = self._doubted.get(row.name)
         if known is None or known.row.position[0] != row.era:
             known = Doubted(row, now, wait_s)
@@ -149,12 +155,12 @@
         return now - known.since < wait_s
 
     def _keep(
-        self, row: StoredObject, now: float, listed: bool = False, judged: bool = False
+        self, row: StoredObject, now: float, listed: bool = False, checked: bool = False
     ) -> EndpointReported | None:
-        """Keep a row; gives what it tells, unless it is nothing new or of an earlier life.
+        """Apply a row; return its report, or None if the row changes nothing or is not applied.
 
-        :param listed: it stands in a list of all, so it need not have changed.
-        :param judged: whoever watches the store has judged of which life it is.
+        :param listed: it comes from a list of all rows, so it need not have changed.
+        :param checked: the node that read it from the store has checked its start time.
         """
         known = self._stored.get(row.name)
         if known is not None and known.position == row.position:
@@ -169,11 +175,11 @@
             return None
         self._malformed.pop(row.name, None)
         self._missing.pop(row.name, None)
-        # That a life leaves is true whenever it was written.
+        # A process that is leaving never stops leaving, so this holds whatever the row's age.
         if listed and not report.leaving and self._may_be_copied(row, report.started_ms, now):
             return None
         if report.started_ms and report.started_ms < self._born.get(row.name, 0):
-            if not judged and self._doubt(row, now, defaults.LATE_ROW_S):
+            if not checked and self._doubt(row, now, defaults.LATE_ROW_S):
                 return None
             report = report._replace(start_confirmed=True)
         self._doubted.pop(row.name, None)
@@ -183,7 +189,7 @@
             and before.state == "leaving"
             and before.started_ms == report.started_ms
         ):
-            # A life that leaves does not stay after all, whatever its entry says later.
+            # A process that is leaving never stops leaving, whatever its entry contains later.
             found = found._replace(state="leaving")
             report = report._replace(leaving=True)
         self._born[row.name] = report.started_ms
@@ -198,7 +204,7 @@
                 era=row.era,
             )
             if found.state == "leaving":
-                # Nodes that the store turns away learn of it from this one.
+                # Nodes whose calls the store refuses learn of it from this node.
                 self._context.share(report)
         self._rows[row.name] = found
         self._stored[row.name] = row
@@ -206,7 +212,7 @@
         return report
 
     def _passes_over(self, row: StoredObject) -> bool:
-        """Say whether a row is older than what is known of its entry."""
+        """Return whether a row is older than the known row, or no newer than a dropped one."""
         known = self._stored.get(row.name)
         gone = self._gone.get(row.name)
         if known is not None:
@@ -224,10 +230,10 @@
         return older
 
     def _refuse(self, row: StoredObject, detail: str, now: float) -> None:
-        """Leave a row out that cannot be read; one that could is taken for missing.
+        """Record a malformed row; if the entry has an earlier valid row, it counts as missing.
 
-        A live endpoint writes its entry anew at its next heartbeat. Until then, or until
-        ``LAPSE_GRACE_S`` is over, it is used as its last good row said.
+        A live endpoint writes its entry again at its next heartbeat. Until then, or until
+        ``LAPSE_GRACE_S`` has passed, the last valid row is used.
         """
         if self._malformed.get(row.name) != detail:
             log("endpoint_malformed", "ERROR", endpoint=row.name, detail=detail)
@@ -252,17 +258,20 @@
         self._changed[name] = stored._replace(value=None)
 
     def settle(self, now: float) -> None:
-        """Drop what is missing for good, and tell the reducer the list."""
-        back_until = self._reach.back_at + defaults.LAPSE_GRACE_S
+        """Drop entries that have been missing for too long, and submit the list to the reducer.
+
+        None is dropped during an outage of the store.
+        """
+        grace_end = self._reach.back_at + defaults.LAPSE_GRACE_S
         for name, missing in list(self._missing.items()):
-            until = max(missing.until, back_until)
+            until = max(missing.until, grace_end)
             if now >= until and self._reach.lost_at is None:
                 self._drop(name)
                 log("endpoint_gone", endpoint=name, late_s=now - until)
         self._context.submit(BoxListReceived(now, tuple(self._rows.values())))
 
     async def settle_loop(self) -> None:
-        """Look after entries that are missing."""
+        """Apply deferred rows and drop missing entries when their time is over."""
         while True:
             await asyncio.sleep(defaults.LAPSE_CHECK_S)
             self.take_stood(clock.now())
@@ -271,13 +280,13 @@
                 self._pass_on()
 
     def take_stood(self, now: float) -> None:
-        """Take rows that were doubted and have stood for long."""
-        stood = [one.row for one in self._doubted.values() if one.stood(now)]
-        if stood:
-            self.take(tuple(stood), False)
+        """Apply the deferred rows whose wait is over."""
+        due = [one.row for one in self._doubted.values() if one.stood(now)]
+        if due:
+            self.take(tuple(due), False)
 
     def _pass_on(self) -> None:
-        """Tell the nodes that follow this one what has changed."""
+        """Send the changed rows to the nodes that follow this one."""
         if not self._changed:
             return
         item = Listed([list(row) for row in self._changed.values()], False)
@@ -288,13 +297,13 @@
                 link.send(item)
 
     def give(self, link: Link) -> None:
-        """Tell a node that begins to follow this one all entries."""
+        """Send all rows to a node that begins to follow this one."""
         if self._context.listed:
             link.send(Listed([list(row) for row in self._stored.values()], True))
 
 
 @receives(Listed)
 def take_listed(peers: RelayPeers, link: Link, listed: Listed) -> None:
-    """Take entries from the node that this one follows; others' are not for it any more."""
+    """Apply endpoint rows that another node sent."""
     rows = tuple(StoredObject(str(row[0]), int(row[1]), row[2], *row[3:]) for row in listed.rows)
     peers.context.take_listed(rows, bool(listed.whole), link.name)
--- a/packages/rookspring/src/rookspring/relay_members.py
+++ b/packages/rookspring/src/rookspring/relay_members.py
@@ -1,33 +1,33 @@
-"""Which nodes there are, as relays tell each other and those who follow them.
+"""Membership rows that relays send to each other and to their followers.
 
-A relay vouches to other relays for the nodes of its data centre and the relays that speak
-to it, and to its followers for all that it knows. Since relays tell each other of relays,
-one that started before the others, and took itself for the only one, finds them. Only
-differences are sent, but to a node that has just been linked or has changed its part.
+A relay sends other relays the rows of the nodes of its data centre and of the relays that it has
+a live link to, and sends its followers all rows that it knows. Since relays report relays, one
+that started before the others, and took itself for the only one, learns of them. Only changed rows
+are sent, except to a node that has just linked or has become a relay or ceased to be one.
 """
 
 import typing as t
-
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import MembersReceived
-from rookspring_core.membership import Peer
-
 from . import clock
 from .messages import Members
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import Told
 from .relay_peers import receives
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import MembersReceived
+from rookspring_core.membership import Peer
+
+
 
 
 def send_members(peers: RelayPeers) -> None:
-    """Tell each linked node what has changed of the nodes since it was told last."""
+    """Send each linked node the membership rows that changed since the last message to it."""
     state = peers.context.state
     end = state.membership.changes.end()
     for name, link in list(peers.server.links.items()):
         if not state.topology.relay:
             if peers.told.pop(link, None) is not None:
-                # It vouches for nobody any more.
+                # No longer a relay, so it reports no nodes: an empty, complete list.
                 link.send(Members([], [], True))
             continue
         known = state.membership.peers.get(name)
@@ -40,35 +40,38 @@
             names = state.membership.changes.since(told.position)
         peers.told[link] = Told(end, relay)
         if names is None or names:
-            link.send(_make(peers, link, relay, names))
+            link.send(_make_message(peers, link, relay, names))
+
 
+def _make_message(peers: RelayPeers, link: Link, relay: bool, names: list[str] | None) -> Members:
+    """Return the message on some nodes for a link, or on all of them if ``names`` is None.
 
-def _make(peers: RelayPeers, link: Link, relay: bool, names: list[str] | None) -> Members:
-    """Make what a link is told of some nodes, or of all where ``names`` is None."""
+    :param relay: the linked node is a relay.
+    """
     members = peers.context.state.membership.peers
     now = clock.now()
     rows = []
-    gone = []
+    removed = []
     for name in members if names is None else names:
         peer = members.get(name)
         if name == link.name:
             continue
         if peer is not None and _vouches(peers, peer, relay, now):
-            rows.append(_write(peer, now))
+            rows.append(_encode_row(peer, now))
         else:
-            gone.append(name)
-    return Members(rows, [] if names is None else gone, names is None)
+            removed.append(name)
+    return Members(rows, [] if names is None else removed, names is None)
 
 
 def _vouches(peers: RelayPeers, peer: Peer, relay: bool, now: float) -> bool:
-    """Say whether this node vouches for another one towards a relay or a follower."""
+    """Return whether this node reports a node to a relay, or else to a follower."""
     if not relay:
         return True
     near = peer.heard.data_centre == peers.context.state.identity.data_centre
     return (near or peer.heard.relay) and peer.direct(now)
 
 
-def _write(peer: Peer, now: float) -> list[t.Any]:
+def _encode_row(peer: Peer, now: float) -> list[t.Any]:
     heard = peer.heard
     return [
         heard.name,
@@ -86,9 +89,9 @@
     ]
 
 
-def _read(row: list[t.Any], now: float) -> HeartbeatReceived:
+def _decode_row(row: list[t.Any], now: float) -> HeartbeatReceived:
     name, incarnation, address, caller_address, data_centre, revision, leaving = row[:7]
-    up_s, lease_epoch, lease_ended, relay, strength = row[7:]
+    uptime_s, lease_epoch, lease_ended, relay, capacity = row[7:]
     return HeartbeatReceived(
         at=now,
         name=str(name),
@@ -101,8 +104,8 @@
         lease_epoch=int(lease_epoch),
         lease_ended=int(lease_ended),
         inflight=None,
-        uptime_s=float(up_s),
-        capacity=float(strength),
+        uptime_s=float(uptime_s),
+        capacity=float(capacity),
         relay=bool(relay),
         aggregated=True,
     )
@@ -110,11 +113,11 @@
 
 @receives(Members)
 def take_members(peers: RelayPeers, link: Link, members: Members) -> None:
-    """Take what a relay says of the nodes."""
+    """Apply the membership rows that a relay sent."""
     now = clock.now()
-    rows = tuple(_read(row, now) for row in members.rows)
-    gone = tuple(str(name) for name in members.gone)
-    peers.context.submit(MembersReceived(now, link.name, rows, gone, bool(members.whole)))
+    rows = tuple(_decode_row(row, now) for row in members.rows)
+    removed = tuple(str(name) for name in members.gone)
+    peers.context.submit(MembersReceived(now, link.name, rows, removed, bool(members.whole)))
     ended = peers.context.state.control.lease.epoch
     if any(row.leaving or row.lease_ended == ended > 0 for row in rows):
         peers.context.lease_news.set()
--- a/packages/rookspring/src/rookspring/relay_merged.py
+++ b/packages/rookspring/src/rookspring/relay_merged.py
@@ -1,25 +1,25 @@
-"""What all relay nodes are to know alike, merged from what each has seen.
+"""Replication of merged sets: data that all relay nodes merge from what each has observed.
 
-It is told to all at once. A node that is linked anew is told all of it, and so is one that has
-known something else for some heartbeats: a message that was lost with a relay, or a link that
-hung, leaves no gap for longer.
+Changes are sent to all nodes at once. A newly linked node is sent every set in full, and so is a
+linked node whose digest has differed for several heartbeats. So a message that was lost with a
+relay, or on a link that hung, is made up for after that time.
 """
 
 import typing as t
-
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from .peers import Link
 from .relay_peers import RelayPeers
+from rookspring_core.state import NodeState
+
+
 
 Digest = t.Callable[[NodeState], int]
 Tell = t.Callable[[RelayPeers, Link], None]
 
 
 class Merged(t.NamedTuple):
-    """One kind of what all are to know: a number for it, and how a node is told all of it."""
+    """One merged set: its digest, and the function that sends all of it to a linked node."""
 
     digest: Digest
     tell: Tell
@@ -29,34 +29,37 @@
 
 
 def merges(name: str, digest: Digest) -> t.Callable[[Tell], Tell]:
-    """Register what tells a node all of one kind.
+    """Register the function that sends all of a merged set to a linked node.
 
-    :param digest: a number that is the same on nodes that know the same of it.
+    :param digest: computes a number that is equal on nodes that hold the same entries.
     """
 
-    def register(tell: Tell) -> Tell:
-        MERGED[name] = Merged(digest, tell)
-        return tell
+    def register(send_all: Tell) -> Tell:
+        MERGED[name] = Merged(digest, send_all)
+        return send_all
 
     return register
 
 
 def digest(state: NodeState) -> int:
-    """Give a number that is the same on nodes that know the same."""
-    found = 0
-    for one in MERGED.values():
-        found ^= one.digest(state)
-    return found
+    """Return a digest over all merged sets, equal on nodes whose sets are equal."""
+    combined = 0
+    for merged in MERGED.values():
+        combined ^= merged.digest(state)
+    return combined
 
 
 def greet(peers: RelayPeers, link: Link) -> None:
-    """Tell a node all that is known."""
-    for one in MERGED.values():
-        one.tell(peers, link)
+    """Send a linked node all merged sets in full."""
+    for merged in MERGED.values():
+        merged.tell(peers, link)
 
 
 def compare(peers: RelayPeers, link: Link, told: int) -> None:
-    """Tell a node all, where it has known something else for some heartbeats."""
+    """Send a linked node all merged sets if its digest has differed for ``MERGED_DIFFERS_S``.
+
+    :param peer_digest: the digest in the node's heartbeat.
+    """
     now = clock.now()
     if told == digest(peers.context.state):
         peers.differs_since.pop(link, None)
--- a/packages/rookspring/src/rookspring/relay_node.py
+++ b/packages/rookspring/src/rookspring/relay_node.py
@@ -1,4 +1,4 @@
-"""Assembly of a relay node: its parts, listeners, loops and signals."""
+"""Assembly of a relay node: its components, listeners, loops and signal handlers."""
 
 import asyncio
 import contextlib
@@ -7,29 +7,7 @@
 import signal
 import sys
 import typing as t
-
 import uvloop
-from returns.result import Failure
-from returns.result import Success
-
-from rookspring_core import Identity
-from rookspring_core import NodeState
-from rookspring_core import allotment_checks
-from rookspring_core import cluster
-from rookspring_core import defaults as core_defaults
-from rookspring_core import demand
-from rookspring_core.allotments import Allotments
-from rookspring_core.effects import ReadDesired
-from rookspring_core.effects import ReadHead
-from rookspring_core.effects import Stop
-from rookspring_core.effects import WriteLease
-from rookspring_core.events import DrainAsked
-from rookspring_core.events import LeaseWritten
-from rookspring_core.events import Ticked
-from rookspring_core.freshness import ProofTerms
-from rookspring_core.leases import RELAY_TERMS
-from rookspring_core.retries import WindowTerms
-
 from . import clock
 from . import defaults
 from . import logs
@@ -64,17 +42,39 @@
 from .relay_proofs import ProofKeeper
 from .relay_settings import RelaySettings
 from .store_eras import StoreEras
+from returns.result import Failure
+from returns.result import Success
+from rookspring_core import Identity
+from rookspring_core import NodeState
+from rookspring_core import allotment_checks
+from rookspring_core import cluster
+from rookspring_core import defaults as core_defaults
+from rookspring_core import demand
+from rookspring_core.allotments import Allotments
+from rookspring_core.effects import ReadDesired
+from rookspring_core.effects import ReadHead
+from rookspring_core.effects import Stop
+from rookspring_core.effects import WriteLease
+from rookspring_core.events import DrainAsked
+from rookspring_core.events import LeaseWritten
+from rookspring_core.events import Ticked
+from rookspring_core.freshness import ProofTerms
+from rookspring_core.leases import RELAY_TERMS
+from rookspring_core.retries import WindowTerms
+
+
+
 
 Reload = t.Callable[[], RelaySettings]
 
 
 def configure_logs() -> None:
-    """Send log lines to standard output, bounded and without blocking."""
+    """Write log lines to standard output through a bounded buffer, without blocking."""
     logs.configure_bounded(sys.stdout.fileno())
 
 
 def run(settings: RelaySettings, dialect: Dialect, reload: Reload) -> int:
-    """Run one node until it is asked to stop.
+    """Run one node until a planned stop is complete.
 
     :param reload: reads the settings again; raises :class:`SettingsError`.
     """
@@ -94,7 +94,7 @@
 
 
 async def _watch_settings(node: "RelayNode", reload: Reload) -> None:
-    """Take settings that changed without a signal."""
+    """Apply settings that were changed without a signal."""
     while True:
         await asyncio.sleep(defaults.SETTINGS_CHECK_S)
         node.reload(reload, told=False)
@@ -139,13 +139,13 @@
         self.context.eras.follow(platform)
         self.endpoints = EndpointList(self.context, self.peers, self.reach)
         self.proofs = ProofKeeper(self.context, self.peers, self.reach)
-        self._wire()
+        self._connect_components()
         self.stopping = asyncio.Event()
         self.listeners: dict[str, HttpListener] = {}
-        self._take_terms(settings)
+        self._apply_settings(settings)
 
-    def _wire(self) -> None:
-        """Tell the parts of each other where one only has something for another to do."""
+    def _connect_components(self) -> None:
+        """Set the callbacks by which components call each other without imports."""
         context = self.context
         peers = self.peers
         peers.greeters += (relay_beats.greet, relay_merged.greet)
@@ -165,15 +165,18 @@
         context.free_slot = functools.partial(relay_slots.free_slot, peers)
         context.ask_proof = self.proofs.ask_soon
         context.give_lists = self.endpoints.give
-        context.take_listed = self._take_listed
+        context.take_listed = self._take_endpoint_rows
         context.stop = self._stop
 
-    def _take_listed(self, rows: tuple[StoredObject, ...], whole: bool, source: str) -> None:
-        """Take a list; only that of the node that this one follows says what is missing."""
+    def _take_endpoint_rows(self, rows: tuple[StoredObject, ...], whole: bool, source: str) -> None:
+        """Apply endpoint rows from another node.
+
+        Entries missing in a complete list are removed only if the followed node sent it.
+        """
         followed = self.context.state.topology.followed
         self.endpoints.take_told(rows, whole and source == followed)
 
-    def _take_terms(self, settings: RelaySettings) -> None:
+    def _apply_settings(self, settings: RelaySettings) -> None:
         state = self.context.state
         state.retry_window_terms = WindowTerms(
             settings.retry_share,
@@ -190,7 +193,7 @@
         )
 
     async def start(self) -> None:
-        """Listen and begin all loops."""
+        """Open the listeners and start all loops."""
         settings = self.settings
         log(
             "node_started",
@@ -226,28 +229,28 @@
         async def serve(connection: ServerConnection, request: HttpRequest) -> None:
             await relay.serve_caller(self.context, connection, request)
 
-        callers = ServerOptions(serve, self._limits, lambda: self.context.state.leaving)
-        small = ServerOptions(self._serve_small)
+        callers = ServerOptions(serve, self._read_limits, lambda: self.context.state.leaving)
+        checks = ServerOptions(self._serve_checks)
         host = settings.caller_address.rpartition(":")[0]
         rows = {
             "callers": (settings.caller_address, callers),
-            "ready": (settings.ready_address, small),
+            "ready": (settings.ready_address, checks),
             "metrics": (f"{host}:{settings.metrics_port}", ServerOptions(self._serve_metrics)),
         }
         if settings.lookup_address and settings.lookup_address != settings.ready_address:
-            rows["lookup"] = (settings.lookup_address, small)
+            rows["lookup"] = (settings.lookup_address, checks)
         for name, (address, options) in rows.items():
             listener = HttpListener(options)
             host, _, port = address.rpartition(":")
             await listener.start(host, int(port))
             self.listeners[name] = listener
 
-    def _limits(self) -> ReadLimits:
+    def _read_limits(self) -> ReadLimits:
         table = self.context.state.table
         return ReadLimits(*table.limits) if table else ReadLimits()
 
-    async def _serve_small(self, connection: ServerConnection, request: HttpRequest) -> None:
-        """Answer readiness checks, and callers who ask for addresses."""
+    async def _serve_checks(self, connection: ServerConnection, request: HttpRequest) -> None:
+        """Answer readiness checks and address lookups."""
         dialect = self.context.dialect
         zone = dialect.read_lookup(request)
         if zone is not None:
@@ -277,7 +280,7 @@
         while True:
             now = clock.now()
             if now - ticked_at > defaults.STOOD_STILL_S:
-                self._go_on(now - ticked_at)
+                self._resume(now - ticked_at)
             ticked_at = now
             self.context.submit(Ticked(now))
             if self.context.state.topology.watching:
@@ -286,9 +289,12 @@
                 self.context.watching.clear()
             await asyncio.sleep(core_defaults.TICK_S)
 
-    def _go_on(self, stood_s: float) -> None:
-        """Go on after this node stood still; the loop's timers counted none of a suspension."""
-        log("stood_still", "WARNING", for_s=stood_s, suspended_s=clock.suspended_s())
+    def _resume(self, frozen_s: float) -> None:
+        """Reschedule timeouts after this process was frozen; the loop's timers omit a suspension.
+
+        :param frozen_s: time since the tick before, in seconds.
+        """
+        log("stood_still", "WARNING", for_s=frozen_s, suspended_s=clock.suspended_s())
         for exchange in self.context.exchanges.values():
             exchange.keep_deadline()
 
@@ -298,7 +304,10 @@
             self.context.pool.sweep(clock.now())
 
     def reload(self, reload: Reload, told: bool = True) -> None:
-        """Read the settings again; wrong ones change nothing."""
+        """Read the settings again and apply them; invalid ones change nothing.
+
+        :param by_signal: a signal requested it, so it is logged even if nothing has changed.
+        """
         try:
             settings = reload()
         except SettingsError as error:
@@ -316,10 +325,10 @@
         self.settings = settings
         self.context.settings = settings
         self.peers.dialler.seeds = settings.seeds
-        self._take_terms(settings)
+        self._apply_settings(settings)
 
     def drain(self) -> None:
-        """Begin the planned stop."""
+        """Begin a planned stop, which ends at the latest ``STOP_MARGIN_S`` before ``grace_s``."""
         if self.context.state.leaving:
             return
         log("node_draining", node=self.settings.name, requests=len(self.context.exchanges))
@@ -332,12 +341,12 @@
         self.stopping.set()
 
     async def run_until_stopped(self) -> None:
-        """Wait for the end of a planned stop, then close."""
+        """Wait until a planned stop is complete, then close all connections."""
         await self.stopping.wait()
         for listener in self.listeners.values():
             listener.stop_taking()
             listener.close_idle()
-        # Answers that are complete may still be on their way out.
+        # Complete answers may still be in the send buffers.
         await asyncio.sleep(defaults.LAST_BYTES_S)
         log("node_stopped", node=self.settings.name, cut=len(self.context.exchanges))
         for task in list(self.context.tasks):
@@ -357,13 +366,13 @@
 
 @relay_performs(Stop)
 def stop(context: RelayContext, effect: Stop) -> None:
-    """Let the process end."""
+    """End the process: the planned stop is complete."""
     context.stop()
 
 
 @relay_performs(WriteLease)
 def write_lease(context: RelayContext, effect: WriteLease) -> None:
-    """Write the lease object on its version."""
+    """Write the lease object, provided that its version is unchanged."""
     asked_at = clock.now()
     value = {
         "holder": context.settings.name if effect.nonce else "",
@@ -371,9 +380,9 @@
         "nonce": effect.nonce,
         "settled": effect.settled,
         "turn_in_s": effect.turn_in_s,
-        # A box that takes another's place may bear its name.
+        # Distinguishes this node from a box that replaces it under the same name.
         "address": context.settings.peer_address,
-        # For nodes that start when no other is left that knows.
+        # Read by nodes that start while no other node that knows these values is running.
         "used": allotment_checks.used_shares(context.state, asked_at),
         "verdicts": relay_suspects.write_verdicts(context.state, asked_at),
     }
@@ -398,10 +407,13 @@
 
 @relay_performs(ReadDesired)
 def note_lease(context: RelayContext, effect: ReadDesired) -> None:
-    """Say that this node controls endpoints now; the platform keeps the configuration."""
+    """Log that this node holds the lease; it has no resources to read.
+
+    The platform keeps the configuration, which every node reads.
+    """
     log("lease_acquired", node=context.settings.name, epoch=effect.epoch)
 
 
 @relay_performs(ReadHead)
 def skip_head(context: RelayContext, effect: ReadHead) -> None:
-    """Nothing to read: no revisions are published where the platform accepts them."""
+    """Do nothing: the platform accepts the configuration, so relay nodes publish no revisions."""
--- a/packages/rookspring/src/rookspring/relay_orders.py
+++ b/packages/rookspring/src/rookspring/relay_orders.py
@@ -1,7 +1,17 @@
-"""Orders to endpoints, their reports, and what nodes tell the lease holder."""
+"""Effects on orders, endpoint reports, load requests, allotments and slots."""
 
 import asyncio
-
+from . import clock
+from . import defaults
+from . import http_client
+from .dialect import OrderAsked
+from .dialect import OrderReply
+from .exceptions import EndpointError
+from .logs import log
+from .relay_context import RelayContext
+from .relay_context import relay_performs
+from .relay_notices import Asked
+from .relay_notices import hear_at
 from rookspring_core import notice_handlers
 from rookspring_core.defaults import LOAD_UNREPORTED
 from rookspring_core.effects import AdapterLeft
@@ -23,29 +33,19 @@
 from rookspring_core.events import OrderAnswered
 from rookspring_core.events import OrderDue
 
-from . import clock
-from . import defaults
-from . import http_client
-from .dialect import OrderAsked
-from .dialect import OrderReply
-from .exceptions import EndpointError
-from .logs import log
-from .relay_context import RelayContext
-from .relay_context import relay_performs
-from .relay_notices import Asked
-from .relay_notices import hear_at
+
 
 
 @relay_performs(SendOrder)
 def send_order(context: RelayContext, effect: SendOrder) -> None:
-    """Give an endpoint an order, once."""
-    context.spawn(_order(context, effect))
+    """Send an order to an endpoint, without a retry."""
+    context.spawn(_send_and_submit(context, effect))
 
 
-async def _order(context: RelayContext, effect: SendOrder) -> None:
+async def _send_and_submit(context: RelayContext, effect: SendOrder) -> None:
     fence, count = effect.token
     adapter = effect.model_version.rpartition("/")[2]
-    asked = OrderAsked(
+    order = OrderAsked(
         effect.action,
         effect.model,
         adapter,
@@ -56,7 +56,7 @@
     )
     reply = OrderReply(taken=None)
     reason = "no answer"
-    data = context.dialect.order_request(effect.address, asked)
+    data = context.dialect.order_request(effect.address, order)
     try:
         why = notice_handlers.find_withheld(context.state, effect.endpoint)
         if why:
@@ -71,7 +71,7 @@
         reply = context.dialect.read_order_reply(head)
         reason = "fenced" if reply.fenced else "done" if reply.done else str(head.status)
     except EndpointError as error:
-        # An order of which nothing was sent cannot be carried out.
+        # If nothing was sent, the endpoint can't have taken the order.
         reply = OrderReply(taken=None if error.sent else False)
         reason = error.reason
     context.metrics.orders.inc({"action": effect.action, "end": reason})
@@ -91,15 +91,15 @@
 
 @relay_performs(ReadReport)
 def read_report(context: RelayContext, effect: ReadReport) -> None:
-    """Read an endpoint's own report and pass it on."""
-    context.spawn(_read(context, effect))
+    """Read an endpoint's report from the endpoint itself and submit it."""
+    context.spawn(_read_and_submit(context, effect))
 
 
-async def _read(context: RelayContext, effect: ReadReport) -> None:
+async def _read_and_submit(context: RelayContext, effect: ReadReport) -> None:
     await asyncio.sleep(effect.after_s)
     view = context.state.endpoints.get(effect.endpoint)
     if view is None or view.report is None or view.in_backoff(clock.now()):
-        # At rest it wants nothing from this node, also no question; it is read later.
+        # The back-off that an endpoint requests covers all calls; its report is read later.
         return
     data = context.dialect.report_request(view.address)
     try:
@@ -116,47 +116,48 @@
     if report is None:
         log("report_failed", "WARNING", endpoint=effect.endpoint, reason="malformed")
         return
-    # Its load is as old as the next one would be, so it is left to what nodes tell.
+    # Its load would be no newer than that of the next report, so it is left out, and what nodes
+    # report is used.
     context.submit(report._replace(polled=True, running=LOAD_UNREPORTED, queued=0))
 
 
 @relay_performs(ShareReport)
 def share_report(context: RelayContext, effect: ShareReport) -> None:
-    """Tell every other node what is now true of an endpoint."""
+    """Send an endpoint's report to every other node."""
     context.share(effect.report)
 
 
 @relay_performs(ShareLoading)
 def share_coming(context: RelayContext, effect: ShareLoading) -> None:
-    """Tell every other node when a model that is being loaded can be there."""
+    """Send every other node when a model that is being loaded is expected to be resident."""
     context.share_coming(effect.endpoint, effect.model, effect.in_s)
 
 
 @relay_performs(ShareDown)
 def share_down(context: RelayContext, effect: ShareDown) -> None:
-    """Tell every other node that nothing listens at an endpoint."""
+    """Send every other node that nothing listens at an endpoint's address."""
     context.share_down(effect.endpoint)
 
 
 @relay_performs(SharePrompts)
 def share_prompts(context: RelayContext, effect: SharePrompts) -> None:
-    """Tell every other node what an endpoint is to read of this node's prompts."""
+    """Send every other node how much of this node's prompts an endpoint has yet to read."""
     context.share_prompts(effect.endpoint, False)
 
 
 @relay_performs(StartOrderTimer)
 def remind(context: RelayContext, effect: StartOrderTimer) -> None:
-    """Tell when an order's pause is over."""
+    """Start the timer after which an order is due."""
 
-    def tell() -> None:
+    def submit_due() -> None:
         context.submit(OrderDue(clock.now(), effect.endpoint, effect.taken_before))
 
-    context.loop.call_later(effect.after_s, tell)
+    context.loop.call_later(effect.after_s, submit_due)
 
 
 @relay_performs(RequestLoad)
 def want(context: RelayContext, effect: RequestLoad) -> None:
-    """Tell the lease holder at once."""
+    """Send a load request to the lease holder at once, or submit it if this node is the holder."""
     if context.state.control.holding(clock.now()):
         event = LoadRequested(clock.now(), *effect)
         context.loop.call_soon(context.submit, event)
@@ -166,13 +167,13 @@
 
 @relay_performs(LoadRequestDeclined)
 def tell_declined(context: RelayContext, effect: LoadRequestDeclined) -> None:
-    """Log why nothing is ordered for an adapter now."""
+    """Log why nothing is ordered at present for an adapter that requests wait for."""
     log("want_declined", adapter=effect.adapter, why=effect.why)
 
 
 @relay_performs(LoadRequestEnded)
 def tell_ended(context: RelayContext, effect: LoadRequestEnded) -> None:
-    """Log and count what became of an adapter that requests waited for."""
+    """Log and count the outcome for an adapter that requests waited for."""
     context.metrics.wants.observe({"end": effect.outcome}, effect.age_s)
     log(
         "want_ended",
@@ -185,7 +186,7 @@
 
 @relay_performs(AdapterLeft)
 def tell_left(context: RelayContext, effect: AdapterLeft) -> None:
-    """Log and count how long an adapter stayed."""
+    """Log and count how long a detached adapter was attached."""
     used = "yes" if effect.used else "no"
     context.metrics.adapter_stays.observe({"used": used}, effect.stay_s)
     log(
@@ -199,23 +200,23 @@
 
 @relay_performs(AskAllotment)
 def ask_allotment(context: RelayContext, effect: AskAllotment) -> None:
-    """Ask an organisation's owner."""
+    """Ask the owner of an organisation's allotment whether a request may run."""
     context.ask_owner(effect)
 
 
 @relay_performs(ReturnAllotment)
 def return_allotment(context: RelayContext, effect: ReturnAllotment) -> None:
-    """Tell an organisation's owner what did not run."""
+    """Return the units of a request that did not run to the owner of the allotment."""
     context.return_units(effect)
 
 
 @relay_performs(AskSlot)
 def ask_slot(context: RelayContext, effect: AskSlot) -> None:
-    """Ask a plain service's owner for a slot."""
+    """Ask the owner of a slot queue for a slot."""
     context.ask_slot(effect)
 
 
 @relay_performs(FreeSlot)
 def free_slot(context: RelayContext, effect: FreeSlot) -> None:
-    """Tell a plain service's owner that a run is over."""
+    """Return a slot to its owner after a request's run."""
     context.free_slot(effect)
--- a/packages/rookspring/src/rookspring/relay_settings.py
+++ b/packages/rookspring/src/rookspring/relay_settings.py
@@ -1,24 +1,25 @@
-"""Settings of a relay node, as an adapter reads them from its platform."""
+"""Settings of a relay node, as the platform's adapter reads them."""
 
 import typing as t
-
 from rookspring_core.allotments import WindowTolerance
 
 
+
 class RelaySettings(t.NamedTuple):
-    """What a relay node is told at start; addresses are IP:PORT.
+    """Settings of a relay node; addresses are IP:PORT.
 
-    :param ready_address: where the platform asks whether the node is ready.
-    :param lookup_address: where callers ask which addresses to use; may be empty.
-    :param store: where the platform's object store is.
-    :param retry_slack: resends beyond the share, for all nodes together.
-    :param cores: of a processor that the node may use.
-    :param link_mbps: of its box's link to the others.
-    :param grace_s: time from the stop signal to the end, in seconds.
-    :param proof_s: a key that was taken away runs nothing sent later than this, at any
-        node, in seconds; 0 where nothing is promised of nodes that are cut off.
+    :param ready_address: where this node answers the platform's readiness checks.
+    :param lookup_address: where this node answers callers that look up addresses; may be empty.
+    :param store: address of the platform's object store.
+    :param retry_share: retries allowed for each first send within a window.
+    :param retry_slack: retries allowed beyond the share, for all nodes together.
+    :param cores: processor cores that the node may use.
+    :param link_mbps: bandwidth of its box's network link, in Mbit/s.
+    :param grace_s: time from the stop signal until the process has to have ended, in seconds.
+    :param proof_s: a request sent later than this after its key was revoked runs at no node, in
+        seconds; 0 if this is guaranteed only for nodes that are connected.
     :param allotments: how organisations' allotments are counted.
-    :param lookup_ttl_s: how long callers may keep an answer, in seconds.
+    :param lookup_ttl_s: how long callers may cache the answer to a lookup, in seconds.
     """
 
     name: str
