--- a/bench/clock_mutants.py
+++ b/bench/clock_mutants.py
@@ -27,7 +27,7 @@
 
 MUTANTS = (
     Mutant("counts no suspension", "ONE", clock, "now", time.monotonic, CLOCKS),
-    Mutant("keeps no deadline", "callers", RelayExchange, "keep_deadline", _nothing, CLOCKS),
+    Mutant("keeps no deadline", "callers", RelayExchange, "reschedule_timeout", _nothing, CLOCKS),
     Mutant("holds for good", "ONE", control_jobs, "holding", _always, CLOCKS),
     Mutant("holds to the end", "ONE", Lease, "holding", _to_the_end, CLOCKS),
 )
--- a/bench/era_mutants.py
+++ b/bench/era_mutants.py
@@ -3,8 +3,8 @@
 import asyncio
 import typing as t
 
-from rookspring import relay_following
-from rookspring.relay_lists import EndpointList
+from rookspring import relay_store_loops
+from rookspring.relay_endpoint_list import EndpointList
 from rookspring.store_eras import StoreEras
 from rookspring_core import defaults as core_defaults
 from rookspring_core import leases
@@ -66,12 +66,12 @@
         "takes nobody's word", "one holder", StoreEras, "hear", _heard_from_the_store_alone, COPIES
     ),
     Mutant("counts no term", "one holder", Lease, "_absent", _never, COPIES),
-    Mutant("keeps one lease", "one holder", relay_following, "lease_name", _one_name, COPIES),
+    Mutant("keeps one lease", "one holder", relay_store_loops, "lease_name", _one_name, COPIES),
     Mutant("numbers on", "one holder", leases, "EPOCHS_PER_ERA", 0, COPIES),
     Mutant("lets the lease go", "attainment", Lease, "begin_era", _lets_go, COPIES),
     Mutant("forgets the era", "one holder", Lease, "begin_era", _nothing, COPIES),
-    Mutant("orders by version", "drain", EndpointList, "_passes_over", _by_version, COPIES),
-    Mutant("doubts nothing", "drain", EndpointList, "_may_be_copied", _never, COPIES),
+    Mutant("orders by version", "drain", EndpointList, "_is_outdated", _by_version, COPIES),
+    Mutant("doubts nothing", "drain", EndpointList, "_may_be_from_backup", _never, COPIES),
     Mutant("believes a copy", "keys", Freshness, "_lacks", _never, COPIES),
     Mutant("believes it at once", "keys", core_defaults, "REWRITE_S", 0.0, COPIES),
     Mutant("waits on", "drain", StoreEras, "within", _waits_on, COPIES),
--- a/bench/notice_mutants.py
+++ b/bench/notice_mutants.py
@@ -69,8 +69,8 @@
 MUTANTS = (
     Mutant("forgets with the view", "DRAIN", notice_handlers, "restore_notices", _nothing, NOTICES),
     Mutant("tells nobody who leaves", "DRAIN", relay_notices, "share_leaving", _nothing, NOTICES),
-    Mutant("greets with no leavings", "DRAIN", relay_merged, "greet", _nothing, NOTICES),
-    Mutant("compares no leavings", "DRAIN", relay_merged, "compare", _nothing, NOTICES),
+    Mutant("greets with no leavings", "DRAIN", relay_merged, "send_merged_sets", _nothing, NOTICES),
+    Mutant("compares no leavings", "DRAIN", relay_merged, "resend_if_different", _nothing, NOTICES),
     Mutant("grants no rest", "BUDGET", EndpointView, "in_backoff", _never, NOTICES),
     Mutant("resting is better than none", "BUDGET", routed, "_is_cooling_down", _never, NOTICES),
     Mutant(
--- a/bench/relay_mutants.py
+++ b/bench/relay_mutants.py
@@ -15,7 +15,7 @@
 
 from rookspring import relay_beats
 from rookspring import relay_members
-from rookspring.relay_lists import EndpointList
+from rookspring.relay_endpoint_list import EndpointList
 from rookspring_core import attaching
 from rookspring_core import cluster
 from rookspring_core import control_jobs
@@ -161,12 +161,12 @@
 
 
 def _keep_any(self: t.Any, row: t.Any, now: float) -> t.Any:
-    self._gone.pop(row.name, None)
+    self._dropped.pop(row.name, None)
     self._stored.pop(row.name, None)
-    return _keep(self, row, now)
+    return _apply_row(self, row, now)
 
 
-_keep = EndpointList._keep
+_apply_row = EndpointList._apply_row
 
 
 def _one_life(known: t.Any, event: t.Any) -> str:
@@ -210,7 +210,12 @@
     Mutant("reads no list with odd bytes", "drain", store, "_loads", orjson.loads, ENTRIES),
     Mutant("asks for odd names as they are", "drain", store, "quote", _as_it_is, ENTRIES),
     Mutant(
-        "uses what has turned bad for ever", "drain", EndpointList, "_refuse", _ignore_row, ENTRIES
+        "uses what has turned bad for ever",
+        "drain",
+        EndpointList,
+        "_record_malformed",
+        _ignore_row,
+        ENTRIES,
     ),
     Mutant(
         "takes a new life for the old", "reachable", restarts, "compare_starts", _one_life, LIVES
@@ -263,12 +268,12 @@
         "forgets the listed nodes", "retry budget", Membership, "take_list", _forget_listed, SIZE
     ),
     Mutant("counts linked nodes alone", "retry budget", Membership, "count", _count_linked, SIZE),
-    Mutant("vouches on hearsay", "membership", relay_members, "_vouches", _on_hearsay, SIZE),
+    Mutant("vouches on hearsay", "membership", relay_members, "_is_reported", _on_hearsay, SIZE),
     Mutant("is fed for ever", "drain", Topology, "has_fresh_source", _fed_for_ever, SIZE),
     Mutant(
         "has all ask the store", "platform calls", Topology, "_chosen_watcher", _watch_all, SIZE
     ),
-    Mutant("takes older entries", "drain", EndpointList, "_keep", _keep_any, SIZE),
+    Mutant("takes older entries", "drain", EndpointList, "_apply_row", _keep_any, SIZE),
     Mutant("sums relays as followers", "placement", relay_beats, "group_of", _everyone_known, SIZE),
     Mutant("lets no claim grow", "reachable", PlanInput, "aged_demand", PlanInput.requested_rate),
     Mutant("takes no load for none", "attainment", EndpointView, "_others", _others_of_report),
--- a/bench/suspect_mutants.py
+++ b/bench/suspect_mutants.py
@@ -53,8 +53,8 @@
     Mutant("joins what is far apart", "innocents", SuspectTable, "note_ended", _whenever, CRASHES),
     Mutant("clears nobody", "innocents", suspect_handlers, "clear_suspect", _no_effects, CRASHES),
     Mutant("tells nobody of ends", "ends", relay_suspects, "share_evidence", _nothing, CRASHES),
-    Mutant("greets with no evidence", "ends", relay_merged, "greet", _nothing, CRASHES),
-    Mutant("compares no evidence", "ends", relay_merged, "compare", _nothing, CRASHES),
+    Mutant("greets with no evidence", "ends", relay_merged, "send_merged_sets", _nothing, CRASHES),
+    Mutant("compares no evidence", "ends", relay_merged, "resend_if_different", _nothing, CRASHES),
     Mutant("keeps no verdict", "ends", relay_suspects, "write_verdicts", _no_effects, CRASHES),
     Mutant(
         "tries suspects at once",
--- a/features/relay_stage.py
+++ b/features/relay_fixture.py
@@ -2,7 +2,9 @@
 
 import asyncio
 import time
+
 from loguru import logger
+
 from rookspring.relay_node import RelayNode
 from rookspring.relay_settings import RelaySettings
 from rookspring_fakes import ModelServer
@@ -11,8 +13,6 @@
 from rookspring_platform import ObjectStore
 from rookspring_platform import PlatformDialect
 
-
-
 assert ObjectStore
 
 ROUTES = {
@@ -82,7 +82,7 @@
         self.whole = whole
 
 
-class RelayStage:
+class RelayFixture:
     """The node, its store and its endpoints; used only in the event loop that started it."""
 
     def __init__(self, scripts):
@@ -90,7 +90,7 @@
         self.others = []
         self.servers = [ModelServer(f"i{number}", script) for number, script in enumerate(scripts)]
 
-    async def rise(self, version=5, tenants=None):
+    async def start(self, version=5, tenants=None):
         self.served = await serve(self.store.app())
         for server in self.servers:
             await server.start()
@@ -104,7 +104,7 @@
         self.sink = logger.add(self.log_lines.append, level="INFO", format="{message}")
         self.node = RelayNode(self.settings, PlatformDialect())
         await self.node.start()
-        await self.until(lambda: self.node.context.listed)
+        await self.until(lambda: self.node.context.endpoints_listed)
         if version:
             await self.until(self.node.context.ready)
         return self
--- a/features/steps/clock_steps.py
+++ b/features/steps/clock_steps.py
@@ -8,7 +8,7 @@
 from behave import given
 from behave import then
 from behave import when
-from relay_stage import request
+from relay_fixture import request
 
 from rookspring_core import keys
 from rookspring_core.organisations import digest_of
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -7,8 +7,8 @@
 from hypothesis import settings as drawing
 from hypothesis import strategies
 from key_stories import leaf_of
-from relay_stage import RelayStage
-from relay_stage import request as relay_request
+from relay_fixture import RelayFixture
+from relay_fixture import request as relay_request
 
 from rookspring_core.fingerprints import make_fingerprint
 from rookspring_core.suspects import Cleared
@@ -289,8 +289,8 @@
 
 @given("a relay node with five endpoints that end when a body is sent to them")
 def five_endpoints(context):
-    stage = RelayStage([[]] * 5)
-    context.relay = context.loop.run(stage.rise())
+    stage = RelayFixture([[]] * 5)
+    context.relay = context.loop.run(stage.start())
     for server in context.relay.servers:
         server.fatal_body = BODY
 
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -11,8 +11,8 @@
 from hypothesis import given as drawn
 from hypothesis import settings as drawing
 from hypothesis import strategies
-from relay_stage import RelayStage
-from relay_stage import request
+from relay_fixture import RelayFixture
+from relay_fixture import request
 
 from rookspring.platform import StoredObject
 from rookspring_core.events import BoxListed
@@ -197,10 +197,10 @@
 @given("two endpoints, and entries of another writer {when}")
 def two_endpoints(context, when):
     async def rise():
-        stage = RelayStage([[], []])
+        stage = RelayFixture([[], []])
         if when == "before the node starts":
             await write_bad(stage)
-        await stage.rise()
+        await stage.start()
         if when == "while it watches":
             await write_bad(stage)
         await asyncio.sleep(0.3)
--- a/features/steps/notice_socket_steps.py
+++ b/features/steps/notice_socket_steps.py
@@ -2,7 +2,7 @@
 
 from behave import then
 from behave import when
-from relay_stage import request
+from relay_fixture import request
 
 from rookspring import clock
 from rookspring import relay_orders
--- a/features/steps/rate_limit_socket_steps.py
+++ b/features/steps/rate_limit_socket_steps.py
@@ -3,8 +3,8 @@
 
 from behave import then
 from behave import when
-from relay_stage import read_answer
-from relay_stage import request
+from relay_fixture import read_answer
+from relay_fixture import request
 
 # A refusal comes at once: in less than this, in seconds.
 AT_ONCE_S = 0.35
--- a/features/steps/relay_key_steps.py
+++ b/features/steps/relay_key_steps.py
@@ -1,13 +1,13 @@
 import asyncio
+
 from behave import given
 from behave import then
 from behave import when
-from relay_stage import RelayStage
-from relay_stage import configuration
-from relay_stage import request
-from rookspring.platform import StoredObject
-
+from relay_fixture import RelayFixture
+from relay_fixture import configuration
+from relay_fixture import request
 
+from rookspring.platform import StoredObject
 
 
 def tenants(*keys):
@@ -16,9 +16,9 @@
 
 @given("a relay node with an endpoint, and an organisation with the key {key}")
 def relay_with_key(context, key):
-    stage = context.relay = RelayStage([["answer"]])
-    context.loop.run(stage.rise(tenants=tenants(key)))
-    context.loop.run(stage.until(lambda: stage.node.context.state.freshness.proved_at > 0))
+    relay = context.relay = RelayFixture([["answer"]])
+    context.loop.run(relay.start(tenants=tenants(key)))
+    context.loop.run(relay.until(lambda: relay.node.context.state.freshness.proved_at > 0))
 
 
 def send(context, key, deadline_ms=None):
@@ -37,13 +37,13 @@
     "which the node learns {seconds:g} s later"
 )
 def send_with_new(context, ms, key, seconds):
-    stage = context.relay
-    peers = stage.node.peers
+    relay = context.relay
+    peers = relay.node.peers
 
     async def work():
         take, peers.take_stored = peers.take_stored, lambda stored: 0
         raw = configuration(6, tenants("key-a", key))
-        await stage.store.write("config", "main", raw)
+        await relay.store.write("config", "main", raw)
         asked = asyncio.create_task(send(context, key, ms))
         await asyncio.sleep(seconds)
         peers.take_stored = take
@@ -55,14 +55,14 @@
 
 @when("the key {old} is replaced by {new}, and a caller sends a safe request with {key}")
 def replaced(context, old, new, key):
-    stage = context.relay
+    relay = context.relay
 
     async def work():
-        await stage.store.write("config", "main", configuration(6, tenants(new)))
-        await stage.until(lambda: stage.node.context.state.revision == 6)
+        await relay.store.write("config", "main", configuration(6, tenants(new)))
+        await relay.until(lambda: relay.node.context.state.revision == 6)
         other = await send(context, new)
         assert other.status == 200, other.status
-        stage.servers[0].asked.clear()
+        relay.servers[0].asked.clear()
         return await send(context, key)
 
     context.answer = context.loop.run(work())
@@ -70,13 +70,13 @@
 
 @when("the store fails for {seconds:g} s and a caller sends a safe request with {key}")
 def store_fails(context, seconds, key):
-    stage = context.relay
+    relay = context.relay
 
     async def work():
-        stage.store.faults.outage = True
+        relay.store.faults.outage = True
         await asyncio.sleep(seconds)
         answer = await send(context, key)
-        stage.store.faults.outage = False
+        relay.store.faults.outage = False
         return answer
 
     context.answer = context.loop.run(work(), 20.0)
--- a/features/steps/relay_socket_steps.py
+++ b/features/steps/relay_socket_steps.py
@@ -1,26 +1,26 @@
 import asyncio
-import ports
 import time
+
+import ports
 from behave import given
 from behave import then
 from behave import when
-from relay_stage import RelayStage
-from relay_stage import configuration
-from relay_stage import read_answer
-from relay_stage import request
+from relay_fixture import RelayFixture
+from relay_fixture import configuration
+from relay_fixture import read_answer
+from relay_fixture import request
+
 from rookspring import clock
 from rookspring.exceptions import SettingsError
 from rookspring.messages import TableGiven
 from rookspring.platform import StoredObject
 from rookspring_fakes.model_server import EVENTS
 
-
-
 SAFE_HEADERS = {"host", "x-rookspring-request-id", "content-length"}
 
 
 def start_relay(context, scripts, version=5):
-    context.relay = context.loop.run(RelayStage(scripts).rise(version))
+    context.relay = context.loop.run(RelayFixture(scripts).start(version))
 
 
 @given("a relay node with two endpoints that do: {script}")
@@ -189,13 +189,13 @@
 
 @when("the first endpoint's entry changes to draining")
 def entry_draining(context):
-    stage = context.relay
-    server = stage.servers[0]
+    relay = context.relay
+    server = relay.servers[0]
 
     async def work():
-        await stage.store.write("servers", server.name, server.entry("svc", "draining"))
-        view = stage.node.context.state.endpoints[server.name]
-        await stage.until(lambda: view.leaving, 1.0)
+        await relay.store.write("servers", server.name, server.entry("svc", "draining"))
+        view = relay.node.context.state.endpoints[server.name]
+        await relay.until(lambda: view.leaving, 1.0)
 
     context.loop.run(work())
 
@@ -209,14 +209,14 @@
 
 @when("the store fails, the endpoint's entry expires, and the store recovers")
 def entry_expires(context):
-    stage = context.relay
+    relay = context.relay
 
     async def work():
-        stage.store.faults.outage = True
-        await stage.until(lambda: not stage.node.context.state.platform_reachable, 6.0)
-        await stage.store.remove("servers", "i0")
-        stage.store.faults.outage = False
-        await stage.until(lambda: stage.node.context.state.platform_reachable, 3.0)
+        relay.store.faults.outage = True
+        await relay.until(lambda: not relay.node.context.state.platform_reachable, 6.0)
+        await relay.store.remove("servers", "i0")
+        relay.store.faults.outage = False
+        await relay.until(lambda: relay.node.context.state.platform_reachable, 3.0)
 
     context.loop.run(work(), 20.0)
     context.recovered_at = time.monotonic()
@@ -238,13 +238,13 @@
 
 @when("the operator writes versions {written} and another node sends {sent}")
 def versions_arrive(context, written, sent):
-    stage = context.relay
-    peers = stage.node.peers
+    relay = context.relay
+    peers = relay.node.peers
 
     async def work():
         for version in written.split(", "):
-            await stage.store.write("config", "main", configuration(int(version)))
-        await stage.until(lambda: stage.node.context.state.revision >= int(written.split(", ")[0]))
+            await relay.store.write("config", "main", configuration(int(version)))
+        await relay.until(lambda: relay.node.context.state.revision >= int(written.split(", ")[0]))
         await asyncio.sleep(0.1)
         if sent != "none":
             item = TableGiven(int(sent), configuration(int(sent)))
@@ -271,16 +271,16 @@
 
 @when("it is asked to stop while a stream runs")
 def stop_in_stream(context):
-    stage = context.relay
+    relay = context.relay
 
     async def work():
-        _, idle = await stage.connect()
-        reader, writer = await stage.connect()
-        stage.node.drain()
+        _, idle = await relay.connect()
+        reader, writer = await relay.connect()
+        relay.node.drain()
         writer.write(request("stream"))
-        ready = await stage.ask(b"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n", "ready")
+        ready = await relay.ask(b"GET /readyz HTTP/1.1\r\nHost: x\r\n\r\n", "ready")
         raw = b"GET /resolve?name=h.example&zone=z1 HTTP/1.1\r\nHost: x\r\n\r\n"
-        lookup = await stage.ask(raw, "lookup")
+        lookup = await relay.ask(raw, "lookup")
         answer = await read_answer(reader)
         idle.close()
         return ready, lookup, answer
@@ -306,7 +306,7 @@
     changed = context.relay.settings._replace(retry_share=0.1)
 
     async def work():
-        context.relay.node.reload(lambda: changed, told=False)
+        context.relay.node.reload(lambda: changed, by_signal=False)
 
     context.loop.run(work())
 
@@ -333,27 +333,27 @@
 
 @given("a second node linked to it")
 def second_node(context):
-    stage = context.relay
+    relay = context.relay
     base = ports.find_base()
 
     async def work():
         # The first node is restarted at a fixed address, which the second gets as its seed.
         first = f"127.0.0.1:{base + PEER_OFFSETS[0]}"
         second = f"127.0.0.1:{base + PEER_OFFSETS[1]}"
-        await stage.restart(peer_address=first)
-        context.second = await stage.add_node(name="n2", peer_address=second, seeds=(first,))
-        await stage.until(lambda: "n2" in stage.node.context.state.membership.peers)
+        await relay.restart(peer_address=first)
+        context.second = await relay.add_node(name="n2", peer_address=second, seeds=(first,))
+        await relay.until(lambda: "n2" in relay.node.context.state.membership.peers)
 
     context.loop.run(work())
 
 
 @when("the endpoint's process ends, and the first node sends it a request")
 def send_to_ended(context):
-    stage = context.relay
+    relay = context.relay
 
     async def work():
-        await stage.servers[0].close()
-        context.answer = await stage.ask(request("safe"))
+        await relay.servers[0].close()
+        context.answer = await relay.ask(request("safe"))
 
     context.loop.run(work())
 
@@ -367,18 +367,18 @@
 
 @given("it holds the lease and may give orders")
 def holds_lease(context):
-    stage = context.relay
+    relay = context.relay
     base = ports.find_base()
     context.peer_address = f"127.0.0.1:{base + PEER_OFFSETS[0]}"
     context.other_address = f"127.0.0.1:{base + PEER_OFFSETS[1]}"
 
     async def work():
-        await stage.restart(peer_address=context.peer_address)
-        lease = stage.node.context.state.control.lease
-        await stage.until(lambda: lease.own_epoch == 1)
+        await relay.restart(peer_address=context.peer_address)
+        lease = relay.node.context.state.control.lease
+        await relay.until(lambda: lease.own_epoch == 1)
         # Once it has renewed the lease, it may give orders.
         version = lease.version
-        await stage.until(lambda: lease.version > version)
+        await relay.until(lambda: lease.version > version)
 
     context.loop.run(work())
 
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -256,7 +256,7 @@
         fleet.run(3.0)
         with fleet.running():
             for node in fleet.live():
-                node.list.take_told(tuple(older), False)
+                node.list.apply_peer_rows(tuple(older), False)
     elif trouble != "nothing happens":
         who, _, fate = trouble.rpartition(" are ")
         apply_fault(fleet, who, f"are {fate}")
--- a/features/steps/store_copy_socket_steps.py
+++ b/features/steps/store_copy_socket_steps.py
@@ -6,7 +6,7 @@
 from behave import given
 from behave import then
 from behave import when
-from relay_stage import configuration
+from relay_fixture import configuration
 from returns.result import Failure
 
 from rookspring.exceptions import PlatformUnreachable
--- a/packages/rookspring-core/src/rookspring_core/restarts.py
+++ b/packages/rookspring-core/src/rookspring_core/restarts.py
@@ -11,7 +11,7 @@
 earlier time both times, whereas a process that has ended doesn't answer. Such a report is marked
 ``sure``, and every node accepts it whatever its start time. If no node reads the endpoint, the
 list's row is accepted once it has stayed unchanged for longer than any message can be late
-(``relay_lists`` of the daemon).
+(``relay_endpoint_list`` of the daemon).
 """
 
 import typing as t
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
@@ -4,7 +4,7 @@
 import typing as t
 
 from rookspring import defaults
-from rookspring.relay_following import lease_name
+from rookspring.relay_store_loops import lease_name
 from rookspring_core import control_jobs
 from rookspring_core.effects import WriteLease
 from rookspring_core.events import LeaseSeen
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -14,12 +14,12 @@
 from rookspring.messages import encode
 from rookspring.platform import StoredObject
 from rookspring.reach import Reach
-from rookspring.relay_following import row_again_s
-from rookspring.relay_lists import EndpointList
+from rookspring.relay_endpoint_list import EndpointList
 from rookspring.relay_peers import RelayPeers
 from rookspring.relay_proofs import ProofKeeper
 from rookspring.relay_proofs import needs_proofs
 from rookspring.relay_settings import RelaySettings
+from rookspring.relay_store_loops import row_check_delay_s
 from rookspring.store_eras import StoreEras
 from rookspring_core import Identity
 from rookspring_core import NodeState
@@ -188,8 +188,8 @@
         self.settings = _settings(self.name, place)
         self.dialect = FleetDialect()
         self.loop = FleetLoop(fleet)
-        self.listed = False
-        self.lease_news = asyncio.Event()
+        self.endpoints_listed = False
+        self.lease_check_due = asyncio.Event()
         self.spawn: t.Any = None
         context = t.cast(t.Any, self)
         self.peers = RelayPeers(context)
@@ -200,10 +200,10 @@
         self.lease = FleetLease(fleet, self)
         # What came while it was frozen.
         self.inbox: list[t.Callable[[], None]] = []
-        self.peers.greeters += (relay_beats.greet, relay_merged.greet)
-        self.share = lambda report: relay_news.share_report(self.peers, report)
+        self.peers.greeters += (relay_beats.greet, relay_merged.send_merged_sets)
+        self.share_report = lambda report: relay_news.share_report(self.peers, report)
         self.share_prompts = relay_news.PromptSums(self.peers).note
-        self.give_lists = self.list.give
+        self.send_endpoint_list = self.list.send_all_rows
         # Whether its row stands in the store's list of nodes.
         self.written = False
         self._looked = False
@@ -213,7 +213,7 @@
         self._listed_era = 0
         self._row_era = 0
 
-    def count_malformed(self, number: int) -> None:
+    def set_malformed_entries(self, number: int) -> None:
         """The fleet writes no malformed entries."""
 
     def submit(self, event: Event) -> None:
@@ -273,7 +273,7 @@
         if self._row_era == self.state.store_era:
             return
         self._row_era = self.state.store_era
-        again_at = self.fleet.now + row_again_s(self.state)
+        again_at = self.fleet.now + row_check_delay_s(self.state)
         self.fleet.at(again_at, lambda: self.fleet.hand(self, self._restore_row))
 
     def _restore_row(self) -> None:
@@ -303,9 +303,9 @@
         asked_in = self.state.store_era
         fleet.at(fleet.now + takes_s, lambda: fleet.hand(self, come))
 
-    def take_listed(self, rows: tuple[StoredObject, ...], whole: bool, source: str) -> None:
+    def take_endpoint_rows(self, rows: tuple[StoredObject, ...], whole: bool, source: str) -> None:
         """Take a list from another node."""
-        self.list.take_told(rows, whole and source == self.state.topology.followed)
+        self.list.apply_peer_rows(rows, whole and source == self.state.topology.followed)
 
     def read_lease(self) -> None:
         """Read what the lease tells: verdicts at the start, organisations' use where unknown."""
@@ -320,7 +320,7 @@
     def read_store(self) -> None:
         """Read the store where this node watches it and is due."""
         self._look_after_row()
-        self.list.take_stood(self.fleet.now)
+        self.list.apply_due_rows(self.fleet.now)
         watches = self.state.topology.watching or self._version < 0
         if not watches or self.fleet.now < self._next_read:
             return
@@ -338,7 +338,7 @@
         self.fleet.watch_table(self)
         rows, self._version, whole = self.fleet.store_rows(self._version)
         if rows or whole:
-            self.list.take(rows, whole)
+            self.list.apply_store_rows(rows, whole)
 
 
 def _settings(name: str, place: str) -> RelaySettings:
--- a/packages/rookspring/src/rookspring/relay.py
+++ b/packages/rookspring/src/rookspring/relay.py
@@ -7,13 +7,7 @@
 import asyncio
 import itertools
 import typing as t
-from . import clock
-from . import defaults
-from .dialect import Ask
-from .exceptions import CallerError
-from .http_messages import HttpRequest
-from .http_server import ServerConnection
-from .logs import log
+
 from rookspring_core import defaults as core_defaults
 from rookspring_core import keys
 from rookspring_core.events import CallerLeft
@@ -26,7 +20,13 @@
 from rookspring_core.routes import RouteTable
 from rookspring_core.routes import pick_service
 
-
+from . import clock
+from . import defaults
+from .dialect import Ask
+from .exceptions import CallerError
+from .http_messages import HttpRequest
+from .http_server import ServerConnection
+from .logs import log
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
@@ -66,28 +66,28 @@
         rank = organisation.rank if organisation else None
         self.rank = route.rank if rank is None else rank
         self.arrived_at = arrived_at
-        self.deadline_at = self.arrived_at + deadline_s(ask, route)
+        self.deadline_at = self.arrived_at + request_timeout_s(ask, route)
         self.started = False
         self.last_event = ask.last_event
         self.events = 0
-        self.first_at = 0.0
+        self.first_event_at = 0.0
         # When the last events arrived, and the longest time between two of them, in seconds.
-        self.last_at = 0.0
-        self.pause_s = 0.0
-        self.held: HeldAnswer | None = None
+        self.last_event_at = 0.0
+        self.longest_pause_s = 0.0
+        self.held_answer: HeldAnswer | None = None
         self.task: asyncio.Task[None] | None = None
         self.done: asyncio.Future[None] | None = None
         # Ends the running attempt at the deadline; it counts by the monotonic clock of the loop.
-        self.limit: asyncio.Timeout | None = None
+        self.attempt_timeout: asyncio.Timeout | None = None
 
-    def keep_deadline(self) -> None:
+    def reschedule_timeout(self) -> None:
         """Reschedule the attempt's timeout after a suspension, which the loop's clock omits."""
-        if self.limit is not None and not self.limit.expired():
+        if self.attempt_timeout is not None and not self.attempt_timeout.expired():
             left_s = max(0.0, self.deadline_at - clock.now())
-            self.limit.reschedule(asyncio.get_running_loop().time() + left_s)
+            self.attempt_timeout.reschedule(asyncio.get_running_loop().time() + left_s)
 
 
-def deadline_s(ask: Ask, route: Route) -> float:
+def request_timeout_s(ask: Ask, route: Route) -> float:
     """Return the lesser of the caller's and the route's time limit, in seconds."""
     if ask.deadline_s is None:
         return route.timeout_s
@@ -144,9 +144,9 @@
 ) -> KeyVerdict:
     """Check a request's key; if it is unknown, wait for a configuration that may have it."""
     verdict = keys.check_key(context.state, route, ask.key, arrived_at, arrived_at)
-    if not verdict.may_wait or context.key_waits >= defaults.KEY_WAITS_MAX:
+    if not verdict.may_wait or context.requests_awaiting_key >= defaults.KEY_WAITS_MAX:
         return verdict
-    context.key_waits += 1
+    context.requests_awaiting_key += 1
     context.ask_proof()
     try:
         while verdict.may_wait and not connection.left:
@@ -156,7 +156,7 @@
             await asyncio.sleep(defaults.KEY_WAIT_STEP_S)
             verdict = keys.check_key(context.state, route, ask.key, arrived_at, now)
     finally:
-        context.key_waits -= 1
+        context.requests_awaiting_key -= 1
     return verdict
 
 
@@ -195,14 +195,14 @@
             return
         context.submit(CallerLeft(clock.now(), exchange.key))
         _log_end(exchange, "left", "caller closed the connection")
-        finish(context, exchange)
+        remove_exchange(context, exchange)
 
     exchange.connection.on_left = on_left
-    context.submit(arrival(exchange, table))
+    context.submit(make_arrival_event(exchange, table))
     await exchange.done
 
 
-def arrival(exchange: RelayExchange, table: RouteTable) -> RequestArrived:
+def make_arrival_event(exchange: RelayExchange, table: RouteTable) -> RequestArrived:
     """Return the event that submits a request to the reducer."""
     ask = exchange.ask
     route = exchange.route
@@ -237,21 +237,21 @@
     )
 
 
-def finish(context: "RelayContext", exchange: RelayExchange) -> None:
+def remove_exchange(context: "RelayContext", exchange: RelayExchange) -> None:
     """Remove an exchange that has ended, and resume the coroutine that serves its caller."""
     context.exchanges.pop(exchange.key, None)
     if exchange.done is not None and not exchange.done.done():
         exchange.done.set_result(None)
 
 
-def end(context: "RelayContext", exchange: RelayExchange, outcome: str, why: str) -> None:
+def end_exchange(context: "RelayContext", exchange: RelayExchange, outcome: str, why: str) -> None:
     """Log and count how a request ended, and remove its exchange."""
     context.metrics.requests.inc({"target": exchange.route.name, "end": outcome})
     context.metrics.whole_answer.observe({}, clock.now() - exchange.arrived_at)
-    if exchange.first_at:
-        context.metrics.first_token.observe({}, exchange.first_at - exchange.arrived_at)
+    if exchange.first_event_at:
+        context.metrics.first_token.observe({}, exchange.first_event_at - exchange.arrived_at)
     _log_end(exchange, outcome, why)
-    finish(context, exchange)
+    remove_exchange(context, exchange)
 
 
 def _log_end(exchange: RelayExchange, outcome: str, why: str) -> None:
@@ -266,9 +266,9 @@
         outcome=outcome,
         why=why,
         took_s=clock.now() - exchange.arrived_at,
-        first_s=exchange.first_at - exchange.arrived_at if exchange.first_at else -1,
+        first_s=exchange.first_event_at - exchange.arrived_at if exchange.first_event_at else -1,
         events=exchange.events,
-        pause_s=exchange.pause_s,
+        pause_s=exchange.longest_pause_s,
         model=exchange.ask.model,
         adapter=exchange.ask.adapter,
         organisation=exchange.organisation,
--- a/packages/rookspring/src/rookspring/relay_attempts.py
+++ b/packages/rookspring/src/rookspring/relay_attempts.py
@@ -1,6 +1,20 @@
 """Attempts of relayed requests at endpoints, and the answers to their callers."""
 
 import asyncio
+
+from rookspring_core import notice_handlers
+from rookspring_core import slot_requests
+from rookspring_core.effects import Announce
+from rookspring_core.effects import Cancel
+from rookspring_core.effects import Dispatch
+from rookspring_core.effects import Forget
+from rookspring_core.effects import Refuse
+from rookspring_core.endpoints import EndpointView
+from rookspring_core.events import AttemptFailed
+from rookspring_core.events import AttemptProgressed
+from rookspring_core.events import AttemptStarted
+from rookspring_core.events import AttemptSucceeded
+
 from . import clock
 from . import defaults
 from .dialect import Errand
@@ -15,25 +29,11 @@
 from .logs import log
 from .relay import HeldAnswer
 from .relay import RelayExchange
-from .relay import end
+from .relay import end_exchange
 from .relay_context import RelayContext
 from .relay_context import relay_performs
 from .relay_notices import Asked
 from .relay_notices import hear_at
-from rookspring_core import notice_handlers
-from rookspring_core import slot_requests
-from rookspring_core.effects import Announce
-from rookspring_core.effects import Cancel
-from rookspring_core.effects import Dispatch
-from rookspring_core.effects import Forget
-from rookspring_core.effects import Refuse
-from rookspring_core.endpoints import EndpointView
-from rookspring_core.events import AttemptFailed
-from rookspring_core.events import AttemptProgressed
-from rookspring_core.events import AttemptStarted
-from rookspring_core.events import AttemptSucceeded
-
-
 
 
 @relay_performs(Dispatch)
@@ -70,7 +70,7 @@
 ) -> None:
     """Run one attempt and submit how it ended."""
     try:
-        async with asyncio.timeout(exchange.deadline_at - clock.now()) as exchange.limit:
+        async with asyncio.timeout(exchange.deadline_at - clock.now()) as exchange.attempt_timeout:
             await _attempt(context, effect, exchange, view)
     except TimeoutError:
         _submit_failure(context, effect, EndpointError("deadline", sent=True))
@@ -89,7 +89,7 @@
         log("task_failed", "ERROR", error=type(error).__name__, detail=error)
         _submit_failure(context, effect, EndpointError("fault of this node", sent=True))
     finally:
-        exchange.limit = None
+        exchange.attempt_timeout = None
 
 
 def _submit_failure(context: RelayContext, effect: Dispatch, error: EndpointError) -> None:
@@ -198,15 +198,15 @@
         return
     body = await reply.read_rest(defaults.ANSWER_BYTES_MAX)
     if head.status >= 500 and exchange.route.repeatable:
-        exchange.held = HeldAnswer(head.status, end_to_end(head.headers), body)
+        exchange.held_answer = HeldAnswer(head.status, end_to_end(head.headers), body)
         raise EndpointError(f"answered {head.status}", sent=True)
     _send_answer(exchange, HeldAnswer(head.status, end_to_end(head.headers), body))
     context.submit(AttemptSucceeded(clock.now(), exchange.key, effect.attempt, head.status))
-    end(context, exchange, "answered", f"endpoint {effect.endpoint} gave {head.status}")
+    end_exchange(context, exchange, "answered", f"endpoint {effect.endpoint} gave {head.status}")
 
 
 def _send_answer(exchange: RelayExchange, answer: HeldAnswer) -> None:
-    exchange.first_at = clock.now()
+    exchange.first_event_at = clock.now()
     exchange.connection.answer(answer.status, answer.headers, answer.body)
 
 
@@ -234,15 +234,15 @@
     _begin_stream(exchange, head)
     exchange.connection.end()
     context.submit(AttemptSucceeded(clock.now(), exchange.key, effect.attempt, head.status))
-    end(context, exchange, "answered", f"endpoint {effect.endpoint} ended its stream")
+    end_exchange(context, exchange, "answered", f"endpoint {effect.endpoint} ended its stream")
 
 
 def _record_pause(exchange: RelayExchange) -> None:
     """Record the longest pause between events, which is logged."""
     now = clock.now()
-    if exchange.last_at:
-        exchange.pause_s = max(exchange.pause_s, now - exchange.last_at)
-    exchange.last_at = now
+    if exchange.last_event_at:
+        exchange.longest_pause_s = max(exchange.longest_pause_s, now - exchange.last_event_at)
+    exchange.last_event_at = now
 
 
 def _begin_stream(exchange: RelayExchange, head: HttpHead) -> None:
@@ -250,7 +250,7 @@
     if exchange.started:
         return
     exchange.started = True
-    exchange.first_at = clock.now()
+    exchange.first_event_at = clock.now()
     exchange.connection.begin(head.status, end_to_end(head.headers), None)
 
 
@@ -264,13 +264,13 @@
     if exchange.started:
         # The head was sent already, so only a cut connection shows that the answer is incomplete.
         exchange.connection.cut()
-    elif exchange.held is not None:
-        _send_answer(exchange, exchange.held)
+    elif exchange.held_answer is not None:
+        _send_answer(exchange, exchange.held_answer)
     else:
         headers = context.dialect.refusal_headers(exchange.ask.request_id, effect.retry_after_s)
         exchange.connection.answer(effect.status, headers, b"")
     why = f"{effect.status} {effect.reason}: {effect.message}"
-    end(context, exchange, f"refused-{effect.outcome}", why)
+    end_exchange(context, exchange, f"refused-{effect.outcome}", why)
 
 
 @relay_performs(Cancel)
--- a/packages/rookspring/src/rookspring/relay_beats.py
+++ b/packages/rookspring/src/rookspring/relay_beats.py
@@ -106,7 +106,7 @@
         caller_address=identity.caller_address,
         data_centre=identity.data_centre,
         # A node that could not serve yet is given to no caller.
-        revision=state.revision if context.listed else 0,
+        revision=state.revision if context.endpoints_listed else 0,
         leaving=state.leaving,
         demand=[],
         team_demand=[],
@@ -121,7 +121,7 @@
         summed=True,
         # Past an hour nobody cares how old.
         store_age_s=round(min(3600.0, state.topology.age_s(now)), 3),
-        merged=relay_merged.digest(state),
+        merged=relay_merged.combined_digest(state),
         store_era=state.store_era,
     )
 
@@ -270,10 +270,10 @@
         )
     )
     if began:
-        peers.context.give_lists(link)
-    relay_merged.compare(peers, link, int(beat.merged))
+        peers.context.send_endpoint_list(link)
+    relay_merged.resend_if_different(peers, link, int(beat.merged))
     if beat.leaving or beat.lease_ended == peers.context.state.control.lease.epoch > 0:
-        peers.context.lease_news.set()
+        peers.context.lease_check_due.set()
     peers.learn([(beat.name, beat.address, beat.data_centre, float(beat.strength))])
     peers.want_table(link, beat.revision)
 
--- a/packages/rookspring/src/rookspring/relay_context.py
+++ b/packages/rookspring/src/rookspring/relay_context.py
@@ -6,17 +6,7 @@
 
 import asyncio
 import typing as t
-from . import clock
-from . import defaults
-from .dialect import Dialect
-from .http_client import ConnectionPool
-from .logs import log
-from .metrics import Metrics
-from .peers import Link
-from .platform import PlatformClient
-from .platform import StoredObject
-from .relay import RelayExchange
-from .relay_settings import RelaySettings
+
 from rookspring_core import NodeState
 from rookspring_core import reduce
 from rookspring_core.effects import AskAllotment
@@ -31,7 +21,17 @@
 from rookspring_core.request_rates import RateRecord
 from rookspring_core.suspects import Evidence
 
-
+from . import clock
+from . import defaults
+from .dialect import Dialect
+from .http_client import ConnectionPool
+from .logs import log
+from .metrics import Metrics
+from .peers import Link
+from .platform import PlatformClient
+from .platform import StoredObject
+from .relay import RelayExchange
+from .relay_settings import RelaySettings
 
 if t.TYPE_CHECKING:
     from .store_eras import StoreEras
@@ -70,18 +70,18 @@
         self.loop = asyncio.get_running_loop()
         self.pool = ConnectionPool()
         self.exchanges: dict[str, RelayExchange] = {}
-        self.listed = False
+        self.endpoints_listed = False
         # Set while this node has to watch the store; see ``topology.py`` of the core.
         self.watching = asyncio.Event()
         # Set by :class:`RelayNode`.
         self.eras: StoreEras
         # Set when the lease should be read at once: its holder may be leaving, or a new era of the
         # store began.
-        self.lease_news = asyncio.Event()
+        self.lease_check_due = asyncio.Event()
         # Callbacks, which :class:`RelayNode` sets. The first ones send news to the other nodes.
         self.announce: t.Callable[[str], None] = lambda topic: None
-        self.share: t.Callable[[EndpointReported], None] = lambda report: None
-        self.share_coming: t.Callable[[str, str, float], None] = lambda endpoint, model, in_s: None
+        self.share_report: t.Callable[[EndpointReported], None] = lambda report: None
+        self.share_loading: t.Callable[[str, str, float], None] = lambda endpoint, model, in_s: None
         self.share_down: t.Callable[[str], None] = lambda endpoint: None
         self.share_evidence: t.Callable[[Evidence, str], None] = lambda evidence, source: None
         self.share_leaving: t.Callable[[tuple[Leaving, ...], str], None] = lambda rows, source: None
@@ -90,22 +90,22 @@
         )
         self.share_shed: t.Callable[[str, float], None] = lambda endpoint, for_s: None
         self.share_prompts: t.Callable[[str, bool], None] = lambda endpoint, far: None
-        self.give_lists: t.Callable[[Link], None] = lambda link: None
-        self.take_listed: t.Callable[[tuple[StoredObject, ...], bool, str], None] = (
+        self.send_endpoint_list: t.Callable[[Link], None] = lambda link: None
+        self.take_endpoint_rows: t.Callable[[tuple[StoredObject, ...], bool, str], None] = (
             lambda rows, whole, source: None
         )
-        self.ask_owner: t.Callable[[AskAllotment], None] = lambda asked: None
+        self.ask_allotment: t.Callable[[AskAllotment], None] = lambda asked: None
         self.return_units: t.Callable[[ReturnAllotment], None] = lambda returned: None
         self.ask_slot: t.Callable[[AskSlot], None] = lambda asked: None
         self.free_slot: t.Callable[[FreeSlot], None] = lambda freed: None
         self.ask_proof: t.Callable[[], None] = lambda: None
         # How many requests wait for a newer configuration that may have their key.
-        self.key_waits = 0
-        self.tell_holder: t.Callable[[RequestLoad], None] = lambda request: None
+        self.requests_awaiting_key = 0
+        self.send_load_request: t.Callable[[RequestLoad], None] = lambda request: None
         self.stop: t.Callable[[], None] = lambda: None
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def count_malformed(self, number: int) -> None:
+    def set_malformed_entries(self, number: int) -> None:
         """Set the metric of endpoint entries that can't be read."""
         self.metrics.malformed.set({}, number)
 
@@ -133,7 +133,7 @@
         task.add_done_callback(self._ended)
         return task
 
-    def keep(self, make: t.Callable[[], t.Coroutine[t.Any, t.Any, None]]) -> None:
+    def run_forever(self, make: t.Callable[[], t.Coroutine[t.Any, t.Any, None]]) -> None:
         """Run a loop that is restarted after an exception, which is logged."""
 
         async def run() -> None:
@@ -154,7 +154,7 @@
 
     def ready(self) -> bool:
         """Return whether this node can serve callers."""
-        return self.state.table is not None and self.listed and not self.state.leaving
+        return self.state.table is not None and self.endpoints_listed and not self.state.leaving
 
     def now(self) -> float:
         """Return the time by the clock of :mod:`clock`, in seconds."""
--- a/packages/rookspring/src/rookspring/relay_lists.py
+++ b/packages/rookspring/src/rookspring/relay_endpoint_list.py
@@ -2,6 +2,11 @@
 
 import asyncio
 import typing as t
+
+from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import EndpointReported
+
 from . import clock
 from . import defaults
 from .logs import log
@@ -12,25 +17,20 @@
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core.events import BoxListReceived
-from rookspring_core.events import BoxListed
-from rookspring_core.events import EndpointReported
-
 
 
-
-class Missing(t.NamedTuple):
+class MissingEntry(t.NamedTuple):
     """An entry that is missing from the store: until when it is kept.
 
     :param lost_in_restore: it was known before the store was restored from a backup, and is only
         missing since; the endpoint need not have deleted it.
     """
 
-    until: float
-    lacked: bool = False
+    kept_until: float
+    lost_in_restore: bool = False
 
 
-class Gone(t.NamedTuple):
+class DroppedEntry(t.NamedTuple):
     """An entry that was dropped.
 
     :param position: position of its last row in the store's history.
@@ -39,20 +39,20 @@
     """
 
     position: tuple[int, int]
-    born: int
-    lacked: bool
+    started_ms: int
+    lost_in_restore: bool
 
 
-class Doubted(t.NamedTuple):
+class DeferredRow(t.NamedTuple):
     """A row that may be outdated: it is applied once it has remained for ``wait_s`` seconds."""
 
     row: StoredObject
-    since: float
+    deferred_at: float
     wait_s: float
 
-    def stood(self, now: float) -> bool:
+    def is_due(self, now: float) -> bool:
         """Return whether it has remained for long enough."""
-        return now - self.since >= self.wait_s
+        return now - self.deferred_at >= self.wait_s
 
 
 class EndpointList:
@@ -79,29 +79,29 @@
         self._rows: dict[str, BoxListed] = {}
         self._stored: dict[str, StoredObject] = {}
         # Dropped entries; rows that are no newer than these are ignored.
-        self._gone: dict[str, Gone] = {}
-        self._missing: dict[str, Missing] = {}
+        self._dropped: dict[str, DroppedEntry] = {}
+        self._missing: dict[str, MissingEntry] = {}
         # When each endpoint's process started; see ``restarts.py`` of the core.
-        self._born: dict[str, int] = {}
-        self._doubted: dict[str, Doubted] = {}
+        self._started_ms: dict[str, int] = {}
+        self._deferred: dict[str, DeferredRow] = {}
         # Malformed rows, each with the error that was logged.
         self._malformed: dict[str, str] = {}
         self._changed: dict[str, StoredObject] = {}
 
-    def take(self, rows: tuple[StoredObject, ...], whole: bool) -> None:
+    def apply_store_rows(self, rows: tuple[StoredObject, ...], whole: bool) -> None:
         """Apply rows from the store: changed ones, or all that there are if ``whole``."""
         now = clock.now()
         if whole:
             names = {row.name for row in rows}
-            for name in {*self._rows, *self._doubted} - names:
-                self._lose(name, now, self._known_before(name))
+            for name in {*self._rows, *self._deferred} - names:
+                self._mark_missing(name, now, self._known_from_earlier_era(name))
             self._malformed = {name: why for name, why in self._malformed.items() if name in names}
         taken = (self._take_row(row, now, whole) for row in rows)
         reports = [report for report in taken if report is not None]
-        self.settle(now)
+        self.drop_expired(now)
         self._submit(reports)
 
-    def take_told(self, rows: tuple[StoredObject, ...], whole: bool) -> None:
+    def apply_peer_rows(self, rows: tuple[StoredObject, ...], whole: bool) -> None:
         """Apply rows from another node, which are all that it has if ``whole``."""
         now = clock.now()
         if whole:
@@ -111,50 +111,59 @@
         for row in rows:
             if row.value is None:
                 self._drop(row.name)
-            elif (report := self._keep(row, now, checked=True)) is not None:
+            elif (report := self._apply_row(row, now, checked=True)) is not None:
                 reports.append(report)
-        self.settle(now)
+        self.drop_expired(now)
         self._submit(reports)
 
     def _submit(self, reports: list[EndpointReported]) -> None:
         for report in reports:
             self._context.submit(report)
-        self._context.listed = True
-        self._context.count_malformed(len(self._malformed))
-        self._pass_on()
+        self._context.endpoints_listed = True
+        self._context.set_malformed_entries(len(self._malformed))
+        self._send_changes()
 
     def _take_row(self, row: StoredObject, now: float, listed: bool) -> EndpointReported | None:
         if row.value is None:
-            self._lose(row.name, now)
+            self._mark_missing(row.name, now)
             return None
-        return self._keep(row, now, listed)
+        return self._apply_row(row, now, listed)
 
-    def _known_before(self, name: str) -> bool:
+    def _known_from_earlier_era(self, name: str) -> bool:
         """Return whether the latest row that is known of an entry is of an earlier era."""
         known = self._stored.get(name)
         return known is not None and known.era < self._context.state.store_era
 
-    def _may_be_copied(self, row: StoredObject, born: int, now: float) -> bool:
+    def _may_be_from_backup(self, row: StoredObject, started_ms: int, now: float) -> bool:
         """Return whether a listed row may be older than the known one of an earlier era."""
         known = self._stored.get(row.name)
-        gone = self._gone.get(row.name)
+        gone = self._dropped.get(row.name)
         if known is not None:
-            if known.era == row.era or known.value == row.value or born > self._born[row.name]:
+            if (
+                known.era == row.era
+                or known.value == row.value
+                or started_ms > self._started_ms[row.name]
+            ):
                 return False
-            return self._doubt(row, now, defaults.LAPSE_GRACE_S)
-        if gone is None or gone.lacked or gone.position[0] == row.era or born > gone.born:
+            return self._defer(row, now, defaults.LAPSE_GRACE_S)
+        if (
+            gone is None
+            or gone.lost_in_restore
+            or gone.position[0] == row.era
+            or started_ms > gone.started_ms
+        ):
             return False
-        return self._doubt(row, now, defaults.LATE_ROW_S)
+        return self._defer(row, now, defaults.LATE_ROW_S)
 
-    def _doubt(self, row: StoredObject, now: float, wait_s: float) -> bool:
+    def _defer(self, row: StoredObject, now: float, wait_s: float) -> bool:
         """Defer a row; return whether it has to wait for longer."""
-        known = self._doubted.get(row.name)
+        known = self._deferred.get(row.name)
         if known is None or known.row.position[0] != row.era:
-            known = Doubted(row, now, wait_s)
-        self._doubted[row.name] = known._replace(row=row, wait_s=wait_s)
-        return now - known.since < wait_s
+            known = DeferredRow(row, now, wait_s)
+        self._deferred[row.name] = known._replace(row=row, wait_s=wait_s)
+        return now - known.deferred_at < wait_s
 
-    def _keep(
+    def _apply_row(
         self, row: StoredObject, now: float, listed: bool = False, checked: bool = False
     ) -> EndpointReported | None:
         """Apply a row; return its report, or None if the row changes nothing or is not applied.
@@ -166,23 +175,23 @@
         if known is not None and known.position == row.position:
             self._missing.pop(row.name, None)
             return None
-        if self._passes_over(row):
+        if self._is_outdated(row):
             return None
         try:
             found, report = self._context.dialect.read_endpoint(row, now)
         except ValueError as error:
-            self._refuse(row, str(error), now)
+            self._record_malformed(row, str(error), now)
             return None
         self._malformed.pop(row.name, None)
         self._missing.pop(row.name, None)
         # A process that is leaving never stops leaving, so this holds whatever the row's age.
-        if listed and not report.leaving and self._may_be_copied(row, report.started_ms, now):
+        if listed and not report.leaving and self._may_be_from_backup(row, report.started_ms, now):
             return None
-        if report.started_ms and report.started_ms < self._born.get(row.name, 0):
-            if not checked and self._doubt(row, now, defaults.LATE_ROW_S):
+        if report.started_ms and report.started_ms < self._started_ms.get(row.name, 0):
+            if not checked and self._defer(row, now, defaults.LATE_ROW_S):
                 return None
             report = report._replace(start_confirmed=True)
-        self._doubted.pop(row.name, None)
+        self._deferred.pop(row.name, None)
         before = self._rows.get(row.name)
         if (
             before is not None
@@ -192,7 +201,7 @@
             # A process that is leaving never stops leaving, whatever its entry contains later.
             found = found._replace(state="leaving")
             report = report._replace(leaving=True)
-        self._born[row.name] = report.started_ms
+        self._started_ms[row.name] = report.started_ms
         if before != found:
             log(
                 "endpoint_listed",
@@ -205,16 +214,16 @@
             )
             if found.state == "leaving":
                 # Nodes whose calls the store refuses learn of it from this node.
-                self._context.share(report)
+                self._context.share_report(report)
         self._rows[row.name] = found
         self._stored[row.name] = row
         self._changed[row.name] = row
         return report
 
-    def _passes_over(self, row: StoredObject) -> bool:
+    def _is_outdated(self, row: StoredObject) -> bool:
         """Return whether a row is older than the known row, or no newer than a dropped one."""
         known = self._stored.get(row.name)
-        gone = self._gone.get(row.name)
+        gone = self._dropped.get(row.name)
         if known is not None:
             older = row.position < known.position
         else:
@@ -229,7 +238,7 @@
             )
         return older
 
-    def _refuse(self, row: StoredObject, detail: str, now: float) -> None:
+    def _record_malformed(self, row: StoredObject, detail: str, now: float) -> None:
         """Record a malformed row; if the entry has an earlier valid row, it counts as missing.
 
         A live endpoint writes its entry again at its next heartbeat. Until then, or until
@@ -239,53 +248,55 @@
             log("endpoint_malformed", "ERROR", endpoint=row.name, detail=detail)
         self._malformed[row.name] = detail
         if row.name in self._rows:
-            self._missing.setdefault(row.name, Missing(now + defaults.LAPSE_GRACE_S))
+            self._missing.setdefault(row.name, MissingEntry(now + defaults.LAPSE_GRACE_S))
 
-    def _lose(self, name: str, now: float, lacked: bool = False) -> None:
+    def _mark_missing(self, name: str, now: float, lost_in_restore: bool = False) -> None:
         self._malformed.pop(name, None)
-        self._doubted.pop(name, None)
+        self._deferred.pop(name, None)
         if name in self._rows:
-            self._missing.setdefault(name, Missing(now, lacked))
+            self._missing.setdefault(name, MissingEntry(now, lost_in_restore))
 
     def _drop(self, name: str) -> None:
-        missing = self._missing.pop(name, Missing(0.0))
+        missing = self._missing.pop(name, MissingEntry(0.0))
         stored = self._stored.pop(name, None)
         if stored is None:
             return
         del self._rows[name]
-        self._doubted.pop(name, None)
-        self._gone[name] = Gone(stored.position, self._born.pop(name, 0), missing.lacked)
+        self._deferred.pop(name, None)
+        self._dropped[name] = DroppedEntry(
+            stored.position, self._started_ms.pop(name, 0), missing.lost_in_restore
+        )
         self._changed[name] = stored._replace(value=None)
 
-    def settle(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop entries that have been missing for too long, and submit the list to the reducer.
 
         None is dropped during an outage of the store.
         """
         grace_end = self._reach.back_at + defaults.LAPSE_GRACE_S
         for name, missing in list(self._missing.items()):
-            until = max(missing.until, grace_end)
+            until = max(missing.kept_until, grace_end)
             if now >= until and self._reach.lost_at is None:
                 self._drop(name)
                 log("endpoint_gone", endpoint=name, late_s=now - until)
         self._context.submit(BoxListReceived(now, tuple(self._rows.values())))
 
-    async def settle_loop(self) -> None:
+    async def expiry_loop(self) -> None:
         """Apply deferred rows and drop missing entries when their time is over."""
         while True:
             await asyncio.sleep(defaults.LAPSE_CHECK_S)
-            self.take_stood(clock.now())
+            self.apply_due_rows(clock.now())
             if self._missing:
-                self.settle(clock.now())
-                self._pass_on()
+                self.drop_expired(clock.now())
+                self._send_changes()
 
-    def take_stood(self, now: float) -> None:
+    def apply_due_rows(self, now: float) -> None:
         """Apply the deferred rows whose wait is over."""
-        due = [one.row for one in self._doubted.values() if one.stood(now)]
+        due = [one.row for one in self._deferred.values() if one.is_due(now)]
         if due:
-            self.take(tuple(due), False)
+            self.apply_store_rows(tuple(due), False)
 
-    def _pass_on(self) -> None:
+    def _send_changes(self) -> None:
         """Send the changed rows to the nodes that follow this one."""
         if not self._changed:
             return
@@ -296,14 +307,14 @@
             if link is not None:
                 link.send(item)
 
-    def give(self, link: Link) -> None:
+    def send_all_rows(self, link: Link) -> None:
         """Send all rows to a node that begins to follow this one."""
-        if self._context.listed:
+        if self._context.endpoints_listed:
             link.send(Listed([list(row) for row in self._stored.values()], True))
 
 
 @receives(Listed)
-def take_listed(peers: RelayPeers, link: Link, listed: Listed) -> None:
+def take_endpoint_rows(peers: RelayPeers, link: Link, listed: Listed) -> None:
     """Apply endpoint rows that another node sent."""
     rows = tuple(StoredObject(str(row[0]), int(row[1]), row[2], *row[3:]) for row in listed.rows)
-    peers.context.take_listed(rows, bool(listed.whole), link.name)
+    peers.context.take_endpoint_rows(rows, bool(listed.whole), link.name)
--- a/packages/rookspring/src/rookspring/relay_members.py
+++ b/packages/rookspring/src/rookspring/relay_members.py
@@ -7,17 +7,17 @@
 """
 
 import typing as t
+
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import MembersReceived
+from rookspring_core.membership import Peer
+
 from . import clock
 from .messages import Members
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import Told
 from .relay_peers import receives
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import MembersReceived
-from rookspring_core.membership import Peer
-
-
 
 
 def send_members(peers: RelayPeers) -> None:
@@ -56,14 +56,14 @@
         peer = members.get(name)
         if name == link.name:
             continue
-        if peer is not None and _vouches(peers, peer, relay, now):
+        if peer is not None and _is_reported(peers, peer, relay, now):
             rows.append(_encode_row(peer, now))
         else:
             removed.append(name)
     return Members(rows, [] if names is None else removed, names is None)
 
 
-def _vouches(peers: RelayPeers, peer: Peer, relay: bool, now: float) -> bool:
+def _is_reported(peers: RelayPeers, peer: Peer, relay: bool, now: float) -> bool:
     """Return whether this node reports a node to a relay, or else to a follower."""
     if not relay:
         return True
@@ -120,5 +120,5 @@
     peers.context.submit(MembersReceived(now, link.name, rows, removed, bool(members.whole)))
     ended = peers.context.state.control.lease.epoch
     if any(row.leaving or row.lease_ended == ended > 0 for row in rows):
-        peers.context.lease_news.set()
+        peers.context.lease_check_due.set()
     peers.learn((row.name, row.address, row.data_centre, row.capacity) for row in rows)
--- a/packages/rookspring/src/rookspring/relay_merged.py
+++ b/packages/rookspring/src/rookspring/relay_merged.py
@@ -6,65 +6,65 @@
 """
 
 import typing as t
+
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from .peers import Link
 from .relay_peers import RelayPeers
-from rookspring_core.state import NodeState
-
-
 
 Digest = t.Callable[[NodeState], int]
-Tell = t.Callable[[RelayPeers, Link], None]
+SendAll = t.Callable[[RelayPeers, Link], None]
 
 
-class Merged(t.NamedTuple):
+class MergedSet(t.NamedTuple):
     """One merged set: its digest, and the function that sends all of it to a linked node."""
 
     digest: Digest
-    tell: Tell
+    send_all: SendAll
 
 
-MERGED: dict[str, Merged] = {}
+MERGED_SETS: dict[str, MergedSet] = {}
 
 
-def merges(name: str, digest: Digest) -> t.Callable[[Tell], Tell]:
+def merged_set(name: str, digest: Digest) -> t.Callable[[SendAll], SendAll]:
     """Register the function that sends all of a merged set to a linked node.
 
     :param digest: computes a number that is equal on nodes that hold the same entries.
     """
 
-    def register(send_all: Tell) -> Tell:
-        MERGED[name] = Merged(digest, send_all)
+    def register(send_all: SendAll) -> SendAll:
+        MERGED_SETS[name] = MergedSet(digest, send_all)
         return send_all
 
     return register
 
 
-def digest(state: NodeState) -> int:
+def combined_digest(state: NodeState) -> int:
     """Return a digest over all merged sets, equal on nodes whose sets are equal."""
     combined = 0
-    for merged in MERGED.values():
+    for merged in MERGED_SETS.values():
         combined ^= merged.digest(state)
     return combined
 
 
-def greet(peers: RelayPeers, link: Link) -> None:
+def send_merged_sets(peers: RelayPeers, link: Link) -> None:
     """Send a linked node all merged sets in full."""
-    for merged in MERGED.values():
-        merged.tell(peers, link)
+    for merged in MERGED_SETS.values():
+        merged.send_all(peers, link)
 
 
-def compare(peers: RelayPeers, link: Link, told: int) -> None:
+def resend_if_different(peers: RelayPeers, link: Link, peer_digest: int) -> None:
     """Send a linked node all merged sets if its digest has differed for ``MERGED_DIFFERS_S``.
 
     :param peer_digest: the digest in the node's heartbeat.
     """
     now = clock.now()
-    if told == digest(peers.context.state):
+    if peer_digest == combined_digest(peers.context.state):
         peers.differs_since.pop(link, None)
         return
     since = peers.differs_since.setdefault(link, now)
     if now - since >= defaults.MERGED_DIFFERS_S:
         peers.differs_since[link] = now + defaults.MERGED_AGAIN_S
-        greet(peers, link)
+        send_merged_sets(peers, link)
--- a/packages/rookspring/src/rookspring/relay_node.py
+++ b/packages/rookspring/src/rookspring/relay_node.py
@@ -7,7 +7,29 @@
 import signal
 import sys
 import typing as t
+
 import uvloop
+from returns.result import Failure
+from returns.result import Success
+
+from rookspring_core import Identity
+from rookspring_core import NodeState
+from rookspring_core import allotment_checks
+from rookspring_core import cluster
+from rookspring_core import defaults as core_defaults
+from rookspring_core import demand
+from rookspring_core.allotments import Allotments
+from rookspring_core.effects import ReadDesired
+from rookspring_core.effects import ReadHead
+from rookspring_core.effects import Stop
+from rookspring_core.effects import WriteLease
+from rookspring_core.events import DrainAsked
+from rookspring_core.events import LeaseWritten
+from rookspring_core.events import Ticked
+from rookspring_core.freshness import ProofTerms
+from rookspring_core.leases import RELAY_TERMS
+from rookspring_core.retries import WindowTerms
+
 from . import clock
 from . import defaults
 from . import logs
@@ -15,12 +37,12 @@
 from . import relay_allotments
 from . import relay_attempts as relay_attempts
 from . import relay_beats
-from . import relay_following
 from . import relay_merged
 from . import relay_news
 from . import relay_notices
 from . import relay_orders as relay_orders
 from . import relay_slots
+from . import relay_store_loops
 from . import relay_suspects
 from .dialect import Dialect
 from .exceptions import PlatformConflict
@@ -37,33 +59,11 @@
 from .reach import Reach
 from .relay_context import RelayContext
 from .relay_context import relay_performs
-from .relay_lists import EndpointList
+from .relay_endpoint_list import EndpointList
 from .relay_peers import RelayPeers
 from .relay_proofs import ProofKeeper
 from .relay_settings import RelaySettings
 from .store_eras import StoreEras
-from returns.result import Failure
-from returns.result import Success
-from rookspring_core import Identity
-from rookspring_core import NodeState
-from rookspring_core import allotment_checks
-from rookspring_core import cluster
-from rookspring_core import defaults as core_defaults
-from rookspring_core import demand
-from rookspring_core.allotments import Allotments
-from rookspring_core.effects import ReadDesired
-from rookspring_core.effects import ReadHead
-from rookspring_core.effects import Stop
-from rookspring_core.effects import WriteLease
-from rookspring_core.events import DrainAsked
-from rookspring_core.events import LeaseWritten
-from rookspring_core.events import Ticked
-from rookspring_core.freshness import ProofTerms
-from rookspring_core.leases import RELAY_TERMS
-from rookspring_core.retries import WindowTerms
-
-
-
 
 Reload = t.Callable[[], RelaySettings]
 
@@ -97,7 +97,7 @@
     """Apply settings that were changed without a signal."""
     while True:
         await asyncio.sleep(defaults.SETTINGS_CHECK_S)
-        node.reload(reload, told=False)
+        node.reload(reload, by_signal=False)
 
 
 class RelayNode:
@@ -148,24 +148,24 @@
         """Set the callbacks by which components call each other without imports."""
         context = self.context
         peers = self.peers
-        peers.greeters += (relay_beats.greet, relay_merged.greet)
+        peers.greeters += (relay_beats.greet, relay_merged.send_merged_sets)
         context.announce = functools.partial(relay_beats.announce, peers)
-        context.share = functools.partial(relay_news.share_report, peers)
-        context.share_coming = functools.partial(relay_news.share_coming, peers)
+        context.share_report = functools.partial(relay_news.share_report, peers)
+        context.share_loading = functools.partial(relay_news.share_coming, peers)
         context.share_down = functools.partial(relay_news.share_down, peers)
         context.share_evidence = functools.partial(relay_suspects.share_evidence, peers)
         context.share_leaving = functools.partial(relay_notices.share_leaving, peers)
         context.share_rates = functools.partial(relay_notices.share_rates, peers)
         context.share_shed = functools.partial(relay_notices.share_shed, peers)
         context.share_prompts = relay_news.PromptSums(peers).note
-        context.tell_holder = functools.partial(relay_news.send_want, peers)
-        context.ask_owner = functools.partial(relay_allotments.ask_units, peers)
+        context.send_load_request = functools.partial(relay_news.send_want, peers)
+        context.ask_allotment = functools.partial(relay_allotments.ask_units, peers)
         context.return_units = functools.partial(relay_allotments.return_units, peers)
         context.ask_slot = functools.partial(relay_slots.ask_slot, peers)
         context.free_slot = functools.partial(relay_slots.free_slot, peers)
         context.ask_proof = self.proofs.ask_soon
-        context.give_lists = self.endpoints.give
-        context.take_listed = self._take_endpoint_rows
+        context.send_endpoint_list = self.endpoints.send_all_rows
+        context.take_endpoint_rows = self._take_endpoint_rows
         context.stop = self._stop
 
     def _take_endpoint_rows(self, rows: tuple[StoredObject, ...], whole: bool, source: str) -> None:
@@ -174,7 +174,7 @@
         Entries missing in a complete list are removed only if the followed node sent it.
         """
         followed = self.context.state.topology.followed
-        self.endpoints.take_told(rows, whole and source == followed)
+        self.endpoints.apply_peer_rows(rows, whole and source == followed)
 
     def _apply_settings(self, settings: RelaySettings) -> None:
         state = self.context.state
@@ -205,23 +205,23 @@
         endpoints = self.endpoints
         await self.peers.start()
         await self._listen()
-        following = relay_following
+        loops = relay_store_loops
         context = self.context
         kind = context.dialect.endpoint_kind()
         for make in (
             self._tick_loop,
             self._sweep_loop,
             lambda: relay_beats.beat_loop(self.peers),
-            endpoints.settle_loop,
+            endpoints.expiry_loop,
             self.proofs.run,
             lambda: relay_slots.settle_loop(self.peers),
-            lambda: following.follow_kind(context, reach, kind, endpoints.take, True),
-            lambda: following.follow_table(context, self.peers, reach),
-            lambda: following.follow_lease(context, reach),
-            lambda: following.follow_nodes(context, self.peers, reach),
-            lambda: following.rewrite_row(context),
+            lambda: loops.watch_kind(context, reach, kind, endpoints.apply_store_rows, True),
+            lambda: loops.watch_table(context, self.peers, reach),
+            lambda: loops.poll_lease(context, reach),
+            lambda: loops.poll_nodes(context, self.peers, reach),
+            lambda: loops.rewrite_row(context),
         ):
-            context.keep(make)
+            context.run_forever(make)
 
     async def _listen(self) -> None:
         settings = self.settings
@@ -296,14 +296,14 @@
         """
         log("stood_still", "WARNING", for_s=frozen_s, suspended_s=clock.suspended_s())
         for exchange in self.context.exchanges.values():
-            exchange.keep_deadline()
+            exchange.reschedule_timeout()
 
     async def _sweep_loop(self) -> None:
         while True:
             await asyncio.sleep(defaults.POOL_SWEEP_S)
             self.context.pool.sweep(clock.now())
 
-    def reload(self, reload: Reload, told: bool = True) -> None:
+    def reload(self, reload: Reload, by_signal: bool = True) -> None:
         """Read the settings again and apply them; invalid ones change nothing.
 
         :param by_signal: a signal requested it, so it is logged even if nothing has changed.
@@ -314,14 +314,14 @@
             for fault in error.faults:
                 log("settings_wrong", "ERROR", fault=fault, kept="the settings in force")
             return
-        if settings == self.settings and not told:
+        if settings == self.settings and not by_signal:
             return
         changed = [
             name
             for name, old, new in zip(settings._fields, self.settings, settings, strict=True)
             if old != new
         ]
-        log("settings_reloaded", changed=",".join(changed), told=told)
+        log("settings_reloaded", changed=",".join(changed), told=by_signal)
         self.settings = settings
         self.context.settings = settings
         self.peers.dialler.seeds = settings.seeds
@@ -335,7 +335,7 @@
         self.context.submit(DrainAsked(clock.now()))
         end_s = max(0.1, self.settings.grace_s - defaults.STOP_MARGIN_S)
         self.context.loop.call_later(end_s, self.stopping.set)
-        self.context.spawn(relay_following.forget_row(self.context))
+        self.context.spawn(relay_store_loops.delete_row(self.context))
 
     def _stop(self) -> None:
         self.stopping.set()
@@ -388,8 +388,8 @@
     }
 
     async def write() -> None:
-        name = relay_following.lease_name(effect.era)
-        kind = relay_following.LEASE_KIND
+        name = relay_store_loops.lease_name(effect.era)
+        kind = relay_store_loops.LEASE_KIND
         answer = await context.eras.within(context.platform.put(kind, name, value, effect.version))
         won: bool | None = None
         version = 0
@@ -406,7 +406,7 @@
 
 
 @relay_performs(ReadDesired)
-def note_lease(context: RelayContext, effect: ReadDesired) -> None:
+def log_lease_acquired(context: RelayContext, effect: ReadDesired) -> None:
     """Log that this node holds the lease; it has no resources to read.
 
     The platform keeps the configuration, which every node reads.
@@ -415,5 +415,5 @@
 
 
 @relay_performs(ReadHead)
-def skip_head(context: RelayContext, effect: ReadHead) -> None:
+def ignore_read_head(context: RelayContext, effect: ReadHead) -> None:
     """Do nothing: the platform accepts the configuration, so relay nodes publish no revisions."""
--- a/packages/rookspring/src/rookspring/relay_notices.py
+++ b/packages/rookspring/src/rookspring/relay_notices.py
@@ -29,7 +29,7 @@
 from .peers import Link
 from .relay_context import RelayContext
 from .relay_context import relay_performs
-from .relay_merged import merges
+from .relay_merged import merged_set
 from .relay_peers import RelayPeers
 from .relay_peers import receives
 
@@ -97,7 +97,7 @@
     peers.spread(encode_leaving(rows, clock.now()), source)
 
 
-@merges("leaving", lambda state: state.notices.digest(state.now))
+@merged_set("leaving", lambda state: state.notices.digest(state.now))
 def tell_all(peers: RelayPeers, link: Link) -> None:
     """Tell a node of all endpoints that leave."""
     now = clock.now()
@@ -118,7 +118,7 @@
     peers.spread(RatesTold([list(row) for row in rows]), source)
 
 
-@merges("rates", lambda state: state.rates.digest())
+@merged_set("rates", lambda state: state.rates.digest())
 def tell_all_rates(peers: RelayPeers, link: Link) -> None:
     """Tell a node of all endpoints' rates."""
     rows = peers.context.state.rates.records()
--- a/packages/rookspring/src/rookspring/relay_orders.py
+++ b/packages/rookspring/src/rookspring/relay_orders.py
@@ -1,17 +1,7 @@
 """Effects on orders, endpoint reports, load requests, allotments and slots."""
 
 import asyncio
-from . import clock
-from . import defaults
-from . import http_client
-from .dialect import OrderAsked
-from .dialect import OrderReply
-from .exceptions import EndpointError
-from .logs import log
-from .relay_context import RelayContext
-from .relay_context import relay_performs
-from .relay_notices import Asked
-from .relay_notices import hear_at
+
 from rookspring_core import notice_handlers
 from rookspring_core.defaults import LOAD_UNREPORTED
 from rookspring_core.effects import AdapterLeft
@@ -33,7 +23,17 @@
 from rookspring_core.events import OrderAnswered
 from rookspring_core.events import OrderDue
 
-
+from . import clock
+from . import defaults
+from . import http_client
+from .dialect import OrderAsked
+from .dialect import OrderReply
+from .exceptions import EndpointError
+from .logs import log
+from .relay_context import RelayContext
+from .relay_context import relay_performs
+from .relay_notices import Asked
+from .relay_notices import hear_at
 
 
 @relay_performs(SendOrder)
@@ -124,13 +124,13 @@
 @relay_performs(ShareReport)
 def share_report(context: RelayContext, effect: ShareReport) -> None:
     """Send an endpoint's report to every other node."""
-    context.share(effect.report)
+    context.share_report(effect.report)
 
 
 @relay_performs(ShareLoading)
-def share_coming(context: RelayContext, effect: ShareLoading) -> None:
+def share_loading(context: RelayContext, effect: ShareLoading) -> None:
     """Send every other node when a model that is being loaded is expected to be resident."""
-    context.share_coming(effect.endpoint, effect.model, effect.in_s)
+    context.share_loading(effect.endpoint, effect.model, effect.in_s)
 
 
 @relay_performs(ShareDown)
@@ -146,7 +146,7 @@
 
 
 @relay_performs(StartOrderTimer)
-def remind(context: RelayContext, effect: StartOrderTimer) -> None:
+def start_order_timer(context: RelayContext, effect: StartOrderTimer) -> None:
     """Start the timer after which an order is due."""
 
     def submit_due() -> None:
@@ -156,23 +156,23 @@
 
 
 @relay_performs(RequestLoad)
-def want(context: RelayContext, effect: RequestLoad) -> None:
+def request_load(context: RelayContext, effect: RequestLoad) -> None:
     """Send a load request to the lease holder at once, or submit it if this node is the holder."""
     if context.state.control.holding(clock.now()):
         event = LoadRequested(clock.now(), *effect)
         context.loop.call_soon(context.submit, event)
         return
-    context.tell_holder(effect)
+    context.send_load_request(effect)
 
 
 @relay_performs(LoadRequestDeclined)
-def tell_declined(context: RelayContext, effect: LoadRequestDeclined) -> None:
+def log_load_declined(context: RelayContext, effect: LoadRequestDeclined) -> None:
     """Log why nothing is ordered at present for an adapter that requests wait for."""
     log("want_declined", adapter=effect.adapter, why=effect.why)
 
 
 @relay_performs(LoadRequestEnded)
-def tell_ended(context: RelayContext, effect: LoadRequestEnded) -> None:
+def log_load_request_ended(context: RelayContext, effect: LoadRequestEnded) -> None:
     """Log and count the outcome for an adapter that requests waited for."""
     context.metrics.wants.observe({"end": effect.outcome}, effect.age_s)
     log(
@@ -185,7 +185,7 @@
 
 
 @relay_performs(AdapterLeft)
-def tell_left(context: RelayContext, effect: AdapterLeft) -> None:
+def log_adapter_left(context: RelayContext, effect: AdapterLeft) -> None:
     """Log and count how long a detached adapter was attached."""
     used = "yes" if effect.used else "no"
     context.metrics.adapter_stays.observe({"used": used}, effect.stay_s)
@@ -201,7 +201,7 @@
 @relay_performs(AskAllotment)
 def ask_allotment(context: RelayContext, effect: AskAllotment) -> None:
     """Ask the owner of an organisation's allotment whether a request may run."""
-    context.ask_owner(effect)
+    context.ask_allotment(effect)
 
 
 @relay_performs(ReturnAllotment)
--- a/packages/rookspring/src/rookspring/relay_peers.py
+++ b/packages/rookspring/src/rookspring/relay_peers.py
@@ -2,7 +2,7 @@
 
 What is told over the links stands in :mod:`relay_beats` (heartbeats and sums),
 :mod:`relay_members` (which nodes there are), :mod:`relay_news` (what happened at
-endpoints) and :mod:`relay_lists` (the store's list of endpoints).
+endpoints) and :mod:`relay_endpoint_list` (the store's list of endpoints).
 """
 
 import typing as t
--- a/packages/rookspring/src/rookspring/relay_settings.py
+++ b/packages/rookspring/src/rookspring/relay_settings.py
@@ -1,8 +1,8 @@
 """Settings of a relay node, as the platform's adapter reads them."""
 
 import typing as t
-from rookspring_core.allotments import WindowTolerance
 
+from rookspring_core.allotments import WindowTolerance
 
 
 class RelaySettings(t.NamedTuple):
--- a/packages/rookspring/src/rookspring/relay_following.py
+++ b/packages/rookspring/src/rookspring/relay_store_loops.py
@@ -7,6 +7,19 @@
 import asyncio
 import contextlib
 import typing as t
+
+from returns.result import Failure
+from returns.result import Success
+
+from rookspring_core import control_jobs
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.events import LeaseSeen
+from rookspring_core.events import StoreRead
+from rookspring_core.events import TableProved
+from rookspring_core.events import UsageRestored
+from rookspring_core.hashing import stable_hash
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from . import relay_suspects
@@ -19,25 +32,12 @@
 from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
-from returns.result import Failure
-from returns.result import Success
-from rookspring_core import control_jobs
-from rookspring_core.events import EvidenceReceived
-from rookspring_core.events import LeaseSeen
-from rookspring_core.events import StoreRead
-from rookspring_core.events import TableProved
-from rookspring_core.events import UsageRestored
-from rookspring_core.hashing import stable_hash
-from rookspring_core.state import NodeState
-
-
-
 
 # Kinds of objects that relay nodes themselves write to the store.
 NODE_KIND = "rookspring-nodes"
 LEASE_KIND = "rookspring-lease"
 
-Take = t.Callable[[tuple[StoredObject, ...], bool], None]
+TakeRows = t.Callable[[tuple[StoredObject, ...], bool], None]
 
 
 class WatchTerms(t.NamedTuple):
@@ -49,7 +49,7 @@
     """
 
     wait_s: float
-    fold_s: float = 0.0
+    batch_s: float = 0.0
     fresh: bool = False
 
 
@@ -70,13 +70,13 @@
     return WatchTerms(wait_s, batch_s if endpoints else 0.0, endpoints)
 
 
-async def follow_kind(
+async def watch_kind(
     context: RelayContext,
     reach: Reach,
     kind: str,
-    take: Take,
+    take: TakeRows,
     endpoints: bool = False,
-    listed: t.Callable[[float], None] = lambda asked_at: None,
+    on_listed: t.Callable[[float], None] = lambda asked_at: None,
 ) -> None:
     """List a kind, then watch it from there for as long as this node is a watcher.
 
@@ -98,7 +98,7 @@
                 continue
             _note_answer(context, reach, endpoints)
             take(listing.unwrap().items, True)
-            listed(asked_at)
+            on_listed(asked_at)
             since = listing.unwrap().version
         if not context.watching.is_set():
             await context.watching.wait()
@@ -117,7 +117,7 @@
         found = changes.unwrap()
         if found.items:
             take(found.items, False)
-            await asyncio.sleep(terms.fold_s)
+            await asyncio.sleep(terms.batch_s)
         since = found.version
 
 
@@ -134,7 +134,7 @@
         context.submit(StoreRead(clock.now()))
 
 
-async def follow_table(context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
+async def watch_table(context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
     """Watch the configuration and apply it."""
     version = 0
 
@@ -147,16 +147,16 @@
         if version:
             context.submit(TableProved(clock.now(), asked_at, version))
 
-    await follow_kind(context, reach, context.dialect.table_kind(), take, listed=listed)
+    await watch_kind(context, reach, context.dialect.table_kind(), take, on_listed=listed)
 
 
-async def follow_lease(context: RelayContext, reach: Reach) -> None:
+async def poll_lease(context: RelayContext, reach: Reach) -> None:
     """Read the lease object repeatedly while this node may take or hold the lease."""
     back_off = BackOff(defaults.RELAY_BACKOFF_MAX_S)
     # The first read shows a restarted node whether it still holds the lease.
     has_read = False
     while True:
-        context.lease_news.clear()
+        context.lease_check_due.clear()
         if (
             has_read
             and not control_jobs.should_read_lease(context.state)
@@ -242,10 +242,10 @@
     """Wait until the lease should be read at once, for ``max_s`` seconds at most."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(max_s):
-            await context.lease_news.wait()
+            await context.lease_check_due.wait()
 
 
-async def follow_nodes(context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
+async def poll_nodes(context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
     """Write this node's row to the store, and learn the other nodes from theirs.
 
     Nodes that join later are learnt from other nodes, so the list is read again only while this
@@ -296,16 +296,16 @@
     """Write this node's row again, or delete it if leaving, after each restore of the store."""
     while True:
         await context.eras.wait_risen()
-        await asyncio.sleep(row_again_s(context.state))
+        await asyncio.sleep(row_check_delay_s(context.state))
         if context.state.leaving:
-            await forget_row(context)
+            await delete_row(context)
             continue
         back_off = BackOff(defaults.RELAY_BACKOFF_MAX_S)
         while not await _restore_row(context):
             await back_off.pause()
 
 
-def row_again_s(state: NodeState) -> float:
+def row_check_delay_s(state: NodeState) -> float:
     """Return the delay from the start of an era until this node checks its row, in seconds.
 
     All nodes check theirs, so a hash of the name spreads them out, to limit the store's call rate.
@@ -327,7 +327,7 @@
     return False
 
 
-async def forget_row(context: RelayContext) -> None:
+async def delete_row(context: RelayContext) -> None:
     """Delete this node's row from the store, for a planned stop."""
     answer = await context.platform.delete(NODE_KIND, context.state.identity.name, None)
     if isinstance(answer, Failure):
--- a/packages/rookspring/src/rookspring/relay_suspects.py
+++ b/packages/rookspring/src/rookspring/relay_suspects.py
@@ -21,7 +21,7 @@
 from .peers import Link
 from .relay_context import RelayContext
 from .relay_context import relay_performs
-from .relay_merged import merges
+from .relay_merged import merged_set
 from .relay_peers import RelayPeers
 from .relay_peers import receives
 
@@ -34,7 +34,7 @@
     peers.spread(encode_evidence(evidence, clock.now()), source)
 
 
-@merges("evidence", lambda state: state.suspects.digest())
+@merged_set("evidence", lambda state: state.suspects.digest())
 def tell_all(peers: RelayPeers, link: Link) -> None:
     """Tell a node all that is known."""
     now = clock.now()
--- a/packages/rookspring/src/rookspring/store_eras.py
+++ b/packages/rookspring/src/rookspring/store_eras.py
@@ -62,7 +62,7 @@
             self.risen += 1
             risen, self._risen = self._risen, asyncio.Event()
             risen.set()
-        self._context.lease_news.set()
+        self._context.lease_check_due.set()
 
     async def within(self, call: t.Awaitable[Result[T, PlatformError]]) -> Result[T, PlatformError]:
         """Make a call of the store that is to be asked and answered in one era.
