--- a/features/notices_sockets.feature
+++ b/features/notices_sockets.feature
@@ -1,23 +1,24 @@
 @relay
-Feature: What an endpoint says with an answer is heeded, whatever the store says of it
+Feature: Notices in an endpoint's responses are applied, whatever the store has of it
 
-  # What users saw: requests reached an endpoint 3.5 and 4 s after it had told the very node that sent
-  # them, in the head of an answer, that it leaves; and an endpoint that had asked each node for 3 s of
-  # rest got 213 requests in 9 s, and turned each away. The order of events: the store does not answer;
-  # the endpoint begins to leave, which its entry cannot tell; its answers tell it, and are passed on;
-  # the next request goes there. The other turns a request away with 503 and Retry-After, its load falls
-  # below its neighbours', and the next request goes there. Cause: an attempt's outcome was made of an
-  # answer's head and the rest thrown away, so that nodes learnt of endpoints by the store and by reports
-  # alone. Evidence: in all nodes' logs nothing stands between such an answer and the next attempt, and
-  # each was a first attempt, decided within 1 ms; the endpoint's view was not made anew meanwhile; at
-  # each attempt that was turned away its load was 0.05 to 0.08, the least of all that held the model.
+  # Guards against two failures that users saw. Requests reached an endpoint 3.5 and 4 s after it had
+  # announced that it leaves, in the head of a response to the very node that sent them. Another
+  # endpoint, which had requested a back-off of 3 s from each node, got 213 requests in 9 s and refused
+  # each. How: the store can't be reached, so the first endpoint's entry can't show that it leaves; its
+  # responses announce it and are forwarded to callers, and the next request is sent there. The other
+  # refuses a request with 503 and Retry-After, its load falls below that of its neighbours, and the
+  # next request is sent there. Cause: of a response's head a node used what the attempt's outcome
+  # needed and dropped the rest, so it learnt of endpoints from the store and from reports only.
+  # Evidence: in all nodes' logs there is no event between such a response and the next attempt; each
+  # was a first attempt, decided within 1 ms; the endpoint's view was not recreated in between; at each
+  # refused attempt the endpoint's load was 0.05 to 0.08, the lowest of all that had the model.
 
-  Scenario Outline: what an endpoint says in the head of an answer holds for the next request
+  Scenario Outline: a notice in the head of a response applies to the next request
     Given a relay node with one endpoint that does: <script>
     When the endpoint's answers say <line>
     And a caller sends a <kind> request
     And a caller sends 6 unsafe requests on one connection
-    Then each is refused at once as not run, with a time to come back
+    Then each is refused at once as not run, with a retry time
     And the first endpoint got 1 in all
     When another endpoint joins
     And a caller sends 6 unsafe requests on one connection
@@ -38,40 +39,40 @@
       | safe   | refuse        | Retry-After: 3    |
       | unsafe | refuse        | Retry-After: 2.5  |
 
-  Scenario Outline: nothing that an endpoint is asked keeps its word from being heard
+  Scenario Outline: a notice is read from the response to any kind of call
     Given a relay node with one endpoint that does: stream
     When the endpoint's answers say <line>
-    And it is asked by <what>
-    Then the node knows that the endpoint <knows>
+    And the endpoint gets <call>
+    Then the node knows that the endpoint <state>
 
     Examples:
-      | what                               | line              | knows   |
-      | a report                           | Server-Leaving: 1 | leaves  |
-      | an order                           | Server-Leaving: 1 | leaves  |
-      | a request whose caller leaves soon | Server-Leaving: 1 | leaves  |
-      | a report that it turns away        | Retry-After: 3    | rests   |
-      | an order that it turns away        | Retry-After: 3    | rests   |
+      | call                                    | line              | state          |
+      | a read of its report                    | Server-Leaving: 1 | leaves         |
+      | an order                                | Server-Leaving: 1 | leaves         |
+      | a request whose caller disconnects soon | Server-Leaving: 1 | leaves         |
+      | a read of its report that it refuses    | Retry-After: 3    | is in back-off |
+      | an order that it refuses                | Retry-After: 3    | is in back-off |
 
-  Scenario: a report whose body tells that its endpoint leaves
+  Scenario: a report states in its body that its endpoint leaves
     Given a relay node with one endpoint that does: stream
-    When the endpoint's report tells the state draining
-    And it is asked by a report
+    When the endpoint's report contains the state draining
+    And the endpoint gets a read of its report
     Then the node knows that the endpoint leaves
 
-  Scenario Outline: what is heard while a connection is made holds for the request that waits for it
+  Scenario Outline: a notice that arrives while a request waits for its connection applies to that request
     Given a relay node with one endpoint that does: answer, refuse
-    When a request waits for its connection, and the endpoint says <line> meanwhile
-    Then that request was not sent, and its caller is told so
+    When a request waits for its connection, and a response with <line> arrives meanwhile
+    Then that request is refused without having been sent
 
     Examples:
       | line              |
       | Server-Leaving: 1 |
       | Retry-After: 3    |
 
-  Scenario: an order or a question is kept from an endpoint at rest
+  Scenario: an endpoint in back-off gets neither orders nor reads of its report
     Given a relay node with one endpoint that does: refuse
     When the endpoint's answers say Retry-After: 3
     And a caller sends a unsafe request
-    And it is asked by a report
-    And it is asked by an order
-    Then the endpoint was asked for no report and got no order
+    And the endpoint gets a read of its report
+    And the endpoint gets an order
+    Then neither was sent to the endpoint
--- a/features/rate_limits_sockets.feature
+++ b/features/rate_limits_sockets.feature
@@ -1,15 +1,15 @@
 @relay
-Feature: What an endpoint names as requests a second holds from the next request on
+Feature: A rate limit in an endpoint's response applies from the next request on
 
-  # The story and the evidence stand in rate_limits.feature. Here: between sockets, one node, whose plain
-  # service's endpoint names a rate in each of its answers.
+  # rate_limits.feature describes the failure and its evidence. These scenarios use sockets: one node,
+  # and a plain service whose endpoint announces a rate limit in each of its responses.
 
-  Scenario Outline: a rate that the head of an answer names holds for the next request
+  Scenario Outline: a rate limit in the head of a response applies to the next request
     Given a relay node with one endpoint that does: <script>
     When the endpoint's answers say <line>
     And a caller sends a <kind> request
     And a caller sends 6 unsafe requests on one connection
-    Then each is refused at once as not run, with a time to come back
+    Then each is refused at once as not run, with a retry time
     And the first endpoint got 1 in all
     When another endpoint joins
     And a caller sends 6 unsafe requests on one connection
@@ -26,28 +26,28 @@
       | stream | break after 3 | Server-Limit: 0.5 |
       | unsafe | answer        | Server-Limit: 0   |
 
-  Scenario: an endpoint that names a rate gets what it names, and no more
+  Scenario: an endpoint with a rate limit gets as many requests as it allows, and no more
     Given a relay node with one endpoint that does: answer
     When the endpoint's answers say Server-Limit: 2
     And a caller sends a unsafe request every 40 ms for 6 s
     Then the first endpoint got 7 to 14 in all
-    And who was refused was told so at once
+    And the other requests were refused at once
 
-  Scenario: a rate ends with the first answer that names none
+  Scenario: a rate limit ends with the first response without one
     Given a relay node with one endpoint that does: answer
     When the endpoint's answers say Server-Limit: 2
     And a caller sends a unsafe request every 40 ms for 3 s
-    And its answers name no rate any more
+    And its responses contain no rate limit any more
     And a caller sends a unsafe request every 40 ms for 2 s
     And a caller sends 6 unsafe requests on one connection
     Then the first endpoint answers each
 
-  Scenario: what was decided before the rate was named is held before its first byte
+  Scenario: a request assigned before the rate limit was announced is withheld before its first byte
     Given a relay node with one endpoint that does: answer
-    When a request waits for its connection, and the endpoint says Server-Limit: 0.5 meanwhile
-    Then that request was not sent, and its caller is told so
+    When a request waits for its connection, and a response with Server-Limit: 0.5 arrives meanwhile
+    Then that request is refused without having been sent
 
-  Scenario Outline: what is no rate
+  Scenario Outline: an invalid rate limit is ignored
     Given a relay node with one endpoint that does: answer
     When the endpoint's answers say <line>
     And a caller sends a unsafe request
--- a/features/steps/crash_socket_steps.py
+++ b/features/steps/crash_socket_steps.py
@@ -1,24 +1,24 @@
+import aiohttp
 import asyncio
 import json
-
-import aiohttp
 from behave import given
 from behave import then
 from behave import when
-
 from rookspring_fakes.users import SMALL
 
+
+
 AUTH = {"Authorization": "Bearer demo"}
 MODEL = "pitwall-llm-00"
 FATAL = "ends what runs it"
 
 
-@given('{number:d} more runners, which end when a prompt with "{text}" is sent to them')
+@given('{number:d} more runners, which crash when a prompt with "{text}" is sent to them')
 def more_runners(context, number, text):
     stage = context.stage
 
     async def work():
-        # Those that stand there already end under it as well.
+        # The runners that exist already crash on it as well.
         for one in range(number):
             await stage.raise_runner(SMALL.runners + one, text)
         for runner in stage.runners.values():
@@ -35,7 +35,7 @@
         return response.status, dict(response.headers), json.loads(await response.read())
 
 
-@when("a caller asks for it {times:d} times, at each node by turns")
+@when("a caller repeats it {times:d} times, at each node in turn")
 def asks(context, times):
     async def work():
         nodes = list(context.stage.nodes.values())
@@ -49,13 +49,13 @@
     context.loop.run(work(), 60.0)
 
 
-@then("no more than {most:d} runners have ended")
+@then("no more than {most:d} runners have crashed")
 def ended(context, most):
     found = context.stage.ended_runners
     assert 2 <= len(found) <= most, (found, [one[0] for one in context.answers])
 
 
-@then("the last answers are 503 with the outcome not_run and no time to come back")
+@then("the last answers are 503 with the outcome not_run and no retry time")
 def last(context):
     for status, headers, body in context.answers[-3:]:
         assert status == 503 and body["outcome"] == "not_run", (status, body)
--- a/features/steps/gossip_steps.py
+++ b/features/steps/gossip_steps.py
@@ -1,25 +1,25 @@
 from behave import given
 from behave import then
 from behave import when
-from samples import report
-
 from rookspring.gossip import ReportLog
 from rookspring.gossip import read_row
 from rookspring_core.endpoints import EndpointView
+from samples import report
+
 
 
-class Listener:
-    """The part of a node that reading a row needs."""
+class ReceivingNode:
+    """The attributes of a node that :func:`read_report_row` uses."""
 
     def __init__(self):
         self.state = self
         self.endpoints = {"e": EndpointView("e", "a", "dc")}
 
 
-@given("a node that polls an endpoint and one that listens")
-def poller_and_listener(context):
+@given("a node that polls an endpoint, and one that receives its reports")
+def poller_and_receiver(context):
     context.log = ReportLog()
-    context.listener = Listener()
+    context.receiver = ReceivingNode()
     context.shared = report("e", 1.0)
     context.now = 1.0
 
@@ -27,15 +27,15 @@
 def share(context):
     context.now += 1.0
     row = context.log.row_for(context.shared._replace(at=context.now), context.now)
-    found = read_row(context.listener, row, context.now)
+    found = read_row(context.receiver, row, context.now)
     if found is not None:
-        context.listener.endpoints["e"].take_report(found)
+        context.receiver.endpoints["e"].take_report(found)
 
 
 @when("{events}, {more} and is shared")
 def shared_twice(context, events, more):
     for name in [*events.split(", "), more]:
-        happen(context, name)
+        apply_event(context, name)
     share(context)
 
 
@@ -47,11 +47,11 @@
 @when("its load changes and is shared without a base")
 def shared_without_base(context):
     context.log.row_for(context.shared, context.now)
-    happen(context, "its load changes")
+    apply_event(context, "its load changes")
     share(context)
 
 
-def happen(context, name):
+def apply_event(context, name):
     if name == "a report is shared":
         share(context)
     elif name == "its load changes":
@@ -61,17 +61,17 @@
     else:
         context.now += 1.0
         other = context.shared._replace(at=context.now, held_gb=50.0)
-        context.listener.endpoints["e"].take_report(other)
+        context.receiver.endpoints["e"].take_report(other)
 
 
-@then("the listener's last report is {seen}")
-def last_report(context, seen):
-    found = context.listener.endpoints["e"].report
-    wanted = {
+@then("the receiver's last report is {expected}")
+def last_report(context, expected):
+    found = context.receiver.endpoints["e"].report
+    check = {
         "the first": lambda: found.running == 0 and found.resident == (),
         "the changed load": lambda: found.running == 7,
         "with the model": lambda: found.resident == (("m", "v1"),),
         "the other base": lambda: found.held_gb == 50.0 and found.running == 0,
         "none": lambda: found is None,
-    }[seen]
-    assert wanted(), found
+    }[expected]
+    assert check(), found
--- a/features/steps/notice_socket_steps.py
+++ b/features/steps/notice_socket_steps.py
@@ -1,9 +1,7 @@
 import asyncio
-
 from behave import then
 from behave import when
 from relay_fixture import request
-
 from rookspring import clock
 from rookspring import relay_orders
 from rookspring_core.effects import ReadReport
@@ -11,6 +9,8 @@
 from rookspring_fakes import ModelServer
 
 
+
+
 @when("the endpoint's answers say {line}")
 def answers_say(context, line):
     context.relay.servers[0].says.append(line)
@@ -46,7 +46,7 @@
     assert len(asked) == number, [one.request_id for one in asked]
 
 
-@then("each is refused at once as not run, with a time to come back")
+@then("each is refused at once as not run, with a retry time")
 def each_refused(context):
     for answer in context.answers:
         assert answer.status == 503, answer.status
@@ -60,21 +60,21 @@
     assert len(context.relay.servers[1].asked) == 6
 
 
-# What else an endpoint is asked.
+# Calls to an endpoint other than the ones for whole requests.
 
 
-@when("it is asked by {what}")
-def asked_by(context, what):
+@when("the endpoint gets {call}")
+def gets_call(context, call):
     relay = context.relay
     node = relay.node
     server = relay.servers[0]
-    if what.endswith("turns away"):
+    if call.endswith("it refuses"):
         server.refuses_all = True
 
     async def work():
-        if "report" in what:
+        if "report" in call:
             relay_orders.read_report(node.context, ReadReport("i0", 0.0))
-        elif "order" in what:
+        elif "order" in call:
             order = SendOrder("i0", server.address, (1, 0), "load", "m")
             relay_orders.send_order(node.context, order)
         else:
@@ -87,25 +87,25 @@
     context.loop.run(work())
 
 
-@when("the endpoint's report tells the state {state}")
-def report_tells(context, state):
+@when("the endpoint's report contains the state {state}")
+def report_contains(context, state):
     context.relay.servers[0].state = state
 
 
-@then("the node knows that the endpoint {knows}")
-def node_knows(context, knows):
+@then("the node knows that the endpoint {state}")
+def node_knows(context, state):
     view = context.relay.node.context.state.endpoints["i0"]
-    found = {"leaves": view.leaving, "rests": view.in_backoff(clock.now())}
-    assert found[knows], found
+    found = {"leaves": view.leaving, "is in back-off": view.in_backoff(clock.now())}
+    assert found[state], found
 
 
-@then("the endpoint was asked for no report and got no order")
-def asked_for_nothing(context):
+@then("neither was sent to the endpoint")
+def got_no_call(context):
     server = context.relay.servers[0]
     assert not server.reports and not server.orders, (server.reports, server.orders)
 
 
-@when("a request waits for its connection, and the endpoint says {line} meanwhile")
+@when("a request waits for its connection, and a response with {line} arrives meanwhile")
 def waits_for_connection(context, line):
     relay = context.relay
     pool = relay.node.context.pool
@@ -134,7 +134,7 @@
     context.answer = context.loop.run(work())
 
 
-@then("that request was not sent, and its caller is told so")
+@then("that request is refused without having been sent")
 def not_sent(context):
     assert [one.request_id for one in context.relay.asked] == ["q2"], context.relay.asked
     assert context.answer.status == 503
--- a/features/steps/rate_limit_socket_steps.py
+++ b/features/steps/rate_limit_socket_steps.py
@@ -1,13 +1,13 @@
 import asyncio
 import time
-
 from behave import then
 from behave import when
 from relay_fixture import read_answer
 from relay_fixture import request
 
-# A refusal comes at once: in less than this, in seconds.
-AT_ONCE_S = 0.35
+
+# The longest time, in seconds, that a refusal at once may take.
+IMMEDIATE_REFUSAL_S = 0.35
 
 
 @when("a caller sends a unsafe request every {ms:d} ms for {seconds:g} s")
@@ -21,17 +21,17 @@
         return answer, time.monotonic() - started
 
     async def work():
-        asked = []
+        pending = []
         for number in range(round(seconds * 1000 / ms)):
-            asked.append(asyncio.ensure_future(one(1000 + number)))
+            pending.append(asyncio.ensure_future(one(1000 + number)))
             await asyncio.sleep(ms / 1000.0)
-        return await asyncio.gather(*asked)
+        return await asyncio.gather(*pending)
 
     context.timed = context.loop.run(work())
 
 
-@when("its answers name no rate any more")
-def say_no_more(context):
+@when("its responses contain no rate limit any more")
+def end_rate_limit(context):
     context.relay.servers[0].says.clear()
 
 
@@ -46,10 +46,10 @@
     assert [answer.status for answer in context.answers] == [200] * 6
 
 
-@then("who was refused was told so at once")
-def told_at_once(context):
+@then("the other requests were refused at once")
+def others_refused_at_once(context):
     refused = [(answer, took_s) for answer, took_s in context.timed if answer.status != 200]
     assert refused
     for answer, took_s in refused:
         assert answer.status == 503 and float(answer.headers["retry-after"]) > 0.0, answer.status
-        assert took_s < AT_ONCE_S, took_s
+        assert took_s < IMMEDIATE_REFUSAL_S, took_s
--- a/features/steps/store_copy_socket_steps.py
+++ b/features/steps/store_copy_socket_steps.py
@@ -1,17 +1,17 @@
-"""A real node on loopback, over a store that comes back from an older copy."""
+"""A node on loopback sockets, with a store that is restored from an older copy."""
 
 import asyncio
-
 from aiohttp import web
 from behave import given
 from behave import then
 from behave import when
 from relay_fixture import configuration
 from returns.result import Failure
-
 from rookspring.exceptions import PlatformUnreachable
 from rookspring_platform import store as store_module
 
+
+
 SERVICE = "svc"
 WAIT_S = 1.5
 
@@ -20,10 +20,10 @@
     return context.relay.node.context.state.store_era
 
 
-@when("the store names its era as {named}")
-def names_era(context, named):
+@when("the store's response contains the era {listed}")
+def response_with_era(context, listed):
     stage = context.relay
-    values = [] if named == "nothing" else named.split(" and ")
+    values = [] if listed == "nothing" else listed.split(" and ")
     era = stage.store.store
 
     async def answer(request):
@@ -51,11 +51,13 @@
     context.loop.run(work())
 
 
-@then("the node knows era {era:d}, and says {line}")
-def knows_era(context, era, line):
+@then("the node knows era {era:d}, and logs {event}")
+def knows_era(context, era, event):
     assert era_of(context) == era, era_of(context)
-    said = {text.partition("event=")[2].split()[0] for text in context.lines if "store_era" in text}
-    assert said == (set() if line == "nothing" else {line}), said
+    logged = {
+        text.partition("event=")[2].split()[0] for text in context.lines if "store_era" in text
+    }
+    assert logged == (set() if event == "nothing" else {event}), logged
 
 
 @given("the store is copied, and {lost:d} revisions of others and one of the endpoint follow")
@@ -74,24 +76,24 @@
     context.loop.run(work())
 
 
-async def come_back(context, copy, away):
+async def restore(context, copy, down_s):
     stage = context.relay
-    stage.store.faults.outage = away > 0
-    await asyncio.sleep(away)
+    stage.store.faults.outage = down_s > 0
+    await asyncio.sleep(down_s)
     await stage.store.come_back(copy)
     stage.store.faults.outage = False
 
 
 @when(
-    "the store comes back from the copy, away for {away:g} s,"
-    " and the endpoint's entry says that it leaves"
+    "the store is restored from the copy after {down_s:g} s of downtime,"
+    " and the endpoint's entry shows that it leaves"
 )
-def back_and_leaves(context, away):
+def restored_and_leaves(context, down_s):
     stage = context.relay
     server = stage.servers[0]
 
     async def work():
-        await come_back(context, context.copy, away)
+        await restore(context, context.copy, down_s)
         entry = server.entry(SERVICE, state="draining", slots=9)
         await stage.store.write("servers", server.name, entry)
 
@@ -115,7 +117,7 @@
         rows = {
             key: row for key, row in context.copy.objects.items() if key[0] != "rookspring-nodes"
         }
-        context.bare = context.copy._replace(objects=rows)
+        context.copy_without_rows = context.copy._replace(objects=rows)
         await stage.until(lambda: lease.own_epoch > 0)
         context.epoch = lease.own_epoch
         await asyncio.sleep(0.2)
@@ -123,18 +125,20 @@
     context.loop.run(work())
 
 
-@when("the store comes back from the copy, away for {away:g} s")
-def back(context, away):
-    context.loop.run(come_back(context, context.copy, away))
+@when("the store is restored from the copy after {down_s:g} s of downtime")
+def restored(context, down_s):
+    context.loop.run(restore(context, context.copy, down_s))
 
 
-@when("the store comes back from a copy from before the node's start, away for {away:g} s")
-def back_bare(context, away):
-    context.loop.run(come_back(context, context.bare, away))
+@when(
+    "the store is restored from a copy from before the node's start after {down_s:g} s of downtime"
+)
+def restored_without_rows(context, down_s):
+    context.loop.run(restore(context, context.copy_without_rows, down_s))
 
 
 @then("the node holds the lease in the same epoch, in an object of era {era:d}")
-def holds_on(context, era):
+def holds_same_epoch(context, era):
     stage = context.relay
     control = stage.node.context.state.control
 
@@ -154,8 +158,8 @@
     context.loop.run(stage.until(lambda: ("rookspring-nodes", "n1") in objects, seconds))
 
 
-@when("the store comes back from a copy of now, and only another node tells of it")
-def told(context):
+@when("the store is restored from a current copy, and only another node announces the era")
+def announced_by_node(context):
     stage = context.relay
 
     async def work():
@@ -168,20 +172,20 @@
     context.loop.run(work())
 
 
-@then("the node has listed endpoints and configuration anew within {seconds:g} s")
-def listed_anew(context, seconds):
+@then("the node has listed endpoints and configuration again within {seconds:g} s")
+def listed_again(context, seconds):
     stage = context.relay
     calls = stage.store.store.calls
     context.loop.run(stage.until(lambda: calls["list"] >= context.listed + 2, seconds))
 
 
-@when("the node knows era {known:d}, and the store answers in era {told:d}")
-def behind(context, known, told):
+@when("the node knows era {known:d}, and the store responds in era {named:d}")
+def responds_in_earlier_era(context, known, named):
     stage = context.relay
 
     async def work():
         stage.node.context.eras.hear(known, "another")
-        stage.store.store.era = told
+        stage.store.store.era = named
         context.answer = await stage.node.context.platform.list_kind("any")
 
     context.loop.run(work())
@@ -209,8 +213,10 @@
     context.loop.run(work())
 
 
-@when("the store comes back from the copy, and version {version:d} is written upon its revision")
-def upon_the_same(context, version):
+@when(
+    "the store is restored from the copy, and version {version:d} is written with the same revision"
+)
+def written_with_same_revision(context, version):
     stage = context.relay
 
     async def work():
@@ -228,8 +234,8 @@
     context.loop.run(context.relay.until(lambda: state.revision == version, seconds))
 
 
-@given("the lease of the era before keeps a verdict")
-def keeps_verdict(context):
+@given("the lease of the era before contains a verdict")
+def contains_verdict(context):
     stage = context.relay
     lease = {"holder": "n9", "epoch": 3, "nonce": "x", "verdicts": [["f", "", 500.0]]}
 
@@ -240,8 +246,8 @@
     context.loop.run(work())
 
 
-@when("the node is killed, and another starts in its place after the store came back")
-def killed_and_back(context):
+@when("the node is killed, and another starts in its place after the store was restored")
+def killed_and_restored(context):
     stage = context.relay
 
     async def work():
@@ -252,7 +258,7 @@
     context.loop.run(work())
 
 
-@then("that knows the verdict within {seconds:g} s")
+@then("the new node knows the verdict within {seconds:g} s")
 def knows_verdict(context, seconds):
     node = context.relay.node.context
     suspects = node.state.suspects
--- a/packages/rookspring/src/rookspring/evidence.py
+++ b/packages/rookspring/src/rookspring/evidence.py
@@ -1,10 +1,12 @@
-"""Evidence against requests under which endpoints ended, as nodes send it, and told to operators.
+"""Encoding of crash evidence in messages between nodes, and the report of verdicts to operators.
 
-Both fronts use it: :mod:`relay_suspects` between relay nodes, :mod:`gossip` between the product's.
+Used by :mod:`relay_suspects` (relay nodes) and :mod:`gossip` (the product's own nodes).
 """
 
 import typing as t
-
+from .logs import log
+from .messages import EvidenceTold
+from .metrics import Metrics
 from rookspring_core.effects import VerdictFound
 from rookspring_core.suspects import Cleared
 from rookspring_core.suspects import CrashRecord
@@ -13,13 +15,11 @@
 from rookspring_core.suspects import Trial
 from rookspring_core.suspects import Verdict
 
-from .logs import log
-from .messages import EvidenceTold
-from .metrics import Metrics
+
 
 
 def encode_evidence(evidence: Evidence, now: float) -> EvidenceTold:
-    """Write evidence with ages in place of this node's times."""
+    """Encode evidence; times of this node's clock become ages and remaining times."""
     return EvidenceTold(
         [
             [
@@ -38,20 +38,22 @@
     )
 
 
-def decode_evidence(told: EvidenceTold, now: float) -> Evidence:
-    """Read evidence into times of this node's clock."""
+def decode_evidence(message: EvidenceTold, now: float) -> Evidence:
+    """Decode evidence; ages and remaining times become times of this node's clock."""
     return Evidence(
-        tuple(_read_sighting(row, now) for row in told.sightings),
-        tuple(Cleared(str(row[0]), now - float(row[1])) for row in told.cleared),
-        tuple(Verdict(str(row[0]), str(row[1]), now + float(row[2])) for row in told.verdicts),
-        tuple(Trial(str(row[0]), now + float(row[1])) for row in told.trials),
+        tuple(_decode_crash_record(row, now) for row in message.sightings),
+        tuple(Cleared(str(row[0]), now - float(row[1])) for row in message.cleared),
+        tuple(Verdict(str(row[0]), str(row[1]), now + float(row[2])) for row in message.verdicts),
+        tuple(Trial(str(row[0]), now + float(row[1])) for row in message.trials),
     )
 
 
-def _read_sighting(row: list[t.Any], now: float) -> CrashRecord:
-    fingerprint, organisation, endpoint, born, age_s, young = row
-    life = EndpointProcess(str(endpoint), int(born))
-    return CrashRecord(str(fingerprint), str(organisation), life, now - float(age_s), bool(young))
+def _decode_crash_record(row: list[t.Any], now: float) -> CrashRecord:
+    fingerprint, organisation, endpoint, born, age_s, early = row
+    process = EndpointProcess(str(endpoint), int(born))
+    return CrashRecord(
+        str(fingerprint), str(organisation), process, now - float(age_s), bool(early)
+    )
 
 
 def tell_verdict(metrics: Metrics, effect: VerdictFound) -> None:
--- a/packages/rookspring/src/rookspring/gossip.py
+++ b/packages/rookspring/src/rookspring/gossip.py
@@ -1,21 +1,7 @@
-"""What nodes tell each other: heartbeats, reports, box lists, revisions, forwards."""
+"""Messages between nodes: heartbeats, reports, box lists, revisions, forwarded requests."""
 
 import asyncio
 import typing as t
-
-from rookspring_core import Entry
-from rookspring_core import cluster
-from rookspring_core.events import BoxListed
-from rookspring_core.events import CacheEventsReceived
-from rookspring_core.events import DownReceived
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import EvidenceReceived
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import LeavingReceived
-from rookspring_core.events import PeerLost
-from rookspring_core.events import RevisionSeen
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from . import forwarding
@@ -44,6 +30,20 @@
 from .reports import decode_report as decode_report
 from .reports import digest_of as digest_of
 from .reports import encode_report as encode_report
+from rookspring_core import Entry
+from rookspring_core import cluster
+from rookspring_core.events import BoxListed
+from rookspring_core.events import CacheEventsReceived
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import PeerLost
+from rookspring_core.events import RevisionSeen
+from rookspring_core.state import NodeState
+
+
 
 Receiver = t.Callable[[NodeContext, Link, t.Any], None]
 RECEIVERS: dict[type[t.Any], Receiver] = {}
@@ -51,7 +51,7 @@
 
 
 def receives(message_type: type[t.Any]) -> t.Callable[[R], R]:
-    """Register the receiver of a message type."""
+    """Register the handler of a message type."""
 
     def register(function: R) -> R:
         RECEIVERS[message_type] = function
@@ -61,7 +61,7 @@
 
 
 async def serve_link(node: NodeContext, link: Link) -> None:
-    """Take a node's messages until its stream ends."""
+    """Send a linked node this one's state, then handle its messages until the link closes."""
     link.send(make_beat(node))
     greet_merged(node, link)
     node.report_log.forget()
@@ -80,7 +80,7 @@
 
 
 def make_beat(node: NodeContext) -> Heartbeat:
-    """Make this node's heartbeat."""
+    """Return this node's heartbeat."""
     state = node.state
     identity = state.identity
     return Heartbeat(
@@ -100,13 +100,13 @@
 
 
 def shorten_beat(beat: Heartbeat) -> Heartbeat:
-    """Leave the rows out that only relays need in a large deployment."""
+    """Remove the rows that only relays need in a large deployment."""
     return beat._replace(demand=[], team_demand=[], inflight=None)
 
 
 @receives(Heartbeat)
 def hear_beat(node: NodeContext, link: Link, beat: Heartbeat) -> None:
-    """Take a heartbeat, and ask for the revision if it is newer."""
+    """Process a heartbeat, and request the changes if the sender has a newer revision."""
     node.submit(
         HeartbeatReceived(
             at=clock.now(),
@@ -141,12 +141,12 @@
 
 
 def _digest(state: NodeState) -> int:
-    """Give a number that is the same on nodes that know the same of what all are to know."""
+    """Return a hash that is equal on nodes with the same evidence and leaving endpoints."""
     return state.suspects.digest() ^ state.notices.digest(state.now)
 
 
 def greet_merged(node: NodeContext, link: Link) -> None:
-    """Tell a node all that every node is to know."""
+    """Send a node all evidence and all leaving endpoints."""
     now = clock.now()
     evidence = node.state.suspects.snapshot(now)
     if not evidence.empty():
@@ -157,34 +157,34 @@
 
 
 @receives(LeavingTold)
-def take_leaving(node: NodeContext, link: Link, told: LeavingTold) -> None:
-    """Take what another node knows of endpoints that leave."""
+def take_leaving(node: NodeContext, link: Link, message: LeavingTold) -> None:
+    """Process leaving endpoints that another node sent."""
     now = clock.now()
-    node.submit(LeavingReceived(now, decode_leaving(told, now), link.name))
+    node.submit(LeavingReceived(now, decode_leaving(message, now), link.name))
 
 
 @receives(EvidenceTold)
-def take_evidence(node: NodeContext, link: Link, told: EvidenceTold) -> None:
-    """Take what another node knows of requests under which endpoints ended."""
+def take_evidence(node: NodeContext, link: Link, message: EvidenceTold) -> None:
+    """Process crash evidence that another node sent."""
     now = clock.now()
-    node.submit(EvidenceReceived(now, decode_evidence(told, now), link.name))
+    node.submit(EvidenceReceived(now, decode_evidence(message, now), link.name))
 
 
 @receives(Down)
 def take_down(node: NodeContext, link: Link, down: Down) -> None:
-    """Take another node's word that nothing listens at an endpoint."""
+    """Process that nothing listens at an endpoint, as another node found."""
     node.submit(DownReceived(clock.now(), down.endpoint))
 
 
 @receives(WantRevision)
 def give_revision(node: NodeContext, link: Link, wanted: WantRevision) -> None:
-    """Send what changed since the other node's revision."""
+    """Send the changes since the other node's revision."""
     link.send(node.history.delta(wanted.since))
 
 
 @receives(RevisionDelta)
 def take_revision(node: NodeContext, link: Link, delta: RevisionDelta) -> None:
-    """Put a newer revision in force; a delta upon another base is asked for again."""
+    """Apply a newer revision; a delta from another base revision is requested again."""
     state = node.state
     if delta.revision <= state.catalogue.revision:
         return
@@ -200,7 +200,7 @@
 
 
 class RevisionHistory:
-    """Recent revisions' changes, from which deltas are made."""
+    """The changes of recent revisions, from which deltas are computed."""
 
     def __init__(self) -> None:
         self._steps: list[tuple[int, dict[str, Entry | None]]] = []
@@ -209,7 +209,7 @@
         self._epoch = 0
 
     def add(self, revision: int, epoch: int, entries: t.Mapping[str, Entry]) -> None:
-        """Keep what changed from the revision before."""
+        """Add a revision's changes from the previous one."""
         step: dict[str, Entry | None] = {
             key: entry for key, entry in entries.items() if self._entries.get(key) != entry
         }
@@ -221,7 +221,7 @@
         self._epoch = epoch
 
     def delta(self, since: int) -> RevisionDelta:
-        """Make a delta from a revision that is kept, else from nothing."""
+        """Return the delta since a revision, or all entries if its changes are no longer kept."""
         bases = [base for base, _ in self._steps]
         if since == 0 or since not in bases:
             changed = {key: encode_entry(entry) for key, entry in self._entries.items()}
@@ -240,7 +240,7 @@
 
 @receives(Reports)
 def take_reports(node: NodeContext, link: Link, reports: Reports) -> None:
-    """Take the reports of endpoints that another node polls."""
+    """Process the reports of endpoints that another node polls."""
     now = clock.now()
     for row in reports.rows:
         report = read_row(node, row, now)
@@ -249,10 +249,10 @@
 
 
 def read_row(node: NodeContext, row: list[t.Any], now: float) -> EndpointReported | None:
-    """Read a whole report, or a short one upon the whole one at hand.
+    """Decode a full row, or apply a short one to the endpoint's last report.
 
-    A short row names its base by digest; where another base is at hand it is
-    dropped, since a whole report comes before long.
+    A short row contains the digest of the report that it applies to. If the last report is
+    another one the row is dropped, since a full row follows within ``REPORT_WHOLE_S``.
     """
     if len(row) == len(EndpointReported._fields):
         return decode_report(row, now)
@@ -265,7 +265,7 @@
 
 @receives(Hints)
 def take_hints(node: NodeContext, link: Link, hints: Hints) -> None:
-    """Take cache events that another node read."""
+    """Process cache events that another node read."""
     now = clock.now()
     for endpoint, prefixes in hints.rows:
         node.submit(CacheEventsReceived(now, endpoint, tuple(prefixes)))
@@ -273,13 +273,13 @@
 
 @receives(Boxes)
 def take_boxes(node: NodeContext, link: Link, boxes: Boxes) -> None:
-    """Take the box list that a relay read."""
+    """Apply the box list that a relay read."""
     node.update_boxes(tuple(BoxListed(*row) for row in boxes.rows), share=False)
 
 
 @receives(Forward)
 def take_forward(node: NodeContext, link: Link, forward: Forward) -> None:
-    """Serve a keyed request for a caller of another node."""
+    """Serve a keyed request that another node forwarded for its caller."""
     node.spawn(forwarding.serve_forward(node, link, forward))
 
 
@@ -287,12 +287,12 @@
 @receives(ForwardPart)
 @receives(ForwardEnd)
 def take_answer(node: NodeContext, link: Link, item: t.Any) -> None:
-    """Take a part of the answer to a request that this node forwarded."""
+    """Process a part of the answer to a request that this node forwarded."""
     forwarding.deliver_part(node, item)
 
 
 async def beat_loop(node: NodeContext) -> None:
-    """Send heartbeats, and dial nodes without a stream."""
+    """At each interval, send heartbeats and dial nodes without a link."""
     while True:
         node.send_heartbeat()
         node.dialler.dial_missing()
--- a/packages/rookspring/src/rookspring/messages.py
+++ b/packages/rookspring/src/rookspring/messages.py
@@ -1,10 +1,10 @@
 """Messages between nodes: ``NamedTuple`` classes in a registry, by their tags on the wire."""
 
+import msgpack
 import typing as t
+from .exceptions import PeerError
 
-import msgpack
 
-from .exceptions import PeerError
 
 M = t.TypeVar("M", bound=type[t.Any])
 MESSAGES: dict[str, type[t.Any]] = {}
@@ -41,21 +41,16 @@
 
 @message("beat")
 class Heartbeat(t.NamedTuple):
-    """What a node says of itself; ``inflight`` is None where its rows are left out.
-
-    ``up_s`` is how long it has run, in seconds. ``lease_ended`` is the last epoch of the
-    lease that it held and that has lapsed, ``used`` the adapters and models that its
-    requests use, as rows of endpoint and name. ``urgent`` and ``missed`` are parts of
-    ``demand``: what cannot wait for its model, and what was refused for want of room.
-
-    The last six tell of its part among the nodes, as in ``HeartbeatReceived``: how much it can
-    carry; whether it passes on what its data centre tells, asks the store itself, and
-    follows the receiver; whether its figures come within another node's; and how old
-    what it knows of the store is, in seconds. ``prompts`` are tokens that endpoints are
-    still to read, as rows; ``spent`` is what was let in of organisations since the
-    sender told last, and ``relay_s`` for how long it has passed things on. ``merged`` is the
-    digest of what all nodes are to know alike; see :mod:`relay_merged`. ``store_era`` is how
-    often the store has come back from a copy.
+    """State and load of the sender; fields that :class:`HeartbeatReceived` has mean the same here.
+
+    :param demand: rows of model and rate; ``urgent_demand`` and ``refused_demand`` are parts of it.
+    :param inflight: rows of endpoint and count; None if left out.
+    :param lease_ended: last epoch of the lease that the sender held and that has lapsed.
+    :param used: rows of endpoint and the name of an adapter or model.
+    :param prompts: rows of endpoint and unread prompt tokens.
+    :param spent: rows of organisation and units.
+    :param merged: digest of the sets that all nodes merge; see :mod:`relay_merged`.
+    :param store_era: how often the store has been restored from an older copy.
     """
 
     name: str
@@ -89,9 +84,9 @@
 
 @message("members")
 class Members(t.NamedTuple):
-    """Nodes that the sender vouches for, as rows, and those that it does no more.
+    """Nodes that the sender vouches for, as rows, and those that it no longer vouches for.
 
-    ``whole`` says that these are all.
+    :param complete: the rows are all that it vouches for.
     """
 
     rows: list[t.Any]
@@ -101,10 +96,10 @@
 
 @message("listed")
 class Listed(t.NamedTuple):
-    """Entries of endpoints as the store has them, for whoever follows the sender.
+    """Entries of endpoints as the store has them, for the sender's followers.
 
-    Rows are name, revision, value and the store's era; a value of None takes the entry away.
-    ``whole`` says that these are all.
+    :param rows: name, revision, value and the store's era; a value of None removes the entry.
+    :param complete: the rows are all entries.
     """
 
     rows: list[t.Any]
@@ -113,14 +108,14 @@
 
 @message("reports")
 class Reports(t.NamedTuple):
-    """Load reports of the endpoints that the sender polls, as lists with their age."""
+    """Reports of endpoints; see :mod:`reports` for the rows."""
 
     rows: list[t.Any]
 
 
 @message("hints")
 class Hints(t.NamedTuple):
-    """Prefixes that endpoints hold."""
+    """Prefixes that endpoints have cached, as rows of endpoint and prefixes."""
 
     rows: list[t.Any]
 
@@ -134,7 +129,7 @@
 
 @message("want")
 class WantRevision(t.NamedTuple):
-    """Ask for what changed since a revision."""
+    """Request the changes since a revision."""
 
     since: int
 
@@ -152,14 +147,17 @@
 
 @message("nodes")
 class Nodes(t.NamedTuple):
-    """Nodes that the sender knows, as rows of name, address, data centre and strength."""
+    """Nodes that the sender knows, as rows of name, address, data centre and capacity."""
 
     rows: list[t.Any]
 
 
 @message("coming")
 class Coming(t.NamedTuple):
-    """A model is being loaded at an endpoint, to be there in so many seconds."""
+    """A model is being loaded at an endpoint.
+
+    :param ready_in_s: time until it is expected to be resident, in seconds.
+    """
 
     endpoint: str
     model: str
@@ -168,14 +166,17 @@
 
 @message("down")
 class Down(t.NamedTuple):
-    """Nothing listens at an endpoint, as the sender has just found."""
+    """Nothing listens at an endpoint, as a node has just found."""
 
     endpoint: str
 
 
 @message("shed")
 class ShedTold(t.NamedTuple):
-    """An endpoint turned a request of the sender away, and is spared for so long, in seconds."""
+    """An endpoint shed a request.
+
+    :param for_s: for how long other endpoints are to be preferred, in seconds.
+    """
 
     endpoint: str
     for_s: float
@@ -183,16 +184,16 @@
 
 @message("leaving")
 class LeavingTold(t.NamedTuple):
-    """Endpoints that leave, as rows of name, start and age of the word in seconds."""
+    """Leaving endpoints, as rows of name, start time and age of the notice in seconds."""
 
     rows: list[t.Any]
 
 
 @message("rates")
 class RatesTold(t.NamedTuple):
-    """How many requests a second endpoints take, as rows of name, start, version and rate.
+    """Endpoints' rate limits, as rows of name, start time, version and requests per second.
 
-    The rate is None where the endpoint names none any more; see ``RateRecord``.
+    The rate is None if the limit has ended; see ``RateRecord``.
     """
 
     rows: list[t.Any]
@@ -200,11 +201,13 @@
 
 @message("evidence")
 class EvidenceTold(t.NamedTuple):
-    """Requests under which endpoints ended; see ``Evidence``. Ages and rests are in seconds.
+    """Evidence of requests that crash endpoints; see ``Evidence``. All times are in seconds.
 
-    ``sightings`` are rows of fingerprint, organisation, endpoint, its start, age and whether the
-    request was young; ``cleared`` of fingerprint and age; ``verdicts`` of fingerprint,
-    organisation and rest; ``trials`` of fingerprint and rest.
+    :param crash_records: rows of fingerprint, organisation, endpoint, start time of its process,
+        age, and whether the crash was early in the request.
+    :param cleared: rows of fingerprint and age.
+    :param verdicts: rows of fingerprint, organisation and remaining time.
+    :param trials: rows of fingerprint and remaining time.
     """
 
     sightings: list[t.Any]
@@ -215,12 +218,12 @@
 
 @message("want-table")
 class WantTable(t.NamedTuple):
-    """Ask for the route table."""
+    """Request the route table."""
 
 
 @message("table")
 class TableGiven(t.NamedTuple):
-    """The configuration as the platform has it, for the receiver's dialect to read."""
+    """The configuration in the platform's form, for the receiver's dialect to parse."""
 
     version: int
     value: t.Any
@@ -228,9 +231,9 @@
 
 @message("prompts")
 class Prompts(t.NamedTuple):
-    """Prompt tokens that endpoints are still to read, as rows of endpoint and tokens.
+    """Unread prompt tokens, as rows of endpoint and tokens.
 
-    They are of the sender's requests, or of all those that its sums hold.
+    They are those of the sender's requests, or the sum over several nodes' requests.
     """
 
     rows: list[t.Any]
@@ -238,9 +241,10 @@
 
 @message("want-model")
 class WantModel(t.NamedTuple):
-    """Tell the lease holder that a request waits for what is resident nowhere.
+    """Ask the lease holder to load what is resident on no endpoint; see ``RequestLoad``.
 
-    ``back_s`` is how soon its caller will have come back, should it be refused first.
+    :param latest_retry_s: when the caller will have retried at the latest if its request is
+        refused, in seconds from now.
     """
 
     service: str
@@ -251,17 +255,21 @@
 
 @message("ask-proof")
 class AskProof(t.NamedTuple):
-    """Ask how new the configuration is; ``stamp`` is a time of the sender's own clock."""
+    """Request a proof of how new the configuration is.
+
+    :param stamp: time of sending, by the sender's own clock.
+    """
 
     stamp: float
 
 
 @message("proof")
 class Proof(t.NamedTuple):
-    """The answer: ``version`` was the newest ``age_s`` before the question came.
+    """The reply: ``version`` was the newest ``age_s`` seconds before the request arrived.
 
-    ``tight`` names the organisations that are near their limits; None where the sender
-    can't tell.
+    :param stamp: that of the request.
+    :param near_limit: organisations near their limits; None if the sender doesn't collect their
+        usage.
     """
 
     stamp: float
@@ -272,9 +280,11 @@
 
 @message("ask-units")
 class AskUnits(t.NamedTuple):
-    """Ask an organisation's owner whether a request of ``origin`` may run.
+    """Ask an organisation's owner whether a request may run.
 
-    ``key`` names the request there. ``passed`` says that another node has passed it on.
+    :param origin: the node that has the request.
+    :param key: the request's id there.
+    :param passed: whether another node has forwarded the message.
     """
 
     origin: str
@@ -286,7 +296,10 @@
 
 @message("units-given")
 class UnitsGiven(t.NamedTuple):
-    """The owner's answer: 0, or seconds after which there may be room."""
+    """The owner's reply to :class:`AskUnits`.
+
+    :param after_s: 0 if the request may run; else the time to retry, in seconds.
+    """
 
     origin: str
     key: str
@@ -297,7 +310,7 @@
 
 @message("units-back")
 class UnitsBack(t.NamedTuple):
-    """Tell an organisation's owner that what it granted did not run."""
+    """Return granted units to an organisation's owner, since the request did not run."""
 
     organisation: str
     units: float
@@ -306,7 +319,11 @@
 
 @message("ask-slot")
 class AskSlots(t.NamedTuple):
-    """Ask an owner for a slot for a request of ``origin``; see ``AskSlot``."""
+    """Request a slot from the owner of its queue; see ``AskSlot``.
+
+    :param origin: the node that has the request.
+    :param key: the request's id there.
+    """
 
     origin: str
     key: str
@@ -321,7 +338,7 @@
 
 @message("slot")
 class SlotTold(t.NamedTuple):
-    """The owner's answer; see ``SlotAnswered``."""
+    """The owner's reply to :class:`AskSlots`; see ``SlotAnswered``."""
 
     origin: str
     key: str
@@ -335,7 +352,7 @@
 
 @message("slot-free")
 class SlotFreed(t.NamedTuple):
-    """Tell the owner of a slot that a run is over; see ``FreeSlot``."""
+    """Return a slot to the owner of its queue after a run; see ``FreeSlot``."""
 
     origin: str
     key: str
@@ -368,7 +385,7 @@
 
 @message("fwd-part")
 class ForwardPart(t.NamedTuple):
-    """A part of the answer."""
+    """A part of the answer's body."""
 
     number: int
     data: bytes
@@ -382,14 +399,14 @@
 
 
 def encode(item: t.Any) -> bytes:
-    """Turn a message into bytes."""
+    """Encode a message as bytes."""
     return t.cast(bytes, msgpack.packb([_TAGS[type(item)], *item], use_bin_type=True))
 
 
 def decode(raw: t.Any) -> t.Any:
-    """Turn unpacked data into a message.
+    """Decode unpacked data to a message.
 
-    :raises PeerError: when it is no message of this version.
+    :raises PeerError: if it is not a message of this version.
     """
     if not isinstance(raw, list) or not raw or raw[0] not in MESSAGES:
         raise PeerError("unknown message")
--- a/packages/rookspring/src/rookspring/relay_beats.py
+++ b/packages/rookspring/src/rookspring/relay_beats.py
@@ -1,19 +1,12 @@
-"""Heartbeats between relay nodes, and the sums of demand and work that they carry.
+"""Heartbeats between relay nodes, and the sums of demand and load that they carry.
 
-In a mesh each node tells all others its own figures. Past that a node tells its own to
-the node that it follows; a relay tells the other relays those of its followers and its
-own, and each follower what all others have in flight.
+In a mesh each node sends its own figures to all others. In a larger deployment a leaf sends its
+own to the relay that it follows. A relay sends the other relays the sums over itself and its
+followers, and sends each follower what all other nodes have in flight.
 """
 
 import asyncio
 import typing as t
-
-from rookspring_core import attaching
-from rookspring_core import cluster
-from rookspring_core.demand import add_rates
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from . import relay_merged
@@ -24,29 +17,36 @@
 from .relay_members import send_members
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core import attaching
+from rookspring_core import cluster
+from rookspring_core.demand import add_rates
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.state import NodeState
+
+
 
 
 def greet(peers: RelayPeers, link: Link) -> None:
-    """Send a node that has just been linked a heartbeat without figures."""
+    """Send a newly linked node a heartbeat without figures."""
     link.send(make_beat(peers.context))
 
 
 def send_beats(peers: RelayPeers) -> None:
-    """Send a heartbeat to each linked node, with what that one is to know."""
+    """Send each linked node a heartbeat with the figures that it needs."""
     context = peers.context
     topology = context.state.topology
     bare = make_beat(context)
     own = fill_own(context.state, bare) if topology.mesh or not topology.relay else bare
     group = fill_group(peers, bare) if topology.relay else bare
-    read_at = _read_at(context.state) if topology.relay else []
+    unread_endpoints = _unread_endpoints(context.state) if topology.relay else []
     spent = tell_spent(peers)
-    # What several nodes get alike is encoded once.
+    # A heartbeat that several nodes get is encoded once.
     encoded: dict[str, bytes] = {}
     for name, link in list(peers.server.links.items()):
         kind = _kind_for(peers, name)
         follows = name == topology.followed
         if kind == "rest":
-            link.send(fill_rest(peers, bare, name, read_at)._replace(follows=follows))
+            link.send(fill_rest(peers, bare, name, unread_endpoints)._replace(follows=follows))
             continue
         key = f"{kind}{follows}"
         if key not in encoded:
@@ -58,31 +58,35 @@
 
 
 def tell_spent(peers: RelayPeers) -> list[t.Any] | None:
-    """Give what was let in since the last heartbeat, if a node takes it that passes it on."""
+    """Return the units admitted since the last heartbeat, as rows of organisation and units.
+
+    The units are taken only if a linked node is to aggregate them, and kept for the next
+    heartbeat otherwise; None if there are none.
+    """
     context = peers.context
     topology = context.state.topology
     links = peers.server.links
     kinds = {_kind_for(peers, name) for name in links}
     if topology.mesh or topology.relay:
-        heard = bool(kinds & {"own", "group"})
+        received = bool(kinds & {"own", "group"})
     else:
-        heard = topology.followed in links
-    sums = context.state.allotments.take_unreported(clock.now(), heard)
+        received = topology.followed in links
+    sums = context.state.allotments.take_unreported(clock.now(), received)
     return [[name, round(units)] for name, units in sums.items()] or None
 
 
 def announce(peers: RelayPeers, topic: str) -> None:
-    """Tell all linked nodes at once what a heartbeat says, but to greet one of them.
+    """Send all linked nodes a heartbeat now, unless the topic is a new link.
 
-    A node that has just been linked was greeted: a heartbeat to all for each makes the start of
-    many nodes a storm.
+    A newly linked node has already got a heartbeat. One to all nodes for each new link would
+    flood the links when many nodes start at once.
     """
     if topic != "hello":
         send_beats(peers)
 
 
 def _kind_for(peers: RelayPeers, name: str) -> str:
-    """Say which figures a linked node gets: own, group, rest or bare (none)."""
+    """Return which figures a linked node gets: own, group, rest or bare (none)."""
     topology = peers.context.state.topology
     known = peers.context.state.membership.peers.get(name)
     if topology.mesh:
@@ -105,7 +109,7 @@
         address=identity.address,
         caller_address=identity.caller_address,
         data_centre=identity.data_centre,
-        # A node that could not serve yet is given to no caller.
+        # Callers are given no node with revision 0, so a node that can't serve yet gets none.
         revision=state.revision if context.endpoints_listed else 0,
         leaving=state.leaving,
         demand=[],
@@ -119,7 +123,7 @@
         relay_s=round(state.topology.collecting_s(now), 1),
         watches=state.topology.watching and now - state.topology.read_at < defaults.READ_LATELY_S,
         summed=True,
-        # Past an hour nobody cares how old.
+        # Ages of more than an hour need not be told apart.
         store_age_s=round(min(3600.0, state.topology.age_s(now)), 3),
         merged=relay_merged.combined_digest(state),
         store_era=state.store_era,
@@ -134,13 +138,13 @@
         used=[list(row) for row in attaching.used_rows(state)],
         urgent=_write_rates(state.control.urgent_demand.meter.rates),
         missed=_write_rates(state.control.refused_demand.meter.rates),
-        prompts=own_prompts(state, _read_at(state)),
+        prompts=own_prompts(state, _unread_endpoints(state)),
         summed=False,
     )
 
 
 def fill_group(peers: RelayPeers, beat: Heartbeat) -> Heartbeat:
-    """Add the figures of this relay and its followers."""
+    """Add the sums of the figures of this relay and its leaf followers."""
     state = peers.context.state
     control = state.control
     group = group_of(peers)
@@ -159,38 +163,41 @@
         used=[list(row) for row in used],
         urgent=_write_rates(control.urgent_demand.sum_of(group)),
         missed=_write_rates(control.refused_demand.sum_of(group)),
-        prompts=group_prompts(peers, _read_at(state)),
+        prompts=group_prompts(peers, _unread_endpoints(state)),
         summed=False,
     )
 
 
-def fill_rest(peers: RelayPeers, beat: Heartbeat, name: str, read_at: t.Iterable[str]) -> Heartbeat:
-    """Add what all nodes but one of this relay's followers have in flight.
+def fill_rest(
+    peers: RelayPeers, beat: Heartbeat, name: str, unread_endpoints: t.Iterable[str]
+) -> Heartbeat:
+    """Add what all nodes except for one follower have in flight.
 
-    :param read_at: endpoints that have prompts to read.
+    :param name: the follower that gets the heartbeat.
+    :param unread_endpoints: endpoints that have yet to read prompts.
     """
     state = peers.context.state
     rest = state.peers_work.without(name)
     for endpoint, count in cluster.inflight_rows(state):
         rest[endpoint] = rest.get(endpoint, 0) + count
-    prompts = rest_prompts(state, read_at, name)
+    prompts = rest_prompts(state, unread_endpoints, name)
     return beat._replace(inflight=_write_counts(rest), prompts=prompts, summed=False)
 
 
 def group_of(peers: RelayPeers) -> set[str]:
-    """Name the followers whose figures this relay sums: those that are no relays."""
+    """Return the followers whose figures this relay sums: those that are not relays."""
     known = peers.context.state.membership.peers
     return {name for name in peers.followers if name in known and not known[name].heard.relay}
 
 
 def own_prompts(state: NodeState, endpoints: t.Iterable[str]) -> list[t.Any]:
-    """Give the prompt tokens of this node's requests that endpoints are to read."""
+    """Return rows of endpoint and unread prompt tokens of this node's requests."""
     views = state.endpoints
     return [[name, views[name].own_prompts()] for name in endpoints if name in views]
 
 
 def group_prompts(peers: RelayPeers, endpoints: t.Iterable[str]) -> list[t.Any]:
-    """Give those of this relay's requests and its followers'."""
+    """Return rows of endpoint and unread prompt tokens, of this relay and its leaf followers."""
     state = peers.context.state
     group = group_of(peers)
     return [
@@ -200,7 +207,7 @@
 
 
 def rest_prompts(state: NodeState, endpoints: t.Iterable[str], follower: str) -> list[t.Any]:
-    """Give those of all nodes' requests but one follower's."""
+    """Return rows of endpoint and unread prompt tokens, of all nodes except for one follower."""
     return [
         [name, state.endpoints[name].unread() - state.peers_work.prompts_of(name, (follower,))]
         for name in endpoints
@@ -208,8 +215,8 @@
     ]
 
 
-def _read_at(state: NodeState) -> list[str]:
-    """Name the endpoints that have prompts to read."""
+def _unread_endpoints(state: NodeState) -> list[str]:
+    """Return the endpoints that have yet to read prompts."""
     return [name for name, view in state.endpoints.items() if view.unread()]
 
 
@@ -231,10 +238,10 @@
 
 @receives(Heartbeat)
 def hear_beat(peers: RelayPeers, link: Link, beat: Heartbeat) -> None:
-    """Take a heartbeat, and ask for the route table if it is newer."""
+    """Process a heartbeat, and request the route table if the sender has a newer one."""
     peers.context.eras.hear(int(beat.store_era), beat.name)
     follows = bool(beat.follows)
-    began = follows and beat.name not in peers.followers
+    new_follower = follows and beat.name not in peers.followers
     if follows:
         peers.followers.add(beat.name)
     else:
@@ -269,7 +276,7 @@
             relay_s=float(beat.relay_s),
         )
     )
-    if began:
+    if new_follower:
         peers.context.send_endpoint_list(link)
     relay_merged.resend_if_different(peers, link, int(beat.merged))
     if beat.leaving or beat.lease_ended == peers.context.state.control.lease.epoch > 0:
@@ -279,7 +286,7 @@
 
 
 async def beat_loop(peers: RelayPeers) -> None:
-    """Send heartbeats and what changed of the nodes, and see to the links."""
+    """At each interval, send heartbeats and changes of the membership, and open and close links."""
     while True:
         send_beats(peers)
         send_members(peers)
--- a/packages/rookspring/src/rookspring/relay_news.py
+++ b/packages/rookspring/src/rookspring/relay_news.py
@@ -1,12 +1,4 @@
-"""What relay nodes tell each other at once: endpoints' states, unread prompts, wants."""
-
-from rookspring_core.effects import RequestLoad
-from rookspring_core.events import DownReceived
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import LoadingReceived
-from rookspring_core.events import LoadRequested
-from rookspring_core.events import PromptsReceived
-from rookspring_core.state import NodeState
+"""Updates that relay nodes send at once: endpoints' states, unread prompts, load requests."""
 
 from . import clock
 from . import defaults
@@ -24,78 +16,88 @@
 from .relay_peers import receives
 from .reports import decode_report
 from .reports import encode_report
+from rookspring_core.effects import RequestLoad
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import LoadRequested
+from rookspring_core.events import LoadingReceived
+from rookspring_core.events import PromptsReceived
+from rookspring_core.state import NodeState
+
 
 
 class PromptSums:
-    """Unread prompts that changed, gathered for a moment and then told.
+    """Sends changes of the unread prompt tokens, batched over ``PROMPTS_FOLD_S``.
 
-    A node tells its own, a relay to other relays those of its followers as well, and to
-    each follower those of all others. What another relay told is for followers alone:
-    passed on to relays as well it goes round between them.
+    A node sends its own tokens. A relay sends other relays the sum over itself and its
+    followers, and each follower the sum over all other nodes. A change that came from another
+    relay is sent to followers only: between relays it would circulate endlessly.
     """
 
     def __init__(self, peers: RelayPeers) -> None:
         self._peers = peers
-        # Endpoints with changes among the prompts of this node and its followers; and
-        # among those of all nodes.
-        self._near: set[str] = set()
-        self._all: set[str] = set()
-        self._timed = False
+        # Endpoints whose tokens changed at this node or its followers, and at any node.
+        self._group_changed: set[str] = set()
+        self._all_changed: set[str] = set()
+        self._scheduled = False
 
     def note(self, endpoint: str, far: bool = False) -> None:
-        """Note that an endpoint's unread prompts have changed.
+        """Record that an endpoint's unread prompt tokens have changed.
 
-        :param far: another relay told so.
+        :param from_relay: whether another relay sent the change.
         """
-        self._all.add(endpoint)
+        self._all_changed.add(endpoint)
         if not far:
-            self._near.add(endpoint)
-        if not self._timed:
-            self._timed = True
+            self._group_changed.add(endpoint)
+        if not self._scheduled:
+            self._scheduled = True
             loop = self._peers.context.loop
-            loop.call_later(defaults.PROMPTS_FOLD_S, self._tell)
+            loop.call_later(defaults.PROMPTS_FOLD_S, self._send)
 
-    def _tell(self) -> None:
-        self._timed = False
-        near, changed = self._near, self._all
-        self._near, self._all = set(), set()
+    def _send(self) -> None:
+        self._scheduled = False
+        group_changed, all_changed = self._group_changed, self._all_changed
+        self._group_changed, self._all_changed = set(), set()
         peers = self._peers
         topology = peers.context.state.topology
         links = peers.server.links
         if topology.mesh or not topology.relay:
-            item = Prompts(own_prompts(peers.context.state, near))
-            ways = list(links) if topology.mesh or not topology.followed else [topology.followed]
-            for name in ways:
+            item = Prompts(own_prompts(peers.context.state, group_changed))
+            names = list(links) if topology.mesh or not topology.followed else [topology.followed]
+            for name in names:
                 if name in links and item.rows:
                     links[name].send(item)
             return
         known = peers.context.state.membership.peers
-        group = encode(Prompts(group_prompts(peers, near))) if near else b""
+        group = encode(Prompts(group_prompts(peers, group_changed))) if group_changed else b""
         for name, link in list(links.items()):
             if name in known and known[name].heard.relay:
                 if group:
                     link.send_encoded(group)
             elif name in peers.followers:
-                link.send(Prompts(rest_prompts(peers.context.state, changed, name)))
+                link.send(Prompts(rest_prompts(peers.context.state, all_changed, name)))
 
 
 def share_report(peers: RelayPeers, report: EndpointReported) -> None:
-    """Tell all nodes what is true of an endpoint."""
+    """Send all nodes an endpoint's report."""
     peers.spread(Reports([encode_report(report._replace(polled=False), clock.now())]))
 
 
 def share_coming(peers: RelayPeers, endpoint: str, model: str, in_s: float) -> None:
-    """Tell all nodes when a model that is being loaded can be there."""
+    """Send all nodes that a model is being loaded, and in how many seconds it is expected."""
     peers.spread(Coming(endpoint, model, in_s))
 
 
 def share_down(peers: RelayPeers, endpoint: str) -> None:
-    """Tell all nodes that nothing listens at an endpoint."""
+    """Send all nodes that nothing listens at an endpoint."""
     peers.spread(Down(endpoint))
 
 
 def send_want(peers: RelayPeers, want: RequestLoad) -> None:
-    """Send a want to the lease holder, or on the way there: two links at most."""
+    """Send a load request to the lease holder, by way of the followed node if not linked to it.
+
+    It reaches the holder over two links at most.
+    """
     item = WantModel(want.service, want.model, want.adapter, want.latest_retry_s)
     holder = peers.find_holder()
     link = peers.server.links.get(holder)
@@ -107,7 +109,7 @@
 
 @receives(Reports)
 def take_reports(peers: RelayPeers, link: Link, reports: Reports) -> None:
-    """Take what the lease holder, or a watcher, says of endpoints."""
+    """Process and forward endpoint reports of the lease holder or of a watcher."""
     for row in reports.rows:
         peers.context.submit(decode_report(row, clock.now()))
     peers.spread(reports, link.name)
@@ -115,46 +117,46 @@
 
 @receives(Prompts)
 def take_prompts(peers: RelayPeers, link: Link, prompts: Prompts) -> None:
-    """Take what endpoints are to read of other nodes' prompts."""
+    """Process other nodes' unread prompt tokens, and at a relay schedule them to be sent on."""
     rows = tuple((str(row[0]), int(row[1])) for row in prompts.rows)
     state = peers.context.state
     peers.context.submit(PromptsReceived(clock.now(), link.name, rows))
     if state.topology.relay:
         known = state.membership.peers.get(link.name)
-        far = known is None or known.heard.relay
+        from_relay = known is None or known.heard.relay
         for endpoint, _ in rows:
-            peers.context.share_prompts(endpoint, far)
+            peers.context.share_prompts(endpoint, from_relay)
 
 
 @receives(Coming)
 def take_coming(peers: RelayPeers, link: Link, coming: Coming) -> None:
-    """Take what the lease holder has loaded."""
-    heard = LoadingReceived(clock.now(), coming.endpoint, coming.model, float(coming.in_s))
-    peers.context.submit(heard)
+    """Process and forward that the lease holder has ordered the load of a model."""
+    event = LoadingReceived(clock.now(), coming.endpoint, coming.model, float(coming.in_s))
+    peers.context.submit(event)
     peers.spread(coming, link.name)
 
 
 @receives(Down)
 def take_down(peers: RelayPeers, link: Link, down: Down) -> None:
-    """Take another node's word that nothing listens at an endpoint."""
+    """Process and forward that nothing listens at an endpoint, as another node found."""
     peers.context.submit(DownReceived(clock.now(), down.endpoint))
     peers.spread(down, link.name)
 
 
 @receives(WantModel)
 def take_want(peers: RelayPeers, link: Link, want: WantModel) -> None:
-    """Take what another node's request waits for, or pass it on to the lease holder."""
+    """Process another node's load request as the lease holder, or forward one of a leaf to it."""
     now = clock.now()
     state = peers.context.state
     if state.control.holding(now):
         back_s = float(want.back_s)
-        wanted = LoadRequested(now, want.service, want.model, want.adapter, back_s)
-        peers.context.submit(wanted)
-    elif _passes_wants(state, link.name):
+        event = LoadRequested(now, want.service, want.model, want.adapter, back_s)
+        peers.context.submit(event)
+    elif _forwards_from(state, link.name):
         send_want(peers, RequestLoad(want.service, want.model, want.adapter, float(want.back_s)))
 
 
-def _passes_wants(state: NodeState, sender: str) -> bool:
-    """Say whether a want came up from a follower; relays reach the holder by themselves."""
+def _forwards_from(state: NodeState, sender: str) -> bool:
+    """Return whether to forward a load request: from a leaf, since relays reach the holder."""
     known = state.membership.peers.get(sender)
     return state.topology.relay and known is not None and not known.heard.relay
--- a/packages/rookspring/src/rookspring/relay_notices.py
+++ b/packages/rookspring/src/rookspring/relay_notices.py
@@ -1,22 +1,10 @@
-"""What endpoints say of themselves: where it comes in, and how relay nodes tell each other.
+"""Notices that endpoints send in response headers, and their exchange between relay nodes.
 
-It comes in by :func:`hear_at` alone, which each connection to an endpoint is given with what
-is asked on it: requests, orders and reports alike.
+All notices are received by the handlers that :func:`make_notice_handler` makes, one for each call
+to an endpoint: a request, an order or the read of a report.
 """
 
 import typing as t
-
-from rookspring_core import notice_handlers
-from rookspring_core.effects import ShareLeaving
-from rookspring_core.effects import ShareRates
-from rookspring_core.effects import ShareShed
-from rookspring_core.events import LeavingReceived
-from rookspring_core.events import NoticeReceived
-from rookspring_core.events import RatesReceived
-from rookspring_core.events import ShedReceived
-from rookspring_core.notices import Leaving
-from rookspring_core.request_rates import RateRecord
-
 from . import clock
 from .http_client import Hear
 from .http_messages import HttpHead
@@ -32,14 +20,27 @@
 from .relay_merged import merged_set
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core import notice_handlers
+from rookspring_core.effects import ShareLeaving
+from rookspring_core.effects import ShareRates
+from rookspring_core.effects import ShareShed
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import NoticeReceived
+from rookspring_core.events import RatesReceived
+from rookspring_core.events import ShedReceived
+from rookspring_core.notices import Leaving
+from rookspring_core.request_rates import RateRecord
+
+
 
 
 class Asked(t.NamedTuple):
-    """What an endpoint was asked.
+    """A call to an endpoint.
 
-    :param what: the request's id, or what else it was.
-    :param target: the model that was asked for, and the adapter.
-    :param request: it was a request of a caller, whose id each answer to it bears.
+    :param call_id: the request's id, or another description of the call.
+    :param target: the model that the call is for.
+    :param adapter: the adapter that it is for.
+    :param is_request: it is a caller's request; each response to it carries the request's id.
     """
 
     what: str
@@ -48,28 +49,28 @@
     request: bool = False
 
 
-def hear_at(context: RelayContext, endpoint: str, asked: Asked) -> Hear:
-    """Make what takes the heads of an endpoint's answers to one thing that it is asked.
+def hear_at(context: RelayContext, endpoint: str, call: Asked) -> Hear:
+    """Return a handler for the heads of an endpoint's responses to one call.
 
-    Whose word it is is told by the life that is known now: an answer that comes once another
-    life has begun may be of the process before.
+    A notice is attributed to the process that is known now, when the call begins: a response that
+    arrives after a restart may be from the earlier process.
     """
     view = context.state.endpoints.get(endpoint)
     born = notice_handlers.known_start(view) if view is not None else 0
     address = view.address if view is not None else ""
     began_at = clock.now()
 
-    def hear(head: HttpHead) -> None:
+    def handle(head: HttpHead) -> None:
         notice = context.dialect.read_notice(head)
         if not notice_handlers.has_news(context.state, endpoint, notice):
             return
-        # An answer to another request may be of long before; orders and reports say nothing of
-        # what holds for requests.
-        mine = asked.request and context.dialect.judge(head, asked.what).mine
+        # Only a response to this very request dates the notice: one to another request may be
+        # old, and the responses to orders and reads of reports do not apply to requests.
+        own_response = call.request and context.dialect.judge(head, call.what).mine
         log(
             "endpoint_said",
             endpoint=endpoint,
-            asked=asked.what,
+            asked=call.what,
             status=head.status,
             life=notice.process_name,
             leaving=notice.leaving,
@@ -77,29 +78,29 @@
             rate=-1 if notice.rate is None else notice.rate,
             malformed=notice.malformed,
         )
-        said = NoticeReceived(
+        event = NoticeReceived(
             clock.now(),
             endpoint,
             born,
             notice,
             address,
-            asked.target,
-            asked.adapter,
-            began_at if mine else None,
+            call.target,
+            call.adapter,
+            began_at if own_response else None,
         )
-        context.submit(said)
+        context.submit(event)
 
-    return hear
+    return handle
 
 
 def share_leaving(peers: RelayPeers, rows: tuple[Leaving, ...], source: str) -> None:
-    """Tell all nodes of endpoints that leave, but the one that told it."""
+    """Send leaving endpoints to all nodes except for the source."""
     peers.spread(encode_leaving(rows, clock.now()), source)
 
 
 @merged_set("leaving", lambda state: state.notices.digest(state.now))
 def tell_all(peers: RelayPeers, link: Link) -> None:
-    """Tell a node of all endpoints that leave."""
+    """Send a node all leaving endpoints."""
     now = clock.now()
     rows = peers.context.state.notices.list_leaving(now)
     if rows:
@@ -107,60 +108,60 @@
 
 
 @receives(LeavingTold)
-def take_leaving(peers: RelayPeers, link: Link, told: LeavingTold) -> None:
-    """Take what another node knows of endpoints that leave."""
+def take_leaving(peers: RelayPeers, link: Link, message: LeavingTold) -> None:
+    """Process leaving endpoints that another node sent."""
     now = clock.now()
-    peers.context.submit(LeavingReceived(now, decode_leaving(told, now), link.name))
+    peers.context.submit(LeavingReceived(now, decode_leaving(message, now), link.name))
 
 
 def share_rates(peers: RelayPeers, rows: tuple[RateRecord, ...], source: str) -> None:
-    """Tell all nodes how many requests a second endpoints take, but the one that told it."""
+    """Send endpoints' rate limits to all nodes except for the source."""
     peers.spread(RatesTold([list(row) for row in rows]), source)
 
 
 @merged_set("rates", lambda state: state.rates.digest())
 def tell_all_rates(peers: RelayPeers, link: Link) -> None:
-    """Tell a node of all endpoints' rates."""
+    """Send a node the rate limits of all endpoints."""
     rows = peers.context.state.rates.records()
     if rows:
         link.send(RatesTold([list(row) for row in rows]))
 
 
 @receives(RatesTold)
-def take_rates(peers: RelayPeers, link: Link, told: RatesTold) -> None:
-    """Take what another node knows of endpoints' rates."""
+def take_rates(peers: RelayPeers, link: Link, message: RatesTold) -> None:
+    """Process rate limits that another node sent."""
     rows = tuple(
         RateRecord(str(row[0]), int(row[1]), int(row[2]), None if row[3] is None else float(row[3]))
-        for row in told.rows
+        for row in message.rows
     )
     peers.context.submit(RatesReceived(clock.now(), rows, link.name))
 
 
 @relay_performs(ShareRates)
 def perform_rates(context: RelayContext, effect: ShareRates) -> None:
-    """Tell the other nodes how many requests a second endpoints take."""
+    """Send the other nodes endpoints' rate limits."""
     context.share_rates(effect.rows, effect.source)
 
 
 @relay_performs(ShareLeaving)
 def perform_share(context: RelayContext, effect: ShareLeaving) -> None:
-    """Tell the other nodes of endpoints that leave."""
+    """Send the other nodes leaving endpoints."""
     context.share_leaving(effect.rows, effect.source)
 
 
 @relay_performs(ShareShed)
 def perform_shed(context: RelayContext, effect: ShareShed) -> None:
-    """Tell the other nodes of an endpoint that turns requests away."""
+    """Send the other nodes that an endpoint sheds load."""
     context.share_shed(effect.endpoint, effect.for_s)
 
 
 def share_shed(peers: RelayPeers, endpoint: str, for_s: float) -> None:
-    """Tell all nodes of an endpoint that turns requests away."""
+    """Send all nodes that an endpoint sheds load."""
     peers.spread(ShedTold(endpoint, for_s))
 
 
 @receives(ShedTold)
-def take_shed(peers: RelayPeers, link: Link, told: ShedTold) -> None:
-    """Take another node's word that an endpoint turns requests away."""
-    peers.context.submit(ShedReceived(clock.now(), told.endpoint, float(told.for_s)))
-    peers.spread(told, link.name)
+def take_shed(peers: RelayPeers, link: Link, message: ShedTold) -> None:
+    """Process and forward that an endpoint sheds load, as another node found."""
+    peers.context.submit(ShedReceived(clock.now(), message.endpoint, float(message.for_s)))
+    peers.spread(message, link.name)
--- a/packages/rookspring/src/rookspring/relay_owners.py
+++ b/packages/rookspring/src/rookspring/relay_owners.py
@@ -1,21 +1,21 @@
-"""Questions to the node that decides for all, its answers, and words for it, between nodes.
+"""Messages to the owner of a subject, the node that decides on it for all, and its replies.
 
-Owners are relays, or in a mesh any node. A node that is no relay asks by the node that it
-follows, which passes the question on; so an owner is two links away at most. What is asked and
-what is decided stands with each subject: :mod:`relay_allotments`, :mod:`relay_slots`.
+Owners are relays, or in a mesh any node. A leaf sends its messages to the relay that it follows,
+which forwards them, so an owner is at most two links away. :mod:`relay_allotments` and
+:mod:`relay_slots` define the messages and how owners handle them.
 """
 
 import typing as t
-
-from rookspring_core.owners import choose_owner
-
 from . import clock
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core.owners import choose_owner
+
+
 
 Subject = t.Callable[[t.Any], str]
-# Takes a message at its subject's owner; the link is the one that it came by, if it came by any.
+# Handles a message at the owner. The link is the one that it arrived on; None if it was sent here.
 Take = t.Callable[[RelayPeers, t.Any, Link | None], None]
 Home = t.Callable[[RelayPeers, t.Any], None]
 TAKES: dict[type[t.Any], tuple[Subject, Take]] = {}
@@ -25,81 +25,83 @@
 
 
 def owner_takes(message_type: type[t.Any], subject: Subject) -> t.Callable[[T], T]:
-    """Register what an owner does with a message; it has ``passed``, set once it was passed on.
+    """Register an owner's handler of a message type; its ``passed`` is set once it is forwarded.
 
-    :param subject: names what the message is about.
+    :param subject: returns the subject that a message is about.
     """
 
     def register(function: T) -> T:
         TAKES[message_type] = (subject, function)
-        receives(message_type)(_take_or_pass)
+        receives(message_type)(_handle_or_forward)
         return function
 
     return register
 
 
 def comes_home(message_type: type[t.Any]) -> t.Callable[[H], H]:
-    """Register what a node does with an owner's answer to it, which names it as ``origin``."""
+    """Register the handler of an owner's reply at its ``origin``, the requesting node."""
 
     def register(function: H) -> H:
         HOMES[message_type] = function
-        receives(message_type)(_bring_home)
+        receives(message_type)(_handle_or_forward_reply)
         return function
 
     return register
 
 
 def find_owner(peers: RelayPeers, subject: str) -> str:
-    """Name the owner of a subject, by what this node knows."""
+    """Return the owner of a subject by this node's view of the nodes."""
     return choose_owner(subject, peers.context.state.topology.owners(clock.now()))
 
 
 def owns(peers: RelayPeers, subject: str) -> bool:
-    """Say whether this node is the owner."""
+    """Return whether this node is the owner of a subject by its own view."""
     return find_owner(peers, subject) == peers.context.state.identity.name
 
 
-def ask_owner(peers: RelayPeers, asked: t.Any) -> None:
-    """Bring a question to its subject's owner; nothing answers where there is no way to it."""
-    subject = TAKES[type(asked)][0](asked)
-    link = _way_to_owner(peers, subject)
+def ask_owner(peers: RelayPeers, request: t.Any) -> None:
+    """Send a request to its subject's owner; without a link towards it there is no reply."""
+    subject = TAKES[type(request)][0](request)
+    link = _link_to_owner(peers, subject)
     if link is not None:
-        link.send(asked)
+        link.send(request)
     elif owns(peers, subject):
-        # The answer comes as any other does: after what is being performed now.
-        peers.context.loop.call_soon(_take, peers, asked, None)
+        # Handled later, so that the reply comes after the current effect, as from another node.
+        peers.context.loop.call_soon(_take, peers, request, None)
 
 
-def tell_owner(peers: RelayPeers, word: t.Any) -> None:
-    """Bring a word to its subject's owner; this node takes it where it knows no other."""
-    link = _way_to_owner(peers, TAKES[type(word)][0](word))
+def tell_owner(peers: RelayPeers, notification: t.Any) -> None:
+    """Send a notification to its subject's owner, or handle it here without a link towards it."""
+    link = _link_to_owner(peers, TAKES[type(notification)][0](notification))
     if link is not None:
-        link.send(word)
+        link.send(notification)
     else:
-        peers.context.loop.call_soon(_take, peers, word, None)
+        peers.context.loop.call_soon(_take, peers, notification, None)
 
 
-def answer(peers: RelayPeers, told: t.Any, link: Link | None = None) -> None:
-    """Bring an owner's answer to the node that asked, over the relay that it follows if need be.
+def answer(peers: RelayPeers, reply: t.Any, link: Link | None = None) -> None:
+    """Send an owner's reply to its origin, if need be through the relay that the origin follows.
 
-    :param link: by which the question came, where that is known.
+    :param link: the link that the request arrived on, if known.
     """
     state = peers.context.state
     links = peers.server.links
-    if told.origin == state.identity.name:
-        HOMES[type(told)](peers, told)
+    if reply.origin == state.identity.name:
+        HOMES[type(reply)](peers, reply)
         return
-    way = links.get(told.origin) or link or links.get(state.membership.reporter_of(told.origin))
-    if way is not None:
-        way.send(told)
+    target = (
+        links.get(reply.origin) or link or links.get(state.membership.reporter_of(reply.origin))
+    )
+    if target is not None:
+        target.send(reply)
 
 
 def _take(peers: RelayPeers, item: t.Any, link: Link | None) -> None:
     TAKES[type(item)][1](peers, item, link)
 
 
-def _way_to_owner(peers: RelayPeers, subject: str) -> Link | None:
-    """Give the link on the way to an owner; None where this node owns, or knows no way."""
+def _link_to_owner(peers: RelayPeers, subject: str) -> Link | None:
+    """Return the link towards an owner; None if this node is the owner or has no such link."""
     topology = peers.context.state.topology
     links = peers.server.links
     if topology.mesh or topology.relay:
@@ -107,16 +109,16 @@
     return links.get(topology.followed)
 
 
-def _take_or_pass(peers: RelayPeers, link: Link, item: t.Any) -> None:
-    """Pass a question or a word on to its owner, once; else it is taken here."""
-    way = None if item.passed else _way_to_owner(peers, TAKES[type(item)][0](item))
-    if way is None or way is link:
+def _handle_or_forward(peers: RelayPeers, link: Link, item: t.Any) -> None:
+    """Forward a message towards its owner, at most once; handle it here if that is not possible."""
+    target = None if item.passed else _link_to_owner(peers, TAKES[type(item)][0](item))
+    if target is None or target is link:
         _take(peers, item, link)
     else:
-        way.send(item._replace(passed=True))
+        target.send(item._replace(passed=True))
 
 
-def _bring_home(peers: RelayPeers, link: Link, told: t.Any) -> None:
-    """Take an answer, or pass it on to the node that asked."""
-    if told.origin == peers.context.state.identity.name or told.origin in peers.server.links:
-        answer(peers, told)
+def _handle_or_forward_reply(peers: RelayPeers, link: Link, reply: t.Any) -> None:
+    """Handle a reply if this node is its origin, else forward it if linked to the origin."""
+    if reply.origin == peers.context.state.identity.name or reply.origin in peers.server.links:
+        answer(peers, reply)
--- a/packages/rookspring/src/rookspring/relay_peers.py
+++ b/packages/rookspring/src/rookspring/relay_peers.py
@@ -1,18 +1,11 @@
-"""Links of a relay node to the others, who follows whom, and route tables between them.
+"""Links of a relay node to other nodes, its followers, and the exchange of route tables.
 
-What is told over the links stands in :mod:`relay_beats` (heartbeats and sums),
-:mod:`relay_members` (which nodes there are), :mod:`relay_news` (what happened at
-endpoints) and :mod:`relay_endpoint_list` (the store's list of endpoints).
+Other messages on the links are handled by :mod:`relay_heartbeats` (heartbeats and sums),
+:mod:`relay_members` (the membership), :mod:`relay_updates` (changes at endpoints) and
+:mod:`relay_endpoint_list` (the store's list of endpoints).
 """
 
 import typing as t
-
-from rookspring_core.events import BoxListed
-from rookspring_core.events import PeerLost
-from rookspring_core.events import PeerUnreached
-from rookspring_core.events import RouteTableSeen
-from rookspring_core.topology import listed_node
-
 from . import clock
 from . import defaults
 from .dialling import Dialler
@@ -26,6 +19,13 @@
 from .peers import PeerServer
 from .platform import StoredObject
 from .relay_context import RelayContext
+from rookspring_core.events import BoxListed
+from rookspring_core.events import PeerLost
+from rookspring_core.events import PeerUnreached
+from rookspring_core.events import RouteTableSeen
+from rookspring_core.topology import listed_node
+
+
 
 Receiver = t.Callable[["RelayPeers", Link, t.Any], None]
 RECEIVERS: dict[type[t.Any], Receiver] = {}
@@ -33,7 +33,7 @@
 
 
 def receives(message_type: type[t.Any]) -> t.Callable[[R], R]:
-    """Register the receiver of a message type."""
+    """Register the handler of a message type."""
 
     def register(function: R) -> R:
         RECEIVERS[message_type] = function
@@ -43,20 +43,24 @@
 
 
 class Told(t.NamedTuple):
-    """What a linked node was told of the others: up to which change, and as what kind."""
+    """Which changes of the membership a linked node was sent.
+
+    :param position: up to which change.
+    :param relay: whether it got them as a relay.
+    """
 
     position: int
     relay: bool
 
 
 class RelayPeers:
-    """Links to the other nodes, and the configuration as it is passed on to them."""
+    """Links to the other nodes, and the configuration that is sent to them."""
 
     def __init__(self, context: RelayContext) -> None:
         self.context = context
         identity = context.state.identity
-        # The platform gives no secret to share, so the key only keeps out nodes of
-        # another deployment; its store's address is the same on all nodes of one.
+        # The platform provides no shared secret. The key is derived from the store's address,
+        # which is the same on all nodes of a deployment; it only excludes other deployments.
         key = f"rookspring-relay/{context.settings.store}"
         self.server = PeerServer(identity.name, identity.incarnation, key, self._serve, None)
         self.dialler = Dialler(
@@ -65,21 +69,21 @@
             self.server,
             context.settings.seeds,
             context.spawn,
-            self._unreached,
+            self._handle_unreached,
         )
         self.known: dict[str, BoxListed] = {}
-        # Set by the node that wires the parts: what a node is told first, in this order.
+        # Called in this order for each new link; set by the node that assembles the parts.
         self.greeters: tuple[t.Callable[[RelayPeers, Link], None], ...] = ()
-        # What each linked node was told of the others.
+        # Which changes of the membership each linked node was sent.
         self.told: dict[Link, Told] = {}
-        # Since when a linked node knows other things than this one; see :mod:`relay_merged`.
+        # Since when a linked node's merged sets have differed; see :mod:`relay_merged`.
         self.differs_since: dict[Link, float] = {}
-        # Nodes that follow this one, by name.
+        # Names of the nodes that follow this one.
         self.followers: set[str] = set()
         self.table_value: t.Any = None
-        # Where the store stood at the object, and the version of the table read from it.
+        # The store's position of the object last read, and the version of its table.
         self._read: tuple[tuple[int, int], int] = ((0, 0), 0)
-        self._wanted_at = -1e9
+        self._table_requested_at = -1e9
         self._idle_since: dict[str, float] = {}
 
     async def start(self) -> None:
@@ -103,13 +107,13 @@
                 self.context.submit(PeerLost(clock.now(), link.name))
 
     def introduce(self, link: Link) -> None:
-        """Tell a node that has just been linked of the others, and of this one."""
+        """Send a newly linked node the relays, or in a mesh all nodes, and call the callbacks."""
         link.send(Nodes([[*row] for row in self._rows()]))
-        for greet in self.greeters:
-            greet(self, link)
+        for callback in self.greeters:
+            callback(self, link)
 
     def _rows(self) -> t.Iterator[tuple[str, str, str, float]]:
-        """Give the relays, whom a node that has just come needs most, or all nodes."""
+        """Yield this node and the relays, which a new node needs first; in a mesh all nodes."""
         state = self.context.state
         identity = state.identity
         yield identity.name, identity.address, identity.data_centre, state.capacity
@@ -119,7 +123,7 @@
                 yield name, heard.address, heard.data_centre, heard.capacity
 
     def learn(self, rows: t.Iterable[tuple[str, str, str, float]]) -> None:
-        """Add nodes to those that are known."""
+        """Add or update known nodes."""
         added = False
         for row in rows:
             listed = listed_node(*row)
@@ -141,11 +145,11 @@
         }
         return Wanted(addresses, waits, linked, topology.needs_seeds())
 
-    def _unreached(self, name: str) -> None:
+    def _handle_unreached(self, name: str) -> None:
         self.context.submit(PeerUnreached(clock.now(), name))
 
     def drop_idle(self) -> None:
-        """End links that are of use to neither end, a while after they ceased to be."""
+        """Close links that neither end has needed for ``IDLE_LINK_S``."""
         now = clock.now()
         topology = self.context.state.topology
         for name, link in list(self.server.links.items()):
@@ -157,36 +161,36 @@
                 link.close()
 
     def spread(self, item: t.Any, sender: str = "") -> None:
-        """Tell all nodes something, each by one way.
+        """Send a message to all nodes, to each by one path.
 
-        Past a mesh it goes up to the node that this one follows; relays pass it on to
+        Outside a mesh a leaf sends it to the node that it follows, and relays forward it to
         each other and to their followers.
 
-        :param sender: the node that it came from; empty where it is this node's own.
+        :param sender: the node that it was received from; empty for this node's own message.
         """
         data = encode(item)
-        for name in self._ways(sender):
+        for name in self._next_hops(sender):
             link = self.server.links.get(name)
             if link is not None:
                 link.send_encoded(data)
 
-    def _ways(self, sender: str) -> list[str]:
+    def _next_hops(self, sender: str) -> list[str]:
         topology = self.context.state.topology
         links = self.server.links
         if topology.mesh:
             return [] if sender else list(links)
         if not topology.relay:
-            up = topology.followed
-            return [] if sender else [up] if up else list(links)
+            followed = topology.followed
+            return [] if sender else [followed] if followed else list(links)
         peers = self.context.state.membership.peers
         relays = {name for name in links if name in peers and peers[name].heard.relay}
-        ways = self.followers - relays
+        names = self.followers - relays
         if sender not in relays:
-            ways |= relays
-        return [name for name in ways if name != sender]
+            names |= relays
+        return [name for name in names if name != sender]
 
     def find_holder(self) -> str:
-        """Name the node that told last that it holds the lease; empty where none did."""
+        """Return the node that announced the newest epoch of the lease; empty if none did."""
         peers = self.context.state.membership.peers
         epoch, name = max(
             ((peer.heard.lease_epoch, name) for name, peer in peers.items()), default=(0, "")
@@ -194,7 +198,7 @@
         return name if epoch else ""
 
     def take_stored(self, stored: StoredObject) -> int:
-        """Read the configuration as the store gave it; see :meth:`take_table`."""
+        """Parse the configuration as read from the store; see :meth:`take_table`."""
         position, version = self._read
         if position != stored.position or not version:
             version = self.take_table(stored, "store")
@@ -202,9 +206,9 @@
         return version
 
     def take_table(self, stored: StoredObject, source: str) -> int:
-        """Read a configuration and put it in force if it is newer.
+        """Parse a configuration, and apply it if it is newer.
 
-        :return: its version, or 0 where it is malformed or is none.
+        :return: its version; 0 if it is malformed or contains no table.
         """
         try:
             table = self.context.dialect.read_table(stored)
@@ -227,29 +231,32 @@
         return table.version
 
     def want_table(self, link: Link, version: int) -> None:
-        """Ask a node for its newer route table, once at a time."""
+        """Request a newer route table, at most once per ``CONNECT_S``."""
         now = clock.now()
-        if version <= self.context.state.revision or now - self._wanted_at < defaults.CONNECT_S:
+        if (
+            version <= self.context.state.revision
+            or now - self._table_requested_at < defaults.CONNECT_S
+        ):
             return
-        self._wanted_at = now
+        self._table_requested_at = now
         link.send(WantTable())
 
 
 @receives(Nodes)
 def take_nodes(peers: RelayPeers, link: Link, nodes: Nodes) -> None:
-    """Take the nodes that another one knows."""
+    """Add the nodes that another node knows."""
     peers.learn((str(row[0]), str(row[1]), str(row[2]), float(row[3])) for row in nodes.rows)
 
 
 @receives(WantTable)
 def give_table(peers: RelayPeers, link: Link, wanted: WantTable) -> None:
-    """Send the configuration in force."""
+    """Send the applied configuration."""
     if peers.table_value is not None:
         link.send(TableGiven(peers.context.state.revision, peers.table_value))
 
 
 @receives(TableGiven)
 def take_given(peers: RelayPeers, link: Link, given: TableGiven) -> None:
-    """Take a configuration from another node."""
+    """Apply a configuration received from another node, if it is newer."""
     stored = StoredObject(peers.context.dialect.table_name(), given.version, given.value)
     peers.take_table(stored, f"node {link.name}")
--- a/packages/rookspring/src/rookspring/relay_proofs.py
+++ b/packages/rookspring/src/rookspring/relay_proofs.py
@@ -1,24 +1,14 @@
-"""How a relay node keeps sure that its configuration is the newest.
+"""Proofs that a relay node's configuration is the newest.
 
-Two nodes read the configuration from the store for all; the others ask these, or a relay
-that does, and are told a bound that holds however long the words were on their way (see
-``freshness.py`` of the core). A node that hears nothing for some seconds reads for itself.
-Nothing is asked where requests need no keys.
+Two nodes read the configuration from the store for all. The others request a proof from these or
+from a relay that does so; a proof holds however long its messages were under way (see
+``freshness.py`` of the core). A node without a proof for some seconds reads the store itself.
+Proofs are needed only where requests carry keys.
 """
 
 import asyncio
 import contextlib
 import typing as t
-
-from returns.result import Failure
-from returns.result import Success
-
-from rookspring_core import defaults as core_defaults
-from rookspring_core import freshness
-from rookspring_core.events import NearLimitReceived
-from rookspring_core.events import TableProved
-from rookspring_core.hashing import stable_hash
-
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -32,15 +22,25 @@
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from returns.result import Failure
+from returns.result import Success
+from rookspring_core import defaults as core_defaults
+from rookspring_core import freshness
+from rookspring_core.events import NearLimitReceived
+from rookspring_core.events import TableProved
+from rookspring_core.hashing import stable_hash
+
+
+
 
 if t.TYPE_CHECKING:
     from rookspring_core.state import NodeState
 
 
 class ProofKeeper:
-    """Asks for proofs in time, of other nodes and of the store.
+    """Requests proofs periodically, from other nodes and from the store.
 
-    :param reach: is told whether the store answers.
+    :param reach: records whether the store answers.
     """
 
     def __init__(self, context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
@@ -48,19 +48,19 @@
         self._peers = peers
         self._reach = reach
         self._back_off = BackOff(defaults.PROOF_BACKOFF_MAX_S)
-        self._soon = asyncio.Event()
+        self._requested = asyncio.Event()
         self._reading = False
         self._read_at = -1e9
 
     def ask_soon(self) -> None:
-        """Ask without waiting for the beat, since a request waits for the answer."""
-        self._soon.set()
+        """Request a proof before the next interval, since a request waits for it."""
+        self._requested.set()
 
     async def run(self) -> None:
-        """Keep this node's configuration proved."""
+        """Request proofs every ``PROOF_ASK_S``, or sooner if a request waits for one."""
         while True:
-            hurried = self._soon.is_set()
-            self._soon.clear()
+            hurried = self._requested.is_set()
+            self._requested.clear()
             now = clock.now()
             if needs_proofs(self._context.state):
                 self.ask(now, hurried)
@@ -69,12 +69,12 @@
             await asyncio.sleep(defaults.PROOF_LEAST_S)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(defaults.PROOF_ASK_S - defaults.PROOF_LEAST_S):
-                    await self._soon.wait()
+                    await self._requested.wait()
 
     def ask(self, now: float, hurried: bool = False) -> None:
-        """Ask other nodes how new this node's configuration is.
+        """Request a proof from other nodes.
 
-        :param hurried: a request waits for the answer.
+        :param hurried: a request waits for it.
         """
         state = self._context.state
         proved_lately = state.freshness.age_s(now) < defaults.PROOF_READ_S
@@ -86,11 +86,11 @@
                 link.send(AskProof(now))
 
     def due(self, now: float) -> bool:
-        """Say whether this node is to read the configuration itself now; it has begun then."""
+        """Return whether to read the configuration from the store now, and mark the read begun."""
         if self._reading or now - self._read_at < defaults.PROOF_READ_S - defaults.PROOF_LEAST_S:
             return False
         state = self._context.state
-        if not state.topology.reads_configuration() and state.freshness.age_s(now) <= _step_in_s(
+        if not state.topology.reads_configuration() and state.freshness.age_s(now) <= _read_after_s(
             state
         ):
             return False
@@ -98,9 +98,10 @@
         return True
 
     def take_read(self, asked_at: float, stored: StoredObject | None) -> None:
-        """Take what the store gave; it shows what held before the store was asked.
+        """Process a read of the store, which proves what was newest when the read began.
 
-        :param stored: None where it gave nothing.
+        :param asked_at: when the read began.
+        :param stored: None if the read failed.
         """
         self._reading = False
         self._read_at = asked_at
@@ -124,8 +125,8 @@
                 case Failure(error):
                     self._reach.failed("read configuration", error)
         except TimeoutError:
-            late = PlatformUnreachable("read configuration: no answer in time")
-            self._reach.failed("read configuration", late)
+            timeout = PlatformUnreachable("read configuration: no answer in time")
+            self._reach.failed("read configuration", timeout)
         finally:
             self.take_read(asked_at, stored)
         if stored is None:
@@ -137,12 +138,12 @@
 
 
 def needs_proofs(state: "NodeState") -> bool:
-    """Say whether requests need keys here."""
+    """Return whether requests need keys here."""
     return state.table is not None and state.table.directory is not None
 
 
-def _step_in_s(state: "NodeState") -> float:
-    """Give the age at which this node reads for itself, in seconds."""
+def _read_after_s(state: "NodeState") -> float:
+    """Return the age of the last proof past which this node reads the store, in seconds."""
     if state.topology.relay:
         return core_defaults.PROOF_READ_RELAY_S
     spread = stable_hash("proof", state.identity.name) % 1000 / 1000.0
@@ -151,20 +152,20 @@
 
 @receives(AskProof)
 def give_proof(peers: RelayPeers, link: Link, asked: AskProof) -> None:
-    """Tell a node how new the configuration is known to be here."""
+    """Send a node the age of this node's proof; nothing if it has none or needs none."""
     state = peers.context.state
     now = clock.now()
     if state.freshness.proved_at == freshness.NEVER or not needs_proofs(state):
         return
-    gathers = state.topology.mesh or state.topology.relay
-    tight = sorted(state.allotments.near_limit()) if gathers else None
+    collects = state.topology.mesh or state.topology.relay
+    near_limit = sorted(state.allotments.near_limit()) if collects else None
     age_s = state.freshness.age_s(now)
-    link.send(Proof(asked.stamp, age_s, state.revision, tight))
+    link.send(Proof(asked.stamp, age_s, state.revision, near_limit))
 
 
 @receives(Proof)
 def take_proof(peers: RelayPeers, link: Link, proof: Proof) -> None:
-    """Take another node's word; the stamp is this node's own, from before it asked."""
+    """Process another node's proof; its stamp is this node's clock when it sent the request."""
     now = clock.now()
     stamp = float(proof.stamp)
     if not 0.0 <= now - stamp < defaults.PROOF_ANSWER_S:
--- a/packages/rookspring/src/rookspring/relay_slots.py
+++ b/packages/rookspring/src/rookspring/relay_slots.py
@@ -1,15 +1,7 @@
-"""Slots: questions to the nodes that give them out, and the answers, as messages between nodes."""
+"""Messages between nodes for slots: requests to the owners of slot queues, and their replies."""
 
 import asyncio
 import typing as t
-
-from rookspring_core import slot_requests
-from rookspring_core.effects import AskSlot
-from rookspring_core.effects import FreeSlot
-from rookspring_core.events import SlotAnswered
-from rookspring_core.slot_queues import SlotAnswer
-from rookspring_core.slot_queues import SlotRequest
-
 from . import clock
 from . import defaults
 from . import relay_owners
@@ -21,32 +13,42 @@
 from .relay_owners import comes_home
 from .relay_owners import owner_takes
 from .relay_peers import RelayPeers
+from rookspring_core import slot_requests
+from rookspring_core.effects import AskSlot
+from rookspring_core.effects import FreeSlot
+from rookspring_core.events import SlotAnswered
+from rookspring_core.slot_queues import SlotAnswer
+from rookspring_core.slot_queues import SlotRequest
+
+
 
 
 def ask_slot(peers: RelayPeers, effect: AskSlot) -> None:
-    """Ask an owner for a slot."""
+    """Request a slot from the owner of its queue."""
     relay_owners.ask_owner(peers, AskSlots(peers.context.state.identity.name, *effect, False))
 
 
 def free_slot(peers: RelayPeers, effect: FreeSlot) -> None:
-    """Tell the owner of a slot that a run is over."""
+    """Return a slot to the owner of its queue after a run."""
     relay_owners.tell_owner(peers, SlotFreed(peers.context.state.identity.name, *effect, False))
 
 
 async def settle_loop(peers: RelayPeers) -> None:
-    """Refuse in time what waits in vain at this node."""
+    """Grant free slots and refuse overdue requests every ``SLOT_SETTLE_S``."""
     while True:
         await asyncio.sleep(defaults.SLOT_SETTLE_S)
         settle(peers)
 
 
 def settle(peers: RelayPeers) -> None:
-    """Give the slots that are free now, and refuse what has waited for too long."""
+    """Process the queues with waiting requests, and drop the idle ones that are obsolete."""
     now = clock.now()
     state = peers.context.state
     for name, queue in list(state.slot_queues.items()):
         if not queue.idle():
-            _answer(peers, name, slot_requests.queue_of(state, name, now).process_waiting(now))
+            _send_replies(
+                peers, name, slot_requests.queue_of(state, name, now).process_waiting(now)
+            )
         elif slot_requests.is_obsolete(state, name):
             del state.slot_queues[name]
 
@@ -57,11 +59,11 @@
 
 @owner_takes(AskSlots, _subject)
 def take_question(peers: RelayPeers, asked: AskSlots, link: Link | None) -> None:
-    """Give a slot, have the request wait for one, or refuse it."""
+    """Grant a request a slot, enqueue it, or refuse it."""
     now = clock.now()
     queue = slot_requests.queue_of(peers.context.state, asked.queue, now, asked.rate)
     wait_s = float(asked.wait_s)
-    ask = SlotRequest(
+    request = SlotRequest(
         asked.origin,
         asked.key,
         int(asked.rank),
@@ -70,24 +72,24 @@
         asked.avoid,
         asked.rate,
     )
-    _answer(peers, asked.queue, queue.request_slot(ask, now))
+    _send_replies(peers, asked.queue, queue.request_slot(request, now))
 
 
 @owner_takes(SlotFreed, _subject)
 def take_freed(peers: RelayPeers, freed: SlotFreed, link: Link | None) -> None:
-    """Take a slot back."""
+    """Free a slot, which may be granted to waiting requests."""
     now = clock.now()
     queue = slot_requests.queue_of(peers.context.state, freed.queue, now)
     took_s, unsent = float(freed.took_s), bool(freed.unsent)
     answers = queue.free(freed.endpoint, freed.origin, freed.key, took_s, now, unsent)
-    _answer(peers, freed.queue, answers)
+    _send_replies(peers, freed.queue, answers)
 
 
-def _answer(peers: RelayPeers, queue: str, answers: t.Iterable[SlotAnswer]) -> None:
+def _send_replies(peers: RelayPeers, queue: str, answers: t.Iterable[SlotAnswer]) -> None:
     for one in answers:
         if one.after_s > 0.0 and queue.startswith(slot_requests.ENDPOINT_PREFIX):
             log("turn_denied", queue=queue, origin=one.origin, key=one.key, after_s=one.after_s)
-        told = SlotTold(
+        reply = SlotTold(
             one.origin,
             one.key,
             queue,
@@ -97,21 +99,21 @@
             one.avoid_s,
             one.blind,
         )
-        relay_owners.answer(peers, told)
+        relay_owners.answer(peers, reply)
 
 
 @comes_home(SlotTold)
-def take_told(peers: RelayPeers, told: SlotTold) -> None:
-    """Take what an owner says of a request of this node."""
+def take_told(peers: RelayPeers, reply: SlotTold) -> None:
+    """Process an owner's reply to a slot request of this node."""
     peers.context.submit(
         SlotAnswered(
             clock.now(),
-            told.key,
-            told.queue,
-            told.endpoint,
-            float(told.after_s),
-            bool(told.rated),
-            float(told.stay_s),
-            bool(told.blind),
+            reply.key,
+            reply.queue,
+            reply.endpoint,
+            float(reply.after_s),
+            bool(reply.rated),
+            float(reply.stay_s),
+            bool(reply.blind),
         )
     )
--- a/packages/rookspring/src/rookspring/reports.py
+++ b/packages/rookspring/src/rookspring/reports.py
@@ -1,30 +1,30 @@
-"""Endpoint reports as rows that nodes send each other."""
+"""Encoding of endpoint reports as rows of messages between nodes."""
 
 import typing as t
-
+from . import defaults
 from rookspring_core.events import EndpointReported
 from rookspring_core.hashing import stable_hash
 
-from . import defaults
+
 
 
 def digest_of(report: EndpointReported) -> int:
-    """Name all of a report but its load and its age."""
-    steady = report._replace(at=0.0, age_s=0.0, running=0, queued=0)
-    return stable_hash(repr(steady))
+    """Return a hash of a report without its load and its age."""
+    without_load = report._replace(at=0.0, age_s=0.0, running=0, queued=0)
+    return stable_hash(repr(without_load))
 
 
 class ReportLog:
-    """What reports were shared last, so that an unchanged one goes out short.
+    """The reports shared last, so that one with nothing but a new load is sent as a short row.
 
-    The whole is sent again every ``REPORT_WHOLE_S`` and to whoever has just come.
+    A full row is sent every ``REPORT_WHOLE_S``, and after a node has linked.
     """
 
     def __init__(self) -> None:
         self._sent: dict[str, tuple[int, float]] = {}
 
     def row_for(self, report: EndpointReported, now: float) -> list[t.Any]:
-        """Give the row to share: short where nothing but the load has changed."""
+        """Return the row to share: short if nothing but load and age has changed."""
         digest = digest_of(report)
         known, at = self._sent.get(report.endpoint, (0, -1e9))
         if known == digest and now - at < defaults.REPORT_WHOLE_S:
@@ -33,12 +33,12 @@
         return encode_report(report, now)
 
     def forget(self) -> None:
-        """Send everything whole again, since a node has come that has nothing."""
+        """Send full rows again, since a newly linked node has no reports."""
         self._sent.clear()
 
 
 def encode_report(report: EndpointReported, now: float) -> list[t.Any]:
-    """Turn a report into plain data; its time becomes an age."""
+    """Encode a report as a row; its time becomes an age."""
     row = list(report)
     row[0] = 0.0
     row[3] = report.age_s + max(0.0, now - report.at)
@@ -46,7 +46,7 @@
 
 
 def decode_report(row: list[t.Any], now: float) -> EndpointReported:
-    """Turn plain data into a report."""
+    """Decode a full row to a report, dated now with the row's age."""
     raw = EndpointReported(*row)
     return raw._replace(
         at=now,
--- a/packages/rookspring/src/rookspring/store_eras.py
+++ b/packages/rookspring/src/rookspring/store_eras.py
@@ -1,24 +1,25 @@
-"""Which era the platform's store is in: how often it has come back from an older copy.
+"""The era of the platform's store: how often it has been restored from an older copy.
 
-Within an era its versions order what was written; over eras they say nothing. A node hears of
-an era by any answer, or by another node, and what is to be done then begins here, once.
+Versions of objects order the writes within an era only; those of two eras can't be compared. A node
+learns of an era from any response of the store or from another node. When one first names a new
+era, this module starts what the node has to do after a restore.
 """
 
 import asyncio
 import typing as t
-
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-
-from rookspring_core.events import StoreEraBegan
-
 from . import clock
 from .exceptions import PlatformError
 from .exceptions import PlatformTooOld
 from .logs import log
 from .platform import PlatformClient
 from .reach import Reach
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+from rookspring_core.events import StoreEraBegan
+
+
+
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
@@ -32,20 +33,20 @@
     def __init__(self, context: "RelayContext", reach: Reach) -> None:
         self._context = context
         self._reach = reach
-        self._risen = asyncio.Event()
-        # Whether the store has answered this node: what was read before an era has to go.
+        self._restored = asyncio.Event()
+        # Whether the store has answered this node, so that a new era makes its data obsolete.
         self._answered = False
-        # How often an era began while this node knew something of the one before.
+        # How often an era began after this node had data of the one before.
         self.risen = 0
 
     def follow(self, platform: PlatformClient) -> None:
-        """Hear of eras by the answers of a client."""
+        """Take eras from the responses that a client gets."""
         platform.record_era = lambda era: self.hear(era, "store")
 
     def hear(self, era: int, source: str) -> int:
-        """Take an era that an answer or another node names; an older one changes nothing.
+        """Take an era from a response or another node; one that is not newer changes nothing.
 
-        :return: the newest that is known.
+        :return: the newest known era.
         """
         state = self._context.state
         if era > state.store_era:
@@ -60,30 +61,32 @@
         self._context.submit(StoreEraBegan(now, era))
         if self._answered:
             self.risen += 1
-            risen, self._risen = self._risen, asyncio.Event()
-            risen.set()
+            restored, self._restored = self._restored, asyncio.Event()
+            restored.set()
         self._context.lease_check_due.set()
 
     async def within(self, call: t.Awaitable[Result[T, PlatformError]]) -> Result[T, PlatformError]:
-        """Make a call of the store that is to be asked and answered in one era.
+        """Make a call to the store, and fail it if a new era begins before its response.
 
-        One that waits when an era begins is given up; what it would give is of no use.
+        The call is then cancelled at once, since its response would be of the old era.
         """
         before = self.risen
-        asked = asyncio.ensure_future(call)
-        risen = asyncio.ensure_future(self._risen.wait())
+        pending = asyncio.ensure_future(call)
+        restored = asyncio.ensure_future(self._restored.wait())
         try:
-            await asyncio.wait({asked, risen}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({pending, restored}, return_when=asyncio.FIRST_COMPLETED)
             if self.risen != before:
-                return Failure(PlatformTooOld("the store came back from a copy meanwhile"))
-            result = asked.result()
+                return Failure(
+                    PlatformTooOld("the store was restored from an older copy during the call")
+                )
+            result = pending.result()
             self._answered = self._answered or isinstance(result, Success)
             return result
         finally:
-            risen.cancel()
-            if not asked.done():
-                asked.cancel()
+            restored.cancel()
+            if not pending.done():
+                pending.cancel()
 
     async def wait_risen(self) -> None:
-        """Wait until an era begins while this node knows something of the one before."""
-        await self._risen.wait()
+        """Wait until an era begins after this node had data of the one before."""
+        await self._restored.wait()
