--- a/bench/era_mutants.py
+++ b/bench/era_mutants.py
@@ -61,9 +61,14 @@
 
 
 MUTANTS = (
-    Mutant("hears of no era", "one holder", StoreEras, "hear", _unheard, COPIES),
+    Mutant("hears of no era", "one holder", StoreEras, "note_era", _unheard, COPIES),
     Mutant(
-        "takes nobody's word", "one holder", StoreEras, "hear", _heard_from_the_store_alone, COPIES
+        "takes nobody's word",
+        "one holder",
+        StoreEras,
+        "note_era",
+        _heard_from_the_store_alone,
+        COPIES,
     ),
     Mutant("counts no term", "one holder", Lease, "_absent", _never, COPIES),
     Mutant("keeps one lease", "one holder", relay_store_loops, "lease_name", _one_name, COPIES),
@@ -74,7 +79,7 @@
     Mutant("doubts nothing", "drain", EndpointList, "_may_be_from_backup", _never, COPIES),
     Mutant("believes a copy", "keys", Freshness, "_lacks", _never, COPIES),
     Mutant("believes it at once", "keys", core_defaults, "REWRITE_S", 0.0, COPIES),
-    Mutant("waits on", "drain", StoreEras, "within", _waits_on, COPIES),
+    Mutant("waits on", "drain", StoreEras, "call_in_era", _waits_on, COPIES),
     Mutant("reads no era", "one holder", store, "_read_era", _nothing, COPIES),
-    Mutant("writes its row once", "membership", StoreEras, "wait_risen", _never_ends, COPIES),
+    Mutant("writes its row once", "membership", StoreEras, "wait_restored", _never_ends, COPIES),
 )
--- a/bench/rate_mutants.py
+++ b/bench/rate_mutants.py
@@ -50,7 +50,7 @@
 
 def _itself(peers: t.Any, asked: t.Any) -> None:
     """Each node decides for itself."""
-    peers.context.loop.call_soon(relay_owners._take, peers, asked, None)
+    peers.context.loop.call_soon(relay_owners._handle, peers, asked, None)
 
 
 def _keeps_all(self: OwnerTable, nodes: t.Any, now: float) -> None:
--- a/bench/relay_mutants.py
+++ b/bench/relay_mutants.py
@@ -13,7 +13,7 @@
 import orjson
 from behave.__main__ import main as behave
 
-from rookspring import relay_beats
+from rookspring import relay_heartbeats
 from rookspring import relay_members
 from rookspring.relay_endpoint_list import EndpointList
 from rookspring_core import attaching
@@ -274,7 +274,14 @@
         "has all ask the store", "platform calls", Topology, "_chosen_watcher", _watch_all, SIZE
     ),
     Mutant("takes older entries", "drain", EndpointList, "_apply_row", _keep_any, SIZE),
-    Mutant("sums relays as followers", "placement", relay_beats, "group_of", _everyone_known, SIZE),
+    Mutant(
+        "sums relays as followers",
+        "placement",
+        relay_heartbeats,
+        "leaf_followers",
+        _everyone_known,
+        SIZE,
+    ),
     Mutant("lets no claim grow", "reachable", PlanInput, "aged_demand", PlanInput.requested_rate),
     Mutant("takes no load for none", "attainment", EndpointView, "_others", _others_of_report),
     Mutant("resends what may have run", "at most once", routed, "may_retry", _resend_always),
--- a/bench/request_rates.py
+++ b/bench/request_rates.py
@@ -67,7 +67,7 @@
         use(self, rows, since, now)
 
     def ask(peers: t.Any, asked: t.Any) -> None:
-        peers.context.loop.call_soon(fleet_node.relay_slots.take_question, peers, asked, None)
+        peers.context.loop.call_soon(fleet_node.relay_slots.handle_request, peers, asked, None)
 
     def keep(self: OwnerTable, nodes: t.Any, now: float) -> None:
         self._updated_at = now
--- a/features/house.feature
+++ b/features/house.feature
@@ -17,16 +17,16 @@
   Scenario: nothing that is decoded from the wire is dropped unread
     Then each field of what is decoded has a reader, but those of this table
 
-      | field               | why                                                             |
-      | AskSlots.passed     | read of whichever message goes to an owner (relay_owners)       |
-      | AskUnits.passed     | the same                                                        |
-      | SlotTold.origin     | read of whichever answer comes home (relay_owners)              |
-      | UnitsGiven.origin   | the same                                                        |
-      | SlotFreed.passed    | the same                                                        |
-      | UnitsBack.passed    | the same                                                        |
-      | ForwardStart.number | read of whichever part of a forwarded answer comes (forwarding) |
-      | ForwardPart.number  | the same                                                        |
-      | ForwardEnd.number   | the same                                                        |
+      | field                | why                                                             |
+      | AskSlots.passed      | read of whichever message goes to an owner (relay_owners)       |
+      | AskUnits.passed      | the same                                                        |
+      | SlotReply.origin     | read of whichever reply an owner sends (relay_owners)           |
+      | UnitsReply.origin    | the same                                                        |
+      | SlotFreed.passed     | the same                                                        |
+      | UnitsReturned.passed | the same                                                        |
+      | ForwardStart.number  | read of whichever part of a forwarded answer comes (forwarding) |
+      | ForwardPart.number   | the same                                                        |
+      | ForwardEnd.number    | the same                                                        |
 
   Scenario: nothing of the product is there unused
     Then vulture names nothing in the packages, but the stand-ins
--- a/features/steps/crash_socket_steps.py
+++ b/features/steps/crash_socket_steps.py
@@ -1,12 +1,12 @@
-import aiohttp
 import asyncio
 import json
+
+import aiohttp
 from behave import given
 from behave import then
 from behave import when
-from rookspring_fakes.users import SMALL
-
 
+from rookspring_fakes.users import SMALL
 
 AUTH = {"Authorization": "Bearer demo"}
 MODEL = "pitwall-llm-00"
--- a/features/steps/gossip_steps.py
+++ b/features/steps/gossip_steps.py
@@ -1,11 +1,11 @@
 from behave import given
 from behave import then
 from behave import when
-from rookspring.gossip import ReportLog
-from rookspring.gossip import read_row
-from rookspring_core.endpoints import EndpointView
 from samples import report
 
+from rookspring.gossip import ReportLog
+from rookspring.gossip import read_report_row
+from rookspring_core.endpoints import EndpointView
 
 
 class ReceivingNode:
@@ -27,7 +27,7 @@
 def share(context):
     context.now += 1.0
     row = context.log.row_for(context.shared._replace(at=context.now), context.now)
-    found = read_row(context.receiver, row, context.now)
+    found = read_report_row(context.receiver, row, context.now)
     if found is not None:
         context.receiver.endpoints["e"].take_report(found)
 
--- a/features/steps/notice_socket_steps.py
+++ b/features/steps/notice_socket_steps.py
@@ -1,7 +1,9 @@
 import asyncio
+
 from behave import then
 from behave import when
 from relay_fixture import request
+
 from rookspring import clock
 from rookspring import relay_orders
 from rookspring_core.effects import ReadReport
@@ -9,8 +11,6 @@
 from rookspring_fakes import ModelServer
 
 
-
-
 @when("the endpoint's answers say {line}")
 def answers_say(context, line):
     context.relay.servers[0].says.append(line)
--- a/features/steps/rate_limit_socket_steps.py
+++ b/features/steps/rate_limit_socket_steps.py
@@ -1,11 +1,11 @@
 import asyncio
 import time
+
 from behave import then
 from behave import when
 from relay_fixture import read_answer
 from relay_fixture import request
 
-
 # The longest time, in seconds, that a refusal at once may take.
 IMMEDIATE_REFUSAL_S = 0.35
 
--- a/features/steps/relay_socket_steps.py
+++ b/features/steps/relay_socket_steps.py
@@ -12,7 +12,7 @@
 
 from rookspring import clock
 from rookspring.exceptions import SettingsError
-from rookspring.messages import TableGiven
+from rookspring.messages import TableMessage
 from rookspring.platform import StoredObject
 from rookspring_fakes.model_server import EVENTS
 
@@ -247,7 +247,7 @@
         await relay.until(lambda: relay.node.context.state.revision >= int(written.split(", ")[0]))
         await asyncio.sleep(0.1)
         if sent != "none":
-            item = TableGiven(int(sent), configuration(int(sent)))
+            item = TableMessage(int(sent), configuration(int(sent)))
             peers.take_table(StoredObject("main", item.version, item.value), "node n2")
 
     context.loop.run(work())
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -7,7 +7,7 @@
 from parse_type import TypeBuilder
 from relay_harness import RelayHarness
 
-from rookspring.relay_news import send_want
+from rookspring.relay_updates import send_want
 from rookspring_core import routed
 from rookspring_core.effects import RequestLoad
 from rookspring_core.events import BoxListed
--- a/features/steps/store_copy_socket_steps.py
+++ b/features/steps/store_copy_socket_steps.py
@@ -1,17 +1,17 @@
 """A node on loopback sockets, with a store that is restored from an older copy."""
 
 import asyncio
+
 from aiohttp import web
 from behave import given
 from behave import then
 from behave import when
 from relay_fixture import configuration
 from returns.result import Failure
+
 from rookspring.exceptions import PlatformUnreachable
 from rookspring_platform import store as store_module
 
-
-
 SERVICE = "svc"
 WAIT_S = 1.5
 
@@ -167,7 +167,7 @@
         context.listed = calls.get("list", 0)
         stage.store.names_era = False
         stage.store.store.come_back(stage.store.store.copy())
-        stage.node.context.eras.hear(1, "another")
+        stage.node.context.eras.note_era(1, "another")
 
     context.loop.run(work())
 
@@ -184,7 +184,7 @@
     stage = context.relay
 
     async def work():
-        stage.node.context.eras.hear(known, "another")
+        stage.node.context.eras.note_era(known, "another")
         stage.store.store.era = named
         context.answer = await stage.node.context.platform.list_kind("any")
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -18,7 +18,7 @@
 
 from rookspring import clock
 from rookspring import defaults
-from rookspring import relay_beats
+from rookspring import relay_heartbeats
 from rookspring import relay_members
 from rookspring import relay_peers
 from rookspring import relay_slots
@@ -201,7 +201,7 @@
     def list_nodes(self, node: "FleetNode") -> None:
         """Have a node read the store's list of nodes, in which those that ended stand yet."""
         listed = (self.nodes[row.name] for row in self.store.rows(NODES))
-        node.peers.learn(
+        node.peers.add_nodes(
             (one.name, f"at-{one.name}", one.place, one.state.capacity) for one in listed
         )
         if not node.written:
@@ -251,7 +251,7 @@
         """Have a node leave as planned."""
         node = self.nodes[name]
         node.state.draining_since = self.now
-        relay_beats.send_beats(node.peers)
+        relay_heartbeats.send_heartbeats(node.peers)
 
     def link(self, name: str, other: str) -> None:
         """Link two nodes, if each can reach the other."""
@@ -263,7 +263,7 @@
             link = t.cast(Link, FleetLink(self, one, end.name))
             one.peers.server.links[end.name] = link
         for one, end in ((first, second), (second, first)):
-            one.peers.introduce(one.peers.server.links[end.name])
+            one.peers.send_first_messages(one.peers.server.links[end.name])
 
     def _open(self, name: str, other: str) -> bool:
         there = self.nodes[other]
@@ -277,7 +277,7 @@
             if link is None:
                 continue
             link.closed = True
-            node.peers.told.pop(link, None)
+            node.peers.sent_members.pop(link, None)
             node.peers.differs_since.pop(link, None)
             node.peers.followers.discard(end)
             if node.alive:
@@ -329,7 +329,7 @@
         node.read_store()
         node.read_lease()
         node.lease.follow()
-        relay_slots.settle(node.peers)
+        relay_slots.process_queues(node.peers)
         if node.name == HOLDER and node.ticks % RENEW_TICKS == RENEW_TICKS - 1:
             self.used = allotment_checks.used_shares(node.state, self.now)
             self.verdicts = relay_suspects.write_verdicts(node.state, self.now)
@@ -343,7 +343,7 @@
         self.at(self.now + defaults.RELAY_HEARTBEAT_S, lambda: self._beat(node))
         if node.frozen:
             return
-        relay_beats.send_beats(node.peers)
+        relay_heartbeats.send_heartbeats(node.peers)
         relay_members.send_members(node.peers)
         topology = node.state.topology
         for name in topology.addresses_to_dial():
@@ -356,7 +356,7 @@
                 self.link(node.name, name)
         if topology.needs_seeds():
             self._dial_seeds(node)
-        node.peers.drop_idle()
+        node.peers.close_idle_links()
 
     def _dial_seeds(self, node: FleetNode) -> None:
         for name in (f"n{number}" for number in range(SEEDS)):
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
@@ -59,7 +59,7 @@
         heard = fleet.store.era
 
         def take() -> None:
-            self._node.eras.hear(heard, "store")
+            self._node.eras.note_era(heard, "store")
             if self._node.state.store_era == era:
                 self._looked = True
                 self._node.submit(event._replace(at=fleet.now))
@@ -83,7 +83,7 @@
         heard = fleet.store.era
 
         def take() -> None:
-            self._node.eras.hear(heard, "store")
+            self._node.eras.note_era(heard, "store")
             won = version is not None
             event = LeaseWritten(fleet.now, asked_at, effect.nonce, won, version or 0)
             self._node.submit(event)
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -5,18 +5,18 @@
 
 from rookspring import defaults
 from rookspring import relay_allotments
-from rookspring import relay_beats
+from rookspring import relay_heartbeats
 from rookspring import relay_merged
-from rookspring import relay_news
 from rookspring import relay_notices
 from rookspring import relay_slots
 from rookspring import relay_suspects
+from rookspring import relay_updates
 from rookspring.messages import encode
 from rookspring.platform import StoredObject
 from rookspring.reach import Reach
 from rookspring.relay_endpoint_list import EndpointList
 from rookspring.relay_peers import RelayPeers
-from rookspring.relay_proofs import ProofKeeper
+from rookspring.relay_proofs import ProofRefresher
 from rookspring.relay_proofs import needs_proofs
 from rookspring.relay_settings import RelaySettings
 from rookspring.relay_store_loops import row_check_delay_s
@@ -196,13 +196,16 @@
         self.reach = Reach(context)
         self.eras = StoreEras(context, self.reach)
         self.list = EndpointList(context, self.peers, self.reach)
-        self.proofs = ProofKeeper(context, self.peers, self.reach)
+        self.proofs = ProofRefresher(context, self.peers, self.reach)
         self.lease = FleetLease(fleet, self)
         # What came while it was frozen.
         self.inbox: list[t.Callable[[], None]] = []
-        self.peers.greeters += (relay_beats.greet, relay_merged.send_merged_sets)
-        self.share_report = lambda report: relay_news.share_report(self.peers, report)
-        self.share_prompts = relay_news.PromptSums(self.peers).note
+        self.peers.link_callbacks += (
+            relay_heartbeats.send_first_heartbeat,
+            relay_merged.send_merged_sets,
+        )
+        self.share_report = lambda report: relay_updates.share_report(self.peers, report)
+        self.share_prompts = relay_updates.PromptUpdates(self.peers).note
         self.send_endpoint_list = self.list.send_all_rows
         # Whether its row stands in the store's list of nodes.
         self.written = False
@@ -221,7 +224,7 @@
         for effect in reduce(self.state, event):
             match effect:
                 case Announce(topic):
-                    relay_beats.announce(self.peers, topic)
+                    relay_heartbeats.announce(self.peers, topic)
                 case AskAllotment():
                     relay_allotments.ask_units(self.peers, effect)
                 case ReturnAllotment():
@@ -263,7 +266,7 @@
 
     def hear_store(self) -> None:
         """Take that the store answered; what was watched in an earlier era is listed anew."""
-        self.eras.hear(self.fleet.store.era, "store")
+        self.eras.note_era(self.fleet.store.era, "store")
         if self._listed_era != self.state.store_era:
             self._listed_era = self.state.store_era
             self._version = -1
@@ -295,10 +298,10 @@
 
         def come() -> None:
             if stored is not None:
-                self.eras.hear(heard, "store")
+                self.eras.note_era(heard, "store")
             # What was asked in one era and answered in another tells nothing.
             same = self.state.store_era == asked_in
-            self.proofs.take_read(asked_at, stored if same else None)
+            self.proofs.finish_read(asked_at, stored if same else None)
 
         asked_in = self.state.store_era
         fleet.at(fleet.now + takes_s, lambda: fleet.hand(self, come))
--- a/packages/rookspring/src/rookspring/effect_handlers.py
+++ b/packages/rookspring/src/rookspring/effect_handlers.py
@@ -35,13 +35,13 @@
 from . import defaults
 from . import platform_loops
 from .evidence import encode_evidence
-from .evidence import tell_verdict
+from .evidence import report_verdict
 from .exceptions import PlatformConflict
 from .exchanges import ChatExchange
 from .exchanges import error_body
-from .leavings import encode_leaving
+from .leaving_rows import encode_leaving
 from .logs import log
-from .messages import Down
+from .messages import EndpointDown
 from .node_context import NodeContext
 
 EffectHandler = t.Callable[[NodeContext, t.Any], None]
@@ -116,7 +116,7 @@
 def share_down(node: NodeContext, effect: ShareDown) -> None:
     """Send the linked nodes that nothing listens at an endpoint's address."""
     for link in list(node.peers.links.values()):
-        link.send(Down(effect.endpoint))
+        link.send(EndpointDown(effect.endpoint))
 
 
 @handles_effect(ShareEvidence)
@@ -146,7 +146,7 @@
 @handles_effect(VerdictFound)
 def record_verdict(node: NodeContext, effect: VerdictFound) -> None:
     """Log and count a verdict."""
-    tell_verdict(node.metrics, effect)
+    report_verdict(node.metrics, effect)
 
 
 @handles_effect(Replay)
--- a/packages/rookspring/src/rookspring/evidence.py
+++ b/packages/rookspring/src/rookspring/evidence.py
@@ -4,9 +4,7 @@
 """
 
 import typing as t
-from .logs import log
-from .messages import EvidenceTold
-from .metrics import Metrics
+
 from rookspring_core.effects import VerdictFound
 from rookspring_core.suspects import Cleared
 from rookspring_core.suspects import CrashRecord
@@ -15,12 +13,14 @@
 from rookspring_core.suspects import Trial
 from rookspring_core.suspects import Verdict
 
+from .logs import log
+from .messages import EvidenceMessage
+from .metrics import Metrics
 
 
-
-def encode_evidence(evidence: Evidence, now: float) -> EvidenceTold:
+def encode_evidence(evidence: Evidence, now: float) -> EvidenceMessage:
     """Encode evidence; times of this node's clock become ages and remaining times."""
-    return EvidenceTold(
+    return EvidenceMessage(
         [
             [
                 one.fingerprint,
@@ -38,10 +38,10 @@
     )
 
 
-def decode_evidence(message: EvidenceTold, now: float) -> Evidence:
+def decode_evidence(message: EvidenceMessage, now: float) -> Evidence:
     """Decode evidence; ages and remaining times become times of this node's clock."""
     return Evidence(
-        tuple(_decode_crash_record(row, now) for row in message.sightings),
+        tuple(_decode_crash_record(row, now) for row in message.crash_records),
         tuple(Cleared(str(row[0]), now - float(row[1])) for row in message.cleared),
         tuple(Verdict(str(row[0]), str(row[1]), now + float(row[2])) for row in message.verdicts),
         tuple(Trial(str(row[0]), now + float(row[1])) for row in message.trials),
@@ -56,7 +56,7 @@
     )
 
 
-def tell_verdict(metrics: Metrics, effect: VerdictFound) -> None:
+def report_verdict(metrics: Metrics, effect: VerdictFound) -> None:
     """Log and count a verdict."""
     metrics.verdicts.inc({})
     log(
--- a/packages/rookspring/src/rookspring/gossip.py
+++ b/packages/rookspring/src/rookspring/gossip.py
@@ -2,48 +2,48 @@
 
 import asyncio
 import typing as t
+
+from rookspring_core import Entry
+from rookspring_core import cluster
+from rookspring_core.events import BoxListed
+from rookspring_core.events import CacheEventsReceived
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import PeerLost
+from rookspring_core.events import RevisionSeen
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from . import forwarding
 from .evidence import decode_evidence
 from .evidence import encode_evidence
-from .leavings import decode_leaving
-from .leavings import encode_leaving
+from .leaving_rows import decode_leaving
+from .leaving_rows import encode_leaving
 from .messages import Boxes
-from .messages import Down
-from .messages import EvidenceTold
+from .messages import EndpointDown
+from .messages import EvidenceMessage
 from .messages import Forward
 from .messages import ForwardEnd
 from .messages import ForwardPart
 from .messages import ForwardStart
 from .messages import Heartbeat
 from .messages import Hints
-from .messages import LeavingTold
+from .messages import LeavingMessage
 from .messages import Reports
 from .messages import RevisionDelta
-from .messages import WantRevision
+from .messages import RevisionRequest
 from .node_context import NodeContext
 from .peers import Link
 from .published import decode_entry
 from .published import encode_entry
 from .reports import ReportLog as ReportLog
 from .reports import decode_report as decode_report
-from .reports import digest_of as digest_of
+from .reports import digest_without_load as digest_without_load
 from .reports import encode_report as encode_report
-from rookspring_core import Entry
-from rookspring_core import cluster
-from rookspring_core.events import BoxListed
-from rookspring_core.events import CacheEventsReceived
-from rookspring_core.events import DownReceived
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import EvidenceReceived
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import LeavingReceived
-from rookspring_core.events import PeerLost
-from rookspring_core.events import RevisionSeen
-from rookspring_core.state import NodeState
-
-
 
 Receiver = t.Callable[[NodeContext, Link, t.Any], None]
 RECEIVERS: dict[type[t.Any], Receiver] = {}
@@ -62,9 +62,9 @@
 
 async def serve_link(node: NodeContext, link: Link) -> None:
     """Send a linked node this one's state, then handle its messages until the link closes."""
-    link.send(make_beat(node))
-    greet_merged(node, link)
-    node.report_log.forget()
+    link.send(make_heartbeat(node))
+    send_merged(node, link)
+    node.report_log.reset()
     if node.boxes:
         link.send(Boxes([list(row) for row in node.boxes]))
     try:
@@ -79,7 +79,7 @@
             node.submit(PeerLost(clock.now(), link.name))
 
 
-def make_beat(node: NodeContext) -> Heartbeat:
+def make_heartbeat(node: NodeContext) -> Heartbeat:
     """Return this node's heartbeat."""
     state = node.state
     identity = state.identity
@@ -99,13 +99,13 @@
     )
 
 
-def shorten_beat(beat: Heartbeat) -> Heartbeat:
+def shorten_heartbeat(beat: Heartbeat) -> Heartbeat:
     """Remove the rows that only relays need in a large deployment."""
     return beat._replace(demand=[], team_demand=[], inflight=None)
 
 
 @receives(Heartbeat)
-def hear_beat(node: NodeContext, link: Link, beat: Heartbeat) -> None:
+def handle_heartbeat(node: NodeContext, link: Link, beat: Heartbeat) -> None:
     """Process a heartbeat, and request the changes if the sender has a newer revision."""
     node.submit(
         HeartbeatReceived(
@@ -124,14 +124,14 @@
         )
     )
     if beat.merged != _digest(node.state):
-        greet_merged(node, link)
+        send_merged(node, link)
     revision = node.state.catalogue.revision
     now = clock.now()
     if beat.revision > max(revision, node.revision_request[0]) or (
         beat.revision > revision and now - node.revision_request[1] > defaults.CONNECT_S
     ):
         node.revision_request = (beat.revision, now)
-        link.send(WantRevision(revision))
+        link.send(RevisionRequest(revision))
 
 
 def _read_inflight(beat: Heartbeat) -> tuple[tuple[str, int], ...] | None:
@@ -145,7 +145,7 @@
     return state.suspects.digest() ^ state.notices.digest(state.now)
 
 
-def greet_merged(node: NodeContext, link: Link) -> None:
+def send_merged(node: NodeContext, link: Link) -> None:
     """Send a node all evidence and all leaving endpoints."""
     now = clock.now()
     evidence = node.state.suspects.snapshot(now)
@@ -156,40 +156,40 @@
         link.send(encode_leaving(leaving, now))
 
 
-@receives(LeavingTold)
-def take_leaving(node: NodeContext, link: Link, message: LeavingTold) -> None:
+@receives(LeavingMessage)
+def handle_leaving(node: NodeContext, link: Link, message: LeavingMessage) -> None:
     """Process leaving endpoints that another node sent."""
     now = clock.now()
     node.submit(LeavingReceived(now, decode_leaving(message, now), link.name))
 
 
-@receives(EvidenceTold)
-def take_evidence(node: NodeContext, link: Link, message: EvidenceTold) -> None:
+@receives(EvidenceMessage)
+def handle_evidence(node: NodeContext, link: Link, message: EvidenceMessage) -> None:
     """Process crash evidence that another node sent."""
     now = clock.now()
     node.submit(EvidenceReceived(now, decode_evidence(message, now), link.name))
 
 
-@receives(Down)
-def take_down(node: NodeContext, link: Link, down: Down) -> None:
+@receives(EndpointDown)
+def handle_down(node: NodeContext, link: Link, down: EndpointDown) -> None:
     """Process that nothing listens at an endpoint, as another node found."""
     node.submit(DownReceived(clock.now(), down.endpoint))
 
 
-@receives(WantRevision)
-def give_revision(node: NodeContext, link: Link, wanted: WantRevision) -> None:
+@receives(RevisionRequest)
+def handle_revision_request(node: NodeContext, link: Link, wanted: RevisionRequest) -> None:
     """Send the changes since the other node's revision."""
     link.send(node.history.delta(wanted.since))
 
 
 @receives(RevisionDelta)
-def take_revision(node: NodeContext, link: Link, delta: RevisionDelta) -> None:
+def handle_revision(node: NodeContext, link: Link, delta: RevisionDelta) -> None:
     """Apply a newer revision; a delta from another base revision is requested again."""
     state = node.state
     if delta.revision <= state.catalogue.revision:
         return
     if delta.since not in (0, state.catalogue.revision):
-        link.send(WantRevision(state.catalogue.revision))
+        link.send(RevisionRequest(state.catalogue.revision))
         return
     entries: dict[str, Entry] = {} if delta.since == 0 else dict(state.control.entries)
     for key, raw in delta.changed.items():
@@ -239,16 +239,16 @@
 
 
 @receives(Reports)
-def take_reports(node: NodeContext, link: Link, reports: Reports) -> None:
+def handle_reports(node: NodeContext, link: Link, reports: Reports) -> None:
     """Process the reports of endpoints that another node polls."""
     now = clock.now()
     for row in reports.rows:
-        report = read_row(node, row, now)
+        report = read_report_row(node, row, now)
         if report is not None:
             node.submit(report)
 
 
-def read_row(node: NodeContext, row: list[t.Any], now: float) -> EndpointReported | None:
+def read_report_row(node: NodeContext, row: list[t.Any], now: float) -> EndpointReported | None:
     """Decode a full row, or apply a short one to the endpoint's last report.
 
     A short row contains the digest of the report that it applies to. If the last report is
@@ -258,13 +258,13 @@
         return decode_report(row, now)
     endpoint, digest, age_s, running, queued = row
     view = node.state.endpoints.get(endpoint)
-    if view is None or view.report is None or digest_of(view.report) != digest:
+    if view is None or view.report is None or digest_without_load(view.report) != digest:
         return None
     return view.report._replace(at=now, age_s=age_s, running=running, queued=queued)
 
 
 @receives(Hints)
-def take_hints(node: NodeContext, link: Link, hints: Hints) -> None:
+def handle_hints(node: NodeContext, link: Link, hints: Hints) -> None:
     """Process cache events that another node read."""
     now = clock.now()
     for endpoint, prefixes in hints.rows:
@@ -272,13 +272,13 @@
 
 
 @receives(Boxes)
-def take_boxes(node: NodeContext, link: Link, boxes: Boxes) -> None:
+def handle_boxes(node: NodeContext, link: Link, boxes: Boxes) -> None:
     """Apply the box list that a relay read."""
     node.update_boxes(tuple(BoxListed(*row) for row in boxes.rows), share=False)
 
 
 @receives(Forward)
-def take_forward(node: NodeContext, link: Link, forward: Forward) -> None:
+def handle_forward(node: NodeContext, link: Link, forward: Forward) -> None:
     """Serve a keyed request that another node forwarded for its caller."""
     node.spawn(forwarding.serve_forward(node, link, forward))
 
@@ -286,12 +286,12 @@
 @receives(ForwardStart)
 @receives(ForwardPart)
 @receives(ForwardEnd)
-def take_answer(node: NodeContext, link: Link, item: t.Any) -> None:
+def handle_answer(node: NodeContext, link: Link, item: t.Any) -> None:
     """Process a part of the answer to a request that this node forwarded."""
     forwarding.deliver_part(node, item)
 
 
-async def beat_loop(node: NodeContext) -> None:
+async def heartbeat_loop(node: NodeContext) -> None:
     """At each interval, send heartbeats and dial nodes without a link."""
     while True:
         node.send_heartbeat()
--- a/packages/rookspring/src/rookspring/leavings.py
+++ b/packages/rookspring/src/rookspring/leaving_rows.py
@@ -4,17 +4,17 @@
 """
 
 import typing as t
-from .messages import LeavingTold
-from rookspring_core.notices import Leaving
 
+from rookspring_core.notices import Leaving
 
+from .messages import LeavingMessage
 
 
-def encode_leaving(rows: t.Iterable[Leaving], now: float) -> LeavingTold:
+def encode_leaving(rows: t.Iterable[Leaving], now: float) -> LeavingMessage:
     """Encode leaving endpoints; times of this node's clock become ages."""
-    return LeavingTold([[one.endpoint, one.born, now - one.at] for one in rows])
+    return LeavingMessage([[one.endpoint, one.born, now - one.at] for one in rows])
 
 
-def decode_leaving(message: LeavingTold, now: float) -> tuple[Leaving, ...]:
+def decode_leaving(message: LeavingMessage, now: float) -> tuple[Leaving, ...]:
     """Decode leaving endpoints; ages become times of this node's clock."""
     return tuple(Leaving(str(row[0]), int(row[1]), now - float(row[2])) for row in message.rows)
--- a/packages/rookspring/src/rookspring/messages.py
+++ b/packages/rookspring/src/rookspring/messages.py
@@ -1,10 +1,10 @@
 """Messages between nodes: ``NamedTuple`` classes in a registry, by their tags on the wire."""
 
-import msgpack
 import typing as t
-from .exceptions import PeerError
 
+import msgpack
 
+from .exceptions import PeerError
 
 M = t.TypeVar("M", bound=type[t.Any])
 MESSAGES: dict[str, type[t.Any]] = {}
@@ -64,16 +64,16 @@
     team_demand: list[t.Any]
     lease_epoch: int
     inflight: list[t.Any] | None
-    up_s: float = 0.0
+    uptime_s: float = 0.0
     lease_ended: int = 0
     used: list[t.Any] | None = None
-    urgent: list[t.Any] | None = None
-    missed: list[t.Any] | None = None
-    strength: float = 0.0
+    urgent_demand: list[t.Any] | None = None
+    refused_demand: list[t.Any] | None = None
+    capacity: float = 0.0
     relay: bool = False
     watches: bool = False
     follows: bool = False
-    summed: bool = False
+    aggregated: bool = False
     store_age_s: float = 0.0
     prompts: list[t.Any] | None = None
     spent: list[t.Any] | None = None
@@ -91,7 +91,7 @@
 
     rows: list[t.Any]
     gone: list[str]
-    whole: bool
+    complete: bool
 
 
 @message("listed")
@@ -103,7 +103,7 @@
     """
 
     rows: list[t.Any]
-    whole: bool
+    complete: bool
 
 
 @message("reports")
@@ -128,7 +128,7 @@
 
 
 @message("want")
-class WantRevision(t.NamedTuple):
+class RevisionRequest(t.NamedTuple):
     """Request the changes since a revision."""
 
     since: int
@@ -153,7 +153,7 @@
 
 
 @message("coming")
-class Coming(t.NamedTuple):
+class ModelLoading(t.NamedTuple):
     """A model is being loaded at an endpoint.
 
     :param ready_in_s: time until it is expected to be resident, in seconds.
@@ -161,18 +161,18 @@
 
     endpoint: str
     model: str
-    in_s: float
+    ready_in_s: float
 
 
 @message("down")
-class Down(t.NamedTuple):
+class EndpointDown(t.NamedTuple):
     """Nothing listens at an endpoint, as a node has just found."""
 
     endpoint: str
 
 
 @message("shed")
-class ShedTold(t.NamedTuple):
+class ShedMessage(t.NamedTuple):
     """An endpoint shed a request.
 
     :param for_s: for how long other endpoints are to be preferred, in seconds.
@@ -183,14 +183,14 @@
 
 
 @message("leaving")
-class LeavingTold(t.NamedTuple):
+class LeavingMessage(t.NamedTuple):
     """Leaving endpoints, as rows of name, start time and age of the notice in seconds."""
 
     rows: list[t.Any]
 
 
 @message("rates")
-class RatesTold(t.NamedTuple):
+class RatesMessage(t.NamedTuple):
     """Endpoints' rate limits, as rows of name, start time, version and requests per second.
 
     The rate is None if the limit has ended; see ``RateRecord``.
@@ -200,7 +200,7 @@
 
 
 @message("evidence")
-class EvidenceTold(t.NamedTuple):
+class EvidenceMessage(t.NamedTuple):
     """Evidence of requests that crash endpoints; see ``Evidence``. All times are in seconds.
 
     :param crash_records: rows of fingerprint, organisation, endpoint, start time of its process,
@@ -210,19 +210,19 @@
     :param trials: rows of fingerprint and remaining time.
     """
 
-    sightings: list[t.Any]
+    crash_records: list[t.Any]
     cleared: list[t.Any]
     verdicts: list[t.Any]
     trials: list[t.Any]
 
 
 @message("want-table")
-class WantTable(t.NamedTuple):
+class TableRequest(t.NamedTuple):
     """Request the route table."""
 
 
 @message("table")
-class TableGiven(t.NamedTuple):
+class TableMessage(t.NamedTuple):
     """The configuration in the platform's form, for the receiver's dialect to parse."""
 
     version: int
@@ -250,7 +250,7 @@
     service: str
     model: str
     adapter: str
-    back_s: float
+    latest_retry_s: float
 
 
 @message("ask-proof")
@@ -275,7 +275,7 @@
     stamp: float
     age_s: float
     version: int
-    tight: list[str] | None
+    near_limit: list[str] | None
 
 
 @message("ask-units")
@@ -295,7 +295,7 @@
 
 
 @message("units-given")
-class UnitsGiven(t.NamedTuple):
+class UnitsReply(t.NamedTuple):
     """The owner's reply to :class:`AskUnits`.
 
     :param after_s: 0 if the request may run; else the time to retry, in seconds.
@@ -309,7 +309,7 @@
 
 
 @message("units-back")
-class UnitsBack(t.NamedTuple):
+class UnitsReturned(t.NamedTuple):
     """Return granted units to an organisation's owner, since the request did not run."""
 
     organisation: str
@@ -337,7 +337,7 @@
 
 
 @message("slot")
-class SlotTold(t.NamedTuple):
+class SlotReply(t.NamedTuple):
     """The owner's reply to :class:`AskSlots`; see ``SlotAnswered``."""
 
     origin: str
@@ -345,9 +345,9 @@
     queue: str
     endpoint: str
     after_s: float
-    rated: bool
-    stay_s: float
-    blind: bool
+    counts_towards_rate: bool
+    avoid_s: float
+    no_known_endpoint: bool
 
 
 @message("slot-free")
--- a/packages/rookspring/src/rookspring/node.py
+++ b/packages/rookspring/src/rookspring/node.py
@@ -198,8 +198,8 @@
 
     def send_heartbeat(self) -> None:
         """Send a heartbeat to all linked nodes."""
-        full = gossip.make_beat(self)
-        short = gossip.shorten_beat(full)
+        full = gossip.make_heartbeat(self)
+        short = gossip.shorten_heartbeat(full)
         membership = self.state.membership
         relays = membership.relays(self.state.identity.data_centre)
         for name, link in list(self.peers.links.items()):
@@ -297,7 +297,7 @@
             self._tick_loop(),
             self._poll_loop(),
             self._cache_event_loop(),
-            gossip.beat_loop(self),
+            gossip.heartbeat_loop(self),
             platform_loops.follow_boxes(self),
             platform_loops.follow_lease(self),
             platform_loops.follow_head(self),
--- a/packages/rookspring/src/rookspring/relay_allotments.py
+++ b/packages/rookspring/src/rookspring/relay_allotments.py
@@ -1,20 +1,20 @@
 """Messages between nodes for allotments: requests to organisations' owners, and their replies."""
 
+from rookspring_core import allotment_checks
+from rookspring_core.effects import AskAllotment
+from rookspring_core.effects import ReturnAllotment
+from rookspring_core.events import AllotmentAnswered
+
 from . import clock
 from . import relay_owners
 from .logs import log
 from .messages import AskUnits
-from .messages import UnitsBack
-from .messages import UnitsGiven
+from .messages import UnitsReply
+from .messages import UnitsReturned
 from .peers import Link
-from .relay_owners import comes_home
-from .relay_owners import owner_takes
+from .relay_owners import handles_as_owner
+from .relay_owners import handles_reply
 from .relay_peers import RelayPeers
-from rookspring_core import allotment_checks
-from rookspring_core.effects import AskAllotment
-from rookspring_core.effects import ReturnAllotment
-from rookspring_core.events import AllotmentAnswered
-
 
 
 def ask_units(peers: RelayPeers, effect: AskAllotment) -> None:
@@ -26,11 +26,11 @@
 
 def return_units(peers: RelayPeers, effect: ReturnAllotment) -> None:
     """Return granted units to the owner, since the request did not run."""
-    relay_owners.tell_owner(peers, UnitsBack(effect.organisation, effect.units, False))
+    relay_owners.notify_owner(peers, UnitsReturned(effect.organisation, effect.units, False))
 
 
-@owner_takes(AskUnits, lambda asked: asked.organisation)
-def take_question(peers: RelayPeers, asked: AskUnits, link: Link | None) -> None:
+@handles_as_owner(AskUnits, lambda asked: asked.organisation)
+def handle_request(peers: RelayPeers, asked: AskUnits, link: Link | None) -> None:
     """Decide, as the owner, whether a request may run, and send the reply."""
     state = peers.context.state
     grant = allotment_checks.decide(state, asked.organisation, asked.units, clock.now())
@@ -45,12 +45,12 @@
             most=grant.limit,
             after_s=grant.after_s,
         )
-    reply = UnitsGiven(asked.origin, asked.key, asked.organisation, asked.units, grant.after_s)
-    relay_owners.answer(peers, reply, link)
+    reply = UnitsReply(asked.origin, asked.key, asked.organisation, asked.units, grant.after_s)
+    relay_owners.send_reply(peers, reply, link)
 
 
-@comes_home(UnitsGiven)
-def take_given(peers: RelayPeers, reply: UnitsGiven) -> None:
+@handles_reply(UnitsReply)
+def handle_reply(peers: RelayPeers, reply: UnitsReply) -> None:
     """Process the owner's decision on a request of this node."""
     now = clock.now()
     peers.context.submit(
@@ -58,7 +58,7 @@
     )
 
 
-@owner_takes(UnitsBack, lambda item: item.organisation)
-def take_back(peers: RelayPeers, item: UnitsBack, link: Link | None) -> None:
+@handles_as_owner(UnitsReturned, lambda item: item.organisation)
+def handle_returned(peers: RelayPeers, item: UnitsReturned, link: Link | None) -> None:
     """Cancel the grant of units that were returned."""
     peers.context.state.allotments.cancel_grant(item.organisation, float(item.units), clock.now())
--- a/packages/rookspring/src/rookspring/relay_attempts.py
+++ b/packages/rookspring/src/rookspring/relay_attempts.py
@@ -32,8 +32,8 @@
 from .relay import end_exchange
 from .relay_context import RelayContext
 from .relay_context import relay_performs
-from .relay_notices import Asked
-from .relay_notices import hear_at
+from .relay_notices import EndpointCall
+from .relay_notices import make_notice_handler
 
 
 @relay_performs(Dispatch)
@@ -149,8 +149,10 @@
 
     try:
         arrived = context.state.requests[exchange.key].arrived
-        call = Asked(exchange.ask.request_id, arrived.target, arrived.adapter, request=True)
-        hear = hear_at(context, view.name, call)
+        call = EndpointCall(
+            exchange.ask.request_id, arrived.target, arrived.adapter, is_request=True
+        )
+        hear = make_notice_handler(context, view.name, call)
         reply = connection.ask(data, accept, hear, exchange.request.method == b"HEAD")
         head = await reply.wait_head()
         await _relay_answer(context, effect, exchange, reply, head, verdicts[-1])
--- a/packages/rookspring/src/rookspring/relay_endpoint_list.py
+++ b/packages/rookspring/src/rookspring/relay_endpoint_list.py
@@ -317,4 +317,4 @@
 def take_endpoint_rows(peers: RelayPeers, link: Link, listed: Listed) -> None:
     """Apply endpoint rows that another node sent."""
     rows = tuple(StoredObject(str(row[0]), int(row[1]), row[2], *row[3:]) for row in listed.rows)
-    peers.context.take_endpoint_rows(rows, bool(listed.whole), link.name)
+    peers.context.take_endpoint_rows(rows, bool(listed.complete), link.name)
--- a/packages/rookspring/src/rookspring/relay_beats.py
+++ b/packages/rookspring/src/rookspring/relay_heartbeats.py
@@ -7,6 +7,13 @@
 
 import asyncio
 import typing as t
+
+from rookspring_core import attaching
+from rookspring_core import cluster
+from rookspring_core.demand import add_rates
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from . import relay_merged
@@ -17,36 +24,29 @@
 from .relay_members import send_members
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core import attaching
-from rookspring_core import cluster
-from rookspring_core.demand import add_rates
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.state import NodeState
-
-
 
 
-def greet(peers: RelayPeers, link: Link) -> None:
+def send_first_heartbeat(peers: RelayPeers, link: Link) -> None:
     """Send a newly linked node a heartbeat without figures."""
-    link.send(make_beat(peers.context))
+    link.send(make_heartbeat(peers.context))
 
 
-def send_beats(peers: RelayPeers) -> None:
+def send_heartbeats(peers: RelayPeers) -> None:
     """Send each linked node a heartbeat with the figures that it needs."""
     context = peers.context
     topology = context.state.topology
-    bare = make_beat(context)
+    bare = make_heartbeat(context)
     own = fill_own(context.state, bare) if topology.mesh or not topology.relay else bare
     group = fill_group(peers, bare) if topology.relay else bare
     unread_endpoints = _unread_endpoints(context.state) if topology.relay else []
-    spent = tell_spent(peers)
+    spent = take_spent_rows(peers)
     # A heartbeat that several nodes get is encoded once.
     encoded: dict[str, bytes] = {}
     for name, link in list(peers.server.links.items()):
         kind = _kind_for(peers, name)
         follows = name == topology.followed
         if kind == "rest":
-            link.send(fill_rest(peers, bare, name, unread_endpoints)._replace(follows=follows))
+            link.send(fill_others(peers, bare, name, unread_endpoints)._replace(follows=follows))
             continue
         key = f"{kind}{follows}"
         if key not in encoded:
@@ -57,7 +57,7 @@
         link.send_encoded(encoded[key])
 
 
-def tell_spent(peers: RelayPeers) -> list[t.Any] | None:
+def take_spent_rows(peers: RelayPeers) -> list[t.Any] | None:
     """Return the units admitted since the last heartbeat, as rows of organisation and units.
 
     The units are taken only if a linked node is to aggregate them, and kept for the next
@@ -82,7 +82,7 @@
     flood the links when many nodes start at once.
     """
     if topic != "hello":
-        send_beats(peers)
+        send_heartbeats(peers)
 
 
 def _kind_for(peers: RelayPeers, name: str) -> str:
@@ -98,7 +98,7 @@
     return "rest" if name in peers.followers else "bare"
 
 
-def make_beat(context: RelayContext) -> Heartbeat:
+def make_heartbeat(context: RelayContext) -> Heartbeat:
     """Make this node's heartbeat without figures."""
     state = context.state
     identity = state.identity
@@ -116,13 +116,13 @@
         team_demand=[],
         lease_epoch=state.control.acting_epoch if state.control.holding(now) else 0,
         inflight=None,
-        up_s=now - state.started_at,
+        uptime_s=now - state.started_at,
         lease_ended=state.control.lease.ended,
-        strength=state.capacity,
+        capacity=state.capacity,
         relay=state.topology.relay,
         relay_s=round(state.topology.collecting_s(now), 1),
         watches=state.topology.watching and now - state.topology.read_at < defaults.READ_LATELY_S,
-        summed=True,
+        aggregated=True,
         # Ages of more than an hour need not be told apart.
         store_age_s=round(min(3600.0, state.topology.age_s(now)), 3),
         merged=relay_merged.combined_digest(state),
@@ -136,10 +136,10 @@
         demand=_write_rates(state.control.meter.rates),
         inflight=[list(row) for row in cluster.inflight_rows(state)],
         used=[list(row) for row in attaching.used_rows(state)],
-        urgent=_write_rates(state.control.urgent_demand.meter.rates),
-        missed=_write_rates(state.control.refused_demand.meter.rates),
+        urgent_demand=_write_rates(state.control.urgent_demand.meter.rates),
+        refused_demand=_write_rates(state.control.refused_demand.meter.rates),
         prompts=own_prompts(state, _unread_endpoints(state)),
-        summed=False,
+        aggregated=False,
     )
 
 
@@ -147,7 +147,7 @@
     """Add the sums of the figures of this relay and its leaf followers."""
     state = peers.context.state
     control = state.control
-    group = group_of(peers)
+    group = leaf_followers(peers)
     demand = add_rates(
         [control.meter.rates, *(control.peer_demand.get(name, {}) for name in group)]
     )
@@ -161,14 +161,14 @@
         demand=_write_rates(demand),
         inflight=_write_counts(inflight),
         used=[list(row) for row in used],
-        urgent=_write_rates(control.urgent_demand.sum_of(group)),
-        missed=_write_rates(control.refused_demand.sum_of(group)),
+        urgent_demand=_write_rates(control.urgent_demand.sum_of(group)),
+        refused_demand=_write_rates(control.refused_demand.sum_of(group)),
         prompts=group_prompts(peers, _unread_endpoints(state)),
-        summed=False,
+        aggregated=False,
     )
 
 
-def fill_rest(
+def fill_others(
     peers: RelayPeers, beat: Heartbeat, name: str, unread_endpoints: t.Iterable[str]
 ) -> Heartbeat:
     """Add what all nodes except for one follower have in flight.
@@ -180,11 +180,11 @@
     rest = state.peers_work.without(name)
     for endpoint, count in cluster.inflight_rows(state):
         rest[endpoint] = rest.get(endpoint, 0) + count
-    prompts = rest_prompts(state, unread_endpoints, name)
-    return beat._replace(inflight=_write_counts(rest), prompts=prompts, summed=False)
+    prompts = others_prompts(state, unread_endpoints, name)
+    return beat._replace(inflight=_write_counts(rest), prompts=prompts, aggregated=False)
 
 
-def group_of(peers: RelayPeers) -> set[str]:
+def leaf_followers(peers: RelayPeers) -> set[str]:
     """Return the followers whose figures this relay sums: those that are not relays."""
     known = peers.context.state.membership.peers
     return {name for name in peers.followers if name in known and not known[name].heard.relay}
@@ -199,14 +199,14 @@
 def group_prompts(peers: RelayPeers, endpoints: t.Iterable[str]) -> list[t.Any]:
     """Return rows of endpoint and unread prompt tokens, of this relay and its leaf followers."""
     state = peers.context.state
-    group = group_of(peers)
+    group = leaf_followers(peers)
     return [
         [name, own + state.peers_work.prompts_of(name, group)]
         for name, own in own_prompts(state, endpoints)
     ]
 
 
-def rest_prompts(state: NodeState, endpoints: t.Iterable[str], follower: str) -> list[t.Any]:
+def others_prompts(state: NodeState, endpoints: t.Iterable[str], follower: str) -> list[t.Any]:
     """Return rows of endpoint and unread prompt tokens, of all nodes except for one follower."""
     return [
         [name, state.endpoints[name].unread() - state.peers_work.prompts_of(name, (follower,))]
@@ -237,9 +237,9 @@
 
 
 @receives(Heartbeat)
-def hear_beat(peers: RelayPeers, link: Link, beat: Heartbeat) -> None:
+def handle_heartbeat(peers: RelayPeers, link: Link, beat: Heartbeat) -> None:
     """Process a heartbeat, and request the route table if the sender has a newer one."""
-    peers.context.eras.hear(int(beat.store_era), beat.name)
+    peers.context.eras.note_era(int(beat.store_era), beat.name)
     follows = bool(beat.follows)
     new_follower = follows and beat.name not in peers.followers
     if follows:
@@ -261,16 +261,16 @@
             lease_epoch=beat.lease_epoch,
             inflight=_read_counts(beat.inflight),
             prompts=_read_counts(beat.prompts),
-            uptime_s=float(beat.up_s),
+            uptime_s=float(beat.uptime_s),
             lease_ended=int(beat.lease_ended),
             used=tuple((str(one[0]), str(one[1])) for one in beat.used or ()),
-            urgent_demand=_read_rates(beat.urgent),
-            refused_demand=_read_rates(beat.missed),
-            capacity=float(beat.strength),
+            urgent_demand=_read_rates(beat.urgent_demand),
+            refused_demand=_read_rates(beat.refused_demand),
+            capacity=float(beat.capacity),
             relay=bool(beat.relay),
             watches=bool(beat.watches),
             follows=follows,
-            aggregated=bool(beat.summed),
+            aggregated=bool(beat.aggregated),
             store_age_s=float(beat.store_age_s),
             spent=None if beat.spent is None else _read_rates(beat.spent),
             relay_s=float(beat.relay_s),
@@ -281,15 +281,15 @@
     relay_merged.resend_if_different(peers, link, int(beat.merged))
     if beat.leaving or beat.lease_ended == peers.context.state.control.lease.epoch > 0:
         peers.context.lease_check_due.set()
-    peers.learn([(beat.name, beat.address, beat.data_centre, float(beat.strength))])
-    peers.want_table(link, beat.revision)
+    peers.add_nodes([(beat.name, beat.address, beat.data_centre, float(beat.capacity))])
+    peers.request_table(link, beat.revision)
 
 
-async def beat_loop(peers: RelayPeers) -> None:
+async def heartbeat_loop(peers: RelayPeers) -> None:
     """At each interval, send heartbeats and changes of the membership, and open and close links."""
     while True:
-        send_beats(peers)
+        send_heartbeats(peers)
         send_members(peers)
         peers.dialler.dial_missing()
-        peers.drop_idle()
+        peers.close_idle_links()
         await asyncio.sleep(defaults.RELAY_HEARTBEAT_S)
--- a/packages/rookspring/src/rookspring/relay_members.py
+++ b/packages/rookspring/src/rookspring/relay_members.py
@@ -16,7 +16,7 @@
 from .messages import Members
 from .peers import Link
 from .relay_peers import RelayPeers
-from .relay_peers import Told
+from .relay_peers import SentMembers
 from .relay_peers import receives
 
 
@@ -26,19 +26,19 @@
     end = state.membership.changes.end()
     for name, link in list(peers.server.links.items()):
         if not state.topology.relay:
-            if peers.told.pop(link, None) is not None:
+            if peers.sent_members.pop(link, None) is not None:
                 # No longer a relay, so it reports no nodes: an empty, complete list.
                 link.send(Members([], [], True))
             continue
         known = state.membership.peers.get(name)
         if known is None:
             continue
-        told = peers.told.get(link)
+        told = peers.sent_members.get(link)
         relay = known.heard.relay
         names = None
         if told is not None and told.relay == relay:
             names = state.membership.changes.since(told.position)
-        peers.told[link] = Told(end, relay)
+        peers.sent_members[link] = SentMembers(end, relay)
         if names is None or names:
             link.send(_make_message(peers, link, relay, names))
 
@@ -117,8 +117,8 @@
     now = clock.now()
     rows = tuple(_decode_row(row, now) for row in members.rows)
     removed = tuple(str(name) for name in members.gone)
-    peers.context.submit(MembersReceived(now, link.name, rows, removed, bool(members.whole)))
+    peers.context.submit(MembersReceived(now, link.name, rows, removed, bool(members.complete)))
     ended = peers.context.state.control.lease.epoch
     if any(row.leaving or row.lease_ended == ended > 0 for row in rows):
         peers.context.lease_check_due.set()
-    peers.learn((row.name, row.address, row.data_centre, row.capacity) for row in rows)
+    peers.add_nodes((row.name, row.address, row.data_centre, row.capacity) for row in rows)
--- a/packages/rookspring/src/rookspring/relay_node.py
+++ b/packages/rookspring/src/rookspring/relay_node.py
@@ -36,14 +36,14 @@
 from . import relay
 from . import relay_allotments
 from . import relay_attempts as relay_attempts
-from . import relay_beats
+from . import relay_heartbeats
 from . import relay_merged
-from . import relay_news
 from . import relay_notices
 from . import relay_orders as relay_orders
 from . import relay_slots
 from . import relay_store_loops
 from . import relay_suspects
+from . import relay_updates
 from .dialect import Dialect
 from .exceptions import PlatformConflict
 from .exceptions import SettingsError
@@ -61,7 +61,7 @@
 from .relay_context import relay_performs
 from .relay_endpoint_list import EndpointList
 from .relay_peers import RelayPeers
-from .relay_proofs import ProofKeeper
+from .relay_proofs import ProofRefresher
 from .relay_settings import RelaySettings
 from .store_eras import StoreEras
 
@@ -136,9 +136,9 @@
         self.peers = RelayPeers(self.context)
         self.reach = Reach(self.context)
         self.context.eras = StoreEras(self.context, self.reach)
-        self.context.eras.follow(platform)
+        self.context.eras.attach_client(platform)
         self.endpoints = EndpointList(self.context, self.peers, self.reach)
-        self.proofs = ProofKeeper(self.context, self.peers, self.reach)
+        self.proofs = ProofRefresher(self.context, self.peers, self.reach)
         self._connect_components()
         self.stopping = asyncio.Event()
         self.listeners: dict[str, HttpListener] = {}
@@ -148,17 +148,20 @@
         """Set the callbacks by which components call each other without imports."""
         context = self.context
         peers = self.peers
-        peers.greeters += (relay_beats.greet, relay_merged.send_merged_sets)
-        context.announce = functools.partial(relay_beats.announce, peers)
-        context.share_report = functools.partial(relay_news.share_report, peers)
-        context.share_loading = functools.partial(relay_news.share_coming, peers)
-        context.share_down = functools.partial(relay_news.share_down, peers)
+        peers.link_callbacks += (
+            relay_heartbeats.send_first_heartbeat,
+            relay_merged.send_merged_sets,
+        )
+        context.announce = functools.partial(relay_heartbeats.announce, peers)
+        context.share_report = functools.partial(relay_updates.share_report, peers)
+        context.share_loading = functools.partial(relay_updates.share_loading, peers)
+        context.share_down = functools.partial(relay_updates.share_down, peers)
         context.share_evidence = functools.partial(relay_suspects.share_evidence, peers)
         context.share_leaving = functools.partial(relay_notices.share_leaving, peers)
         context.share_rates = functools.partial(relay_notices.share_rates, peers)
         context.share_shed = functools.partial(relay_notices.share_shed, peers)
-        context.share_prompts = relay_news.PromptSums(peers).note
-        context.send_load_request = functools.partial(relay_news.send_want, peers)
+        context.share_prompts = relay_updates.PromptUpdates(peers).note
+        context.send_load_request = functools.partial(relay_updates.send_want, peers)
         context.ask_allotment = functools.partial(relay_allotments.ask_units, peers)
         context.return_units = functools.partial(relay_allotments.return_units, peers)
         context.ask_slot = functools.partial(relay_slots.ask_slot, peers)
@@ -211,10 +214,10 @@
         for make in (
             self._tick_loop,
             self._sweep_loop,
-            lambda: relay_beats.beat_loop(self.peers),
+            lambda: relay_heartbeats.heartbeat_loop(self.peers),
             endpoints.expiry_loop,
             self.proofs.run,
-            lambda: relay_slots.settle_loop(self.peers),
+            lambda: relay_slots.process_queues_loop(self.peers),
             lambda: loops.watch_kind(context, reach, kind, endpoints.apply_store_rows, True),
             lambda: loops.watch_table(context, self.peers, reach),
             lambda: loops.poll_lease(context, reach),
@@ -390,7 +393,9 @@
     async def write() -> None:
         name = relay_store_loops.lease_name(effect.era)
         kind = relay_store_loops.LEASE_KIND
-        answer = await context.eras.within(context.platform.put(kind, name, value, effect.version))
+        answer = await context.eras.call_in_era(
+            context.platform.put(kind, name, value, effect.version)
+        )
         won: bool | None = None
         version = 0
         match answer:
--- a/packages/rookspring/src/rookspring/relay_notices.py
+++ b/packages/rookspring/src/rookspring/relay_notices.py
@@ -5,21 +5,7 @@
 """
 
 import typing as t
-from . import clock
-from .http_client import Hear
-from .http_messages import HttpHead
-from .leavings import decode_leaving
-from .leavings import encode_leaving
-from .logs import log
-from .messages import LeavingTold
-from .messages import RatesTold
-from .messages import ShedTold
-from .peers import Link
-from .relay_context import RelayContext
-from .relay_context import relay_performs
-from .relay_merged import merged_set
-from .relay_peers import RelayPeers
-from .relay_peers import receives
+
 from rookspring_core import notice_handlers
 from rookspring_core.effects import ShareLeaving
 from rookspring_core.effects import ShareRates
@@ -31,10 +17,24 @@
 from rookspring_core.notices import Leaving
 from rookspring_core.request_rates import RateRecord
 
+from . import clock
+from .http_client import Hear
+from .http_messages import HttpHead
+from .leaving_rows import decode_leaving
+from .leaving_rows import encode_leaving
+from .logs import log
+from .messages import LeavingMessage
+from .messages import RatesMessage
+from .messages import ShedMessage
+from .peers import Link
+from .relay_context import RelayContext
+from .relay_context import relay_performs
+from .relay_merged import merged_set
+from .relay_peers import RelayPeers
+from .relay_peers import receives
 
 
-
-class Asked(t.NamedTuple):
+class EndpointCall(t.NamedTuple):
     """A call to an endpoint.
 
     :param call_id: the request's id, or another description of the call.
@@ -43,13 +43,13 @@
     :param is_request: it is a caller's request; each response to it carries the request's id.
     """
 
-    what: str
+    call_id: str
     target: str = ""
     adapter: str = ""
-    request: bool = False
+    is_request: bool = False
 
 
-def hear_at(context: RelayContext, endpoint: str, call: Asked) -> Hear:
+def make_notice_handler(context: RelayContext, endpoint: str, call: EndpointCall) -> Hear:
     """Return a handler for the heads of an endpoint's responses to one call.
 
     A notice is attributed to the process that is known now, when the call begins: a response that
@@ -66,11 +66,11 @@
             return
         # Only a response to this very request dates the notice: one to another request may be
         # old, and the responses to orders and reads of reports do not apply to requests.
-        own_response = call.request and context.dialect.judge(head, call.what).mine
+        own_response = call.is_request and context.dialect.judge(head, call.call_id).mine
         log(
             "endpoint_said",
             endpoint=endpoint,
-            asked=call.what,
+            asked=call.call_id,
             status=head.status,
             life=notice.process_name,
             leaving=notice.leaving,
@@ -95,11 +95,11 @@
 
 def share_leaving(peers: RelayPeers, rows: tuple[Leaving, ...], source: str) -> None:
     """Send leaving endpoints to all nodes except for the source."""
-    peers.spread(encode_leaving(rows, clock.now()), source)
+    peers.broadcast(encode_leaving(rows, clock.now()), source)
 
 
 @merged_set("leaving", lambda state: state.notices.digest(state.now))
-def tell_all(peers: RelayPeers, link: Link) -> None:
+def send_all_leaving(peers: RelayPeers, link: Link) -> None:
     """Send a node all leaving endpoints."""
     now = clock.now()
     rows = peers.context.state.notices.list_leaving(now)
@@ -107,8 +107,8 @@
         link.send(encode_leaving(rows, now))
 
 
-@receives(LeavingTold)
-def take_leaving(peers: RelayPeers, link: Link, message: LeavingTold) -> None:
+@receives(LeavingMessage)
+def handle_leaving(peers: RelayPeers, link: Link, message: LeavingMessage) -> None:
     """Process leaving endpoints that another node sent."""
     now = clock.now()
     peers.context.submit(LeavingReceived(now, decode_leaving(message, now), link.name))
@@ -116,19 +116,19 @@
 
 def share_rates(peers: RelayPeers, rows: tuple[RateRecord, ...], source: str) -> None:
     """Send endpoints' rate limits to all nodes except for the source."""
-    peers.spread(RatesTold([list(row) for row in rows]), source)
+    peers.broadcast(RatesMessage([list(row) for row in rows]), source)
 
 
 @merged_set("rates", lambda state: state.rates.digest())
-def tell_all_rates(peers: RelayPeers, link: Link) -> None:
+def send_all_rates(peers: RelayPeers, link: Link) -> None:
     """Send a node the rate limits of all endpoints."""
     rows = peers.context.state.rates.records()
     if rows:
-        link.send(RatesTold([list(row) for row in rows]))
+        link.send(RatesMessage([list(row) for row in rows]))
 
 
-@receives(RatesTold)
-def take_rates(peers: RelayPeers, link: Link, message: RatesTold) -> None:
+@receives(RatesMessage)
+def handle_rates(peers: RelayPeers, link: Link, message: RatesMessage) -> None:
     """Process rate limits that another node sent."""
     rows = tuple(
         RateRecord(str(row[0]), int(row[1]), int(row[2]), None if row[3] is None else float(row[3]))
@@ -144,7 +144,7 @@
 
 
 @relay_performs(ShareLeaving)
-def perform_share(context: RelayContext, effect: ShareLeaving) -> None:
+def perform_share_leaving(context: RelayContext, effect: ShareLeaving) -> None:
     """Send the other nodes leaving endpoints."""
     context.share_leaving(effect.rows, effect.source)
 
@@ -157,11 +157,11 @@
 
 def share_shed(peers: RelayPeers, endpoint: str, for_s: float) -> None:
     """Send all nodes that an endpoint sheds load."""
-    peers.spread(ShedTold(endpoint, for_s))
+    peers.broadcast(ShedMessage(endpoint, for_s))
 
 
-@receives(ShedTold)
-def take_shed(peers: RelayPeers, link: Link, message: ShedTold) -> None:
+@receives(ShedMessage)
+def handle_shed(peers: RelayPeers, link: Link, message: ShedMessage) -> None:
     """Process and forward that an endpoint sheds load, as another node found."""
     peers.context.submit(ShedReceived(clock.now(), message.endpoint, float(message.for_s)))
-    peers.spread(message, link.name)
+    peers.broadcast(message, link.name)
--- a/packages/rookspring/src/rookspring/relay_orders.py
+++ b/packages/rookspring/src/rookspring/relay_orders.py
@@ -32,8 +32,8 @@
 from .logs import log
 from .relay_context import RelayContext
 from .relay_context import relay_performs
-from .relay_notices import Asked
-from .relay_notices import hear_at
+from .relay_notices import EndpointCall
+from .relay_notices import make_notice_handler
 
 
 @relay_performs(SendOrder)
@@ -65,7 +65,7 @@
             context.pool,
             effect.address,
             data,
-            hear_at(context, effect.endpoint, Asked("order")),
+            make_notice_handler(context, effect.endpoint, EndpointCall("order")),
             defaults.RELAY_ORDER_CALL_S,
         )
         reply = context.dialect.read_order_reply(head)
@@ -103,7 +103,7 @@
         return
     data = context.dialect.report_request(view.address)
     try:
-        hear = hear_at(context, effect.endpoint, Asked("report"))
+        hear = make_notice_handler(context, effect.endpoint, EndpointCall("report"))
         _, raw = await http_client.call(
             context.pool, view.address, data, hear, defaults.REPORT_CALL_S
         )
--- a/packages/rookspring/src/rookspring/relay_owners.py
+++ b/packages/rookspring/src/rookspring/relay_owners.py
@@ -6,43 +6,43 @@
 """
 
 import typing as t
+
+from rookspring_core.owners import choose_owner
+
 from . import clock
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core.owners import choose_owner
-
-
 
 Subject = t.Callable[[t.Any], str]
 # Handles a message at the owner. The link is the one that it arrived on; None if it was sent here.
-Take = t.Callable[[RelayPeers, t.Any, Link | None], None]
-Home = t.Callable[[RelayPeers, t.Any], None]
-TAKES: dict[type[t.Any], tuple[Subject, Take]] = {}
-HOMES: dict[type[t.Any], Home] = {}
-T = t.TypeVar("T", bound=Take)
-H = t.TypeVar("H", bound=Home)
+OwnerHandler = t.Callable[[RelayPeers, t.Any, Link | None], None]
+ReplyHandler = t.Callable[[RelayPeers, t.Any], None]
+OWNER_HANDLERS: dict[type[t.Any], tuple[Subject, OwnerHandler]] = {}
+REPLY_HANDLERS: dict[type[t.Any], ReplyHandler] = {}
+T = t.TypeVar("T", bound=OwnerHandler)
+H = t.TypeVar("H", bound=ReplyHandler)
 
 
-def owner_takes(message_type: type[t.Any], subject: Subject) -> t.Callable[[T], T]:
+def handles_as_owner(message_type: type[t.Any], subject: Subject) -> t.Callable[[T], T]:
     """Register an owner's handler of a message type; its ``passed`` is set once it is forwarded.
 
     :param subject: returns the subject that a message is about.
     """
 
     def register(function: T) -> T:
-        TAKES[message_type] = (subject, function)
+        OWNER_HANDLERS[message_type] = (subject, function)
         receives(message_type)(_handle_or_forward)
         return function
 
     return register
 
 
-def comes_home(message_type: type[t.Any]) -> t.Callable[[H], H]:
+def handles_reply(message_type: type[t.Any]) -> t.Callable[[H], H]:
     """Register the handler of an owner's reply at its ``origin``, the requesting node."""
 
     def register(function: H) -> H:
-        HOMES[message_type] = function
+        REPLY_HANDLERS[message_type] = function
         receives(message_type)(_handle_or_forward_reply)
         return function
 
@@ -61,25 +61,25 @@
 
 def ask_owner(peers: RelayPeers, request: t.Any) -> None:
     """Send a request to its subject's owner; without a link towards it there is no reply."""
-    subject = TAKES[type(request)][0](request)
+    subject = OWNER_HANDLERS[type(request)][0](request)
     link = _link_to_owner(peers, subject)
     if link is not None:
         link.send(request)
     elif owns(peers, subject):
         # Handled later, so that the reply comes after the current effect, as from another node.
-        peers.context.loop.call_soon(_take, peers, request, None)
+        peers.context.loop.call_soon(_handle, peers, request, None)
 
 
-def tell_owner(peers: RelayPeers, notification: t.Any) -> None:
+def notify_owner(peers: RelayPeers, notification: t.Any) -> None:
     """Send a notification to its subject's owner, or handle it here without a link towards it."""
-    link = _link_to_owner(peers, TAKES[type(notification)][0](notification))
+    link = _link_to_owner(peers, OWNER_HANDLERS[type(notification)][0](notification))
     if link is not None:
         link.send(notification)
     else:
-        peers.context.loop.call_soon(_take, peers, notification, None)
+        peers.context.loop.call_soon(_handle, peers, notification, None)
 
 
-def answer(peers: RelayPeers, reply: t.Any, link: Link | None = None) -> None:
+def send_reply(peers: RelayPeers, reply: t.Any, link: Link | None = None) -> None:
     """Send an owner's reply to its origin, if need be through the relay that the origin follows.
 
     :param link: the link that the request arrived on, if known.
@@ -87,7 +87,7 @@
     state = peers.context.state
     links = peers.server.links
     if reply.origin == state.identity.name:
-        HOMES[type(reply)](peers, reply)
+        REPLY_HANDLERS[type(reply)](peers, reply)
         return
     target = (
         links.get(reply.origin) or link or links.get(state.membership.reporter_of(reply.origin))
@@ -96,8 +96,8 @@
         target.send(reply)
 
 
-def _take(peers: RelayPeers, item: t.Any, link: Link | None) -> None:
-    TAKES[type(item)][1](peers, item, link)
+def _handle(peers: RelayPeers, item: t.Any, link: Link | None) -> None:
+    OWNER_HANDLERS[type(item)][1](peers, item, link)
 
 
 def _link_to_owner(peers: RelayPeers, subject: str) -> Link | None:
@@ -111,9 +111,9 @@
 
 def _handle_or_forward(peers: RelayPeers, link: Link, item: t.Any) -> None:
     """Forward a message towards its owner, at most once; handle it here if that is not possible."""
-    target = None if item.passed else _link_to_owner(peers, TAKES[type(item)][0](item))
+    target = None if item.passed else _link_to_owner(peers, OWNER_HANDLERS[type(item)][0](item))
     if target is None or target is link:
-        _take(peers, item, link)
+        _handle(peers, item, link)
     else:
         target.send(item._replace(passed=True))
 
@@ -121,4 +121,4 @@
 def _handle_or_forward_reply(peers: RelayPeers, link: Link, reply: t.Any) -> None:
     """Handle a reply if this node is its origin, else forward it if linked to the origin."""
     if reply.origin == peers.context.state.identity.name or reply.origin in peers.server.links:
-        answer(peers, reply)
+        send_reply(peers, reply)
--- a/packages/rookspring/src/rookspring/relay_peers.py
+++ b/packages/rookspring/src/rookspring/relay_peers.py
@@ -6,26 +6,26 @@
 """
 
 import typing as t
+
+from rookspring_core.events import BoxListed
+from rookspring_core.events import PeerLost
+from rookspring_core.events import PeerUnreached
+from rookspring_core.events import RouteTableSeen
+from rookspring_core.topology import listed_node
+
 from . import clock
 from . import defaults
 from .dialling import Dialler
 from .dialling import Wanted
 from .logs import log
 from .messages import Nodes
-from .messages import TableGiven
-from .messages import WantTable
+from .messages import TableMessage
+from .messages import TableRequest
 from .messages import encode
 from .peers import Link
 from .peers import PeerServer
 from .platform import StoredObject
 from .relay_context import RelayContext
-from rookspring_core.events import BoxListed
-from rookspring_core.events import PeerLost
-from rookspring_core.events import PeerUnreached
-from rookspring_core.events import RouteTableSeen
-from rookspring_core.topology import listed_node
-
-
 
 Receiver = t.Callable[["RelayPeers", Link, t.Any], None]
 RECEIVERS: dict[type[t.Any], Receiver] = {}
@@ -42,7 +42,7 @@
     return register
 
 
-class Told(t.NamedTuple):
+class SentMembers(t.NamedTuple):
     """Which changes of the membership a linked node was sent.
 
     :param position: up to which change.
@@ -71,11 +71,11 @@
             context.spawn,
             self._handle_unreached,
         )
-        self.known: dict[str, BoxListed] = {}
+        self.known_nodes: dict[str, BoxListed] = {}
         # Called in this order for each new link; set by the node that assembles the parts.
-        self.greeters: tuple[t.Callable[[RelayPeers, Link], None], ...] = ()
+        self.link_callbacks: tuple[t.Callable[[RelayPeers, Link], None], ...] = ()
         # Which changes of the membership each linked node was sent.
-        self.told: dict[Link, Told] = {}
+        self.sent_members: dict[Link, SentMembers] = {}
         # Since when a linked node's merged sets have differed; see :mod:`relay_merged`.
         self.differs_since: dict[Link, float] = {}
         # Names of the nodes that follow this one.
@@ -92,7 +92,7 @@
         await self.server.listen(host, int(port))
 
     async def _serve(self, link: Link) -> None:
-        self.introduce(link)
+        self.send_first_messages(link)
         try:
             while True:
                 item = await link.receive()
@@ -100,16 +100,16 @@
                 if receiver is not None:
                     receiver(self, link, item)
         finally:
-            self.told.pop(link, None)
+            self.sent_members.pop(link, None)
             self.differs_since.pop(link, None)
             if self.server.links.get(link.name) is link:
                 self.followers.discard(link.name)
                 self.context.submit(PeerLost(clock.now(), link.name))
 
-    def introduce(self, link: Link) -> None:
+    def send_first_messages(self, link: Link) -> None:
         """Send a newly linked node the relays, or in a mesh all nodes, and call the callbacks."""
         link.send(Nodes([[*row] for row in self._rows()]))
-        for callback in self.greeters:
+        for callback in self.link_callbacks:
             callback(self, link)
 
     def _rows(self) -> t.Iterator[tuple[str, str, str, float]]:
@@ -122,16 +122,16 @@
             if heard.relay or state.topology.mesh:
                 yield name, heard.address, heard.data_centre, heard.capacity
 
-    def learn(self, rows: t.Iterable[tuple[str, str, str, float]]) -> None:
+    def add_nodes(self, rows: t.Iterable[tuple[str, str, str, float]]) -> None:
         """Add or update known nodes."""
         added = False
         for row in rows:
             listed = listed_node(*row)
             if listed.name != self.context.state.identity.name:
-                added = added or self.known.get(listed.name) != listed
-                self.known[listed.name] = listed
+                added = added or self.known_nodes.get(listed.name) != listed
+                self.known_nodes[listed.name] = listed
         if added:
-            self.context.state.membership.take_list(self.known.values())
+            self.context.state.membership.take_list(self.known_nodes.values())
 
     def _wanted(self) -> Wanted:
         state = self.context.state
@@ -148,7 +148,7 @@
     def _handle_unreached(self, name: str) -> None:
         self.context.submit(PeerUnreached(clock.now(), name))
 
-    def drop_idle(self) -> None:
+    def close_idle_links(self) -> None:
         """Close links that neither end has needed for ``IDLE_LINK_S``."""
         now = clock.now()
         topology = self.context.state.topology
@@ -160,7 +160,7 @@
                 log("peer_dropped", peer=name, links=len(self.server.links))
                 link.close()
 
-    def spread(self, item: t.Any, sender: str = "") -> None:
+    def broadcast(self, item: t.Any, sender: str = "") -> None:
         """Send a message to all nodes, to each by one path.
 
         Outside a mesh a leaf sends it to the node that it follows, and relays forward it to
@@ -230,7 +230,7 @@
             self.context.submit(RouteTableSeen(clock.now(), table))
         return table.version
 
-    def want_table(self, link: Link, version: int) -> None:
+    def request_table(self, link: Link, version: int) -> None:
         """Request a newer route table, at most once per ``CONNECT_S``."""
         now = clock.now()
         if (
@@ -239,24 +239,24 @@
         ):
             return
         self._table_requested_at = now
-        link.send(WantTable())
+        link.send(TableRequest())
 
 
 @receives(Nodes)
-def take_nodes(peers: RelayPeers, link: Link, nodes: Nodes) -> None:
+def handle_nodes(peers: RelayPeers, link: Link, nodes: Nodes) -> None:
     """Add the nodes that another node knows."""
-    peers.learn((str(row[0]), str(row[1]), str(row[2]), float(row[3])) for row in nodes.rows)
+    peers.add_nodes((str(row[0]), str(row[1]), str(row[2]), float(row[3])) for row in nodes.rows)
 
 
-@receives(WantTable)
-def give_table(peers: RelayPeers, link: Link, wanted: WantTable) -> None:
+@receives(TableRequest)
+def handle_table_request(peers: RelayPeers, link: Link, wanted: TableRequest) -> None:
     """Send the applied configuration."""
     if peers.table_value is not None:
-        link.send(TableGiven(peers.context.state.revision, peers.table_value))
+        link.send(TableMessage(peers.context.state.revision, peers.table_value))
 
 
-@receives(TableGiven)
-def take_given(peers: RelayPeers, link: Link, given: TableGiven) -> None:
+@receives(TableMessage)
+def handle_table(peers: RelayPeers, link: Link, given: TableMessage) -> None:
     """Apply a configuration received from another node, if it is newer."""
     stored = StoredObject(peers.context.dialect.table_name(), given.version, given.value)
     peers.take_table(stored, f"node {link.name}")
--- a/packages/rookspring/src/rookspring/relay_proofs.py
+++ b/packages/rookspring/src/rookspring/relay_proofs.py
@@ -9,6 +9,16 @@
 import asyncio
 import contextlib
 import typing as t
+
+from returns.result import Failure
+from returns.result import Success
+
+from rookspring_core import defaults as core_defaults
+from rookspring_core import freshness
+from rookspring_core.events import NearLimitReceived
+from rookspring_core.events import TableProved
+from rookspring_core.hashing import stable_hash
+
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -22,22 +32,12 @@
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from returns.result import Failure
-from returns.result import Success
-from rookspring_core import defaults as core_defaults
-from rookspring_core import freshness
-from rookspring_core.events import NearLimitReceived
-from rookspring_core.events import TableProved
-from rookspring_core.hashing import stable_hash
-
-
-
 
 if t.TYPE_CHECKING:
     from rookspring_core.state import NodeState
 
 
-class ProofKeeper:
+class ProofRefresher:
     """Requests proofs periodically, from other nodes and from the store.
 
     :param reach: records whether the store answers.
@@ -97,7 +97,7 @@
         self._reading = True
         return True
 
-    def take_read(self, asked_at: float, stored: StoredObject | None) -> None:
+    def finish_read(self, asked_at: float, stored: StoredObject | None) -> None:
         """Process a read of the store, which proves what was newest when the read began.
 
         :param asked_at: when the read began.
@@ -117,7 +117,7 @@
         try:
             async with asyncio.timeout(defaults.PROOF_CALL_S):
                 call = self._context.platform.get(dialect.table_kind(), dialect.table_name())
-                answer = await self._context.eras.within(call)
+                answer = await self._context.eras.call_in_era(call)
             match answer:
                 case Success(found):
                     stored = found
@@ -128,7 +128,7 @@
             timeout = PlatformUnreachable("read configuration: no answer in time")
             self._reach.failed("read configuration", timeout)
         finally:
-            self.take_read(asked_at, stored)
+            self.finish_read(asked_at, stored)
         if stored is None:
             self._reading = True
             await self._back_off.pause()
@@ -151,7 +151,7 @@
 
 
 @receives(AskProof)
-def give_proof(peers: RelayPeers, link: Link, asked: AskProof) -> None:
+def handle_proof_request(peers: RelayPeers, link: Link, asked: AskProof) -> None:
     """Send a node the age of this node's proof; nothing if it has none or needs none."""
     state = peers.context.state
     now = clock.now()
@@ -164,7 +164,7 @@
 
 
 @receives(Proof)
-def take_proof(peers: RelayPeers, link: Link, proof: Proof) -> None:
+def handle_proof(peers: RelayPeers, link: Link, proof: Proof) -> None:
     """Process another node's proof; its stamp is this node's clock when it sent the request."""
     now = clock.now()
     stamp = float(proof.stamp)
@@ -173,7 +173,7 @@
         return
     version = int(proof.version)
     peers.context.submit(TableProved(now, stamp - float(proof.age_s), version))
-    peers.want_table(link, version)
-    if proof.tight is not None:
-        names = tuple(str(name) for name in proof.tight)
+    peers.request_table(link, version)
+    if proof.near_limit is not None:
+        names = tuple(str(name) for name in proof.near_limit)
         peers.context.submit(NearLimitReceived(now, stamp, names))
--- a/packages/rookspring/src/rookspring/relay_slots.py
+++ b/packages/rookspring/src/rookspring/relay_slots.py
@@ -2,25 +2,25 @@
 
 import asyncio
 import typing as t
+
+from rookspring_core import slot_requests
+from rookspring_core.effects import AskSlot
+from rookspring_core.effects import FreeSlot
+from rookspring_core.events import SlotAnswered
+from rookspring_core.slot_queues import SlotAnswer
+from rookspring_core.slot_queues import SlotRequest
+
 from . import clock
 from . import defaults
 from . import relay_owners
 from .logs import log
 from .messages import AskSlots
 from .messages import SlotFreed
-from .messages import SlotTold
+from .messages import SlotReply
 from .peers import Link
-from .relay_owners import comes_home
-from .relay_owners import owner_takes
+from .relay_owners import handles_as_owner
+from .relay_owners import handles_reply
 from .relay_peers import RelayPeers
-from rookspring_core import slot_requests
-from rookspring_core.effects import AskSlot
-from rookspring_core.effects import FreeSlot
-from rookspring_core.events import SlotAnswered
-from rookspring_core.slot_queues import SlotAnswer
-from rookspring_core.slot_queues import SlotRequest
-
-
 
 
 def ask_slot(peers: RelayPeers, effect: AskSlot) -> None:
@@ -30,17 +30,17 @@
 
 def free_slot(peers: RelayPeers, effect: FreeSlot) -> None:
     """Return a slot to the owner of its queue after a run."""
-    relay_owners.tell_owner(peers, SlotFreed(peers.context.state.identity.name, *effect, False))
+    relay_owners.notify_owner(peers, SlotFreed(peers.context.state.identity.name, *effect, False))
 
 
-async def settle_loop(peers: RelayPeers) -> None:
+async def process_queues_loop(peers: RelayPeers) -> None:
     """Grant free slots and refuse overdue requests every ``SLOT_SETTLE_S``."""
     while True:
         await asyncio.sleep(defaults.SLOT_SETTLE_S)
-        settle(peers)
+        process_queues(peers)
 
 
-def settle(peers: RelayPeers) -> None:
+def process_queues(peers: RelayPeers) -> None:
     """Process the queues with waiting requests, and drop the idle ones that are obsolete."""
     now = clock.now()
     state = peers.context.state
@@ -57,8 +57,8 @@
     return slot_requests.subject_of(item.queue)
 
 
-@owner_takes(AskSlots, _subject)
-def take_question(peers: RelayPeers, asked: AskSlots, link: Link | None) -> None:
+@handles_as_owner(AskSlots, _subject)
+def handle_request(peers: RelayPeers, asked: AskSlots, link: Link | None) -> None:
     """Grant a request a slot, enqueue it, or refuse it."""
     now = clock.now()
     queue = slot_requests.queue_of(peers.context.state, asked.queue, now, asked.rate)
@@ -75,8 +75,8 @@
     _send_replies(peers, asked.queue, queue.request_slot(request, now))
 
 
-@owner_takes(SlotFreed, _subject)
-def take_freed(peers: RelayPeers, freed: SlotFreed, link: Link | None) -> None:
+@handles_as_owner(SlotFreed, _subject)
+def handle_freed(peers: RelayPeers, freed: SlotFreed, link: Link | None) -> None:
     """Free a slot, which may be granted to waiting requests."""
     now = clock.now()
     queue = slot_requests.queue_of(peers.context.state, freed.queue, now)
@@ -89,7 +89,7 @@
     for one in answers:
         if one.after_s > 0.0 and queue.startswith(slot_requests.ENDPOINT_PREFIX):
             log("turn_denied", queue=queue, origin=one.origin, key=one.key, after_s=one.after_s)
-        reply = SlotTold(
+        reply = SlotReply(
             one.origin,
             one.key,
             queue,
@@ -99,11 +99,11 @@
             one.avoid_s,
             one.blind,
         )
-        relay_owners.answer(peers, reply)
+        relay_owners.send_reply(peers, reply)
 
 
-@comes_home(SlotTold)
-def take_told(peers: RelayPeers, reply: SlotTold) -> None:
+@handles_reply(SlotReply)
+def handle_reply(peers: RelayPeers, reply: SlotReply) -> None:
     """Process an owner's reply to a slot request of this node."""
     peers.context.submit(
         SlotAnswered(
@@ -112,8 +112,8 @@
             reply.queue,
             reply.endpoint,
             float(reply.after_s),
-            bool(reply.rated),
-            float(reply.stay_s),
-            bool(reply.blind),
+            bool(reply.counts_towards_rate),
+            float(reply.avoid_s),
+            bool(reply.no_known_endpoint),
         )
     )
--- a/packages/rookspring/src/rookspring/relay_store_loops.py
+++ b/packages/rookspring/src/rookspring/relay_store_loops.py
@@ -91,7 +91,7 @@
     while True:
         if since < 0:
             asked_at = clock.now()
-            listing = await context.eras.within(context.platform.list_kind(kind))
+            listing = await context.eras.call_in_era(context.platform.list_kind(kind))
             if isinstance(listing, Failure):
                 reach.failed(f"list {kind}", listing.failure())
                 await _pause(context, back_off)
@@ -105,7 +105,7 @@
             since = -1
             continue
         terms = watch_terms(context, endpoints)
-        changes = await context.eras.within(context.platform.watch(kind, since, terms.wait_s))
+        changes = await context.eras.call_in_era(context.platform.watch(kind, since, terms.wait_s))
         if isinstance(changes, Failure):
             since = -1
             reach.failed(f"watch {kind}", changes.failure())
@@ -165,7 +165,7 @@
             await _wait_lease_check(context, defaults.RELAY_LEASE_LOOK_S)
             continue
         era = context.state.store_era
-        answer = await context.eras.within(context.platform.get(LEASE_KIND, lease_name(era)))
+        answer = await context.eras.call_in_era(context.platform.get(LEASE_KIND, lease_name(era)))
         if context.state.store_era != era:
             continue
         now = clock.now()
@@ -213,7 +213,7 @@
 async def _restore_from_earlier_era(context: RelayContext, era: int, has_read: bool) -> None:
     """Restore from the newest lease object if that of the current era isn't written yet."""
     if era and (not has_read or _needs_restore(context)):
-        listing = await context.eras.within(context.platform.list_kind(LEASE_KIND))
+        listing = await context.eras.call_in_era(context.platform.list_kind(LEASE_KIND))
         rows = listing.value_or(Listing(0, ())).items
         if rows:
             _restore_from_lease(context, max(rows, key=lambda row: int(row.value["epoch"])).value)
@@ -261,7 +261,7 @@
             continue
         reach.answered()
         rows = {one.name: one.value for one in listing.unwrap().items if one.value}
-        peers.learn(
+        peers.add_nodes(
             (name, str(row["address"]), str(row["zone"]), float(row.get("strength", 0.0)))
             for name, row in rows.items()
         )
@@ -295,7 +295,7 @@
 async def rewrite_row(context: RelayContext) -> None:
     """Write this node's row again, or delete it if leaving, after each restore of the store."""
     while True:
-        await context.eras.wait_risen()
+        await context.eras.wait_restored()
         await asyncio.sleep(row_check_delay_s(context.state))
         if context.state.leaving:
             await delete_row(context)
@@ -317,7 +317,7 @@
 async def _restore_row(context: RelayContext) -> bool:
     """Write this node's row if it is missing or differs; return whether the store has it now."""
     name = context.state.identity.name
-    answer = await context.eras.within(context.platform.get(NODE_KIND, name))
+    answer = await context.eras.call_in_era(context.platform.get(NODE_KIND, name))
     match answer:
         case Success(StoredObject(_, _, value)):
             return await _write_row(context, {name: value})
--- a/packages/rookspring/src/rookspring/relay_suspects.py
+++ b/packages/rookspring/src/rookspring/relay_suspects.py
@@ -6,24 +6,24 @@
 """
 
 import typing as t
+
+from rookspring_core.effects import ShareEvidence
+from rookspring_core.effects import VerdictFound
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.suspects import Evidence
+from rookspring_core.suspects import Verdict
+
 from . import clock
 from .evidence import decode_evidence
 from .evidence import encode_evidence
-from .evidence import tell_verdict
-from .messages import EvidenceTold
+from .evidence import report_verdict
+from .messages import EvidenceMessage
 from .peers import Link
 from .relay_context import RelayContext
 from .relay_context import relay_performs
 from .relay_merged import merged_set
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core.effects import ShareEvidence
-from rookspring_core.effects import VerdictFound
-from rookspring_core.events import EvidenceReceived
-from rookspring_core.suspects import Evidence
-from rookspring_core.suspects import Verdict
-
-
 
 if t.TYPE_CHECKING:
     from rookspring_core.state import NodeState
@@ -31,11 +31,11 @@
 
 def share_evidence(peers: RelayPeers, evidence: Evidence, source: str) -> None:
     """Send evidence to all nodes except for the source."""
-    peers.spread(encode_evidence(evidence, clock.now()), source)
+    peers.broadcast(encode_evidence(evidence, clock.now()), source)
 
 
 @merged_set("evidence", lambda state: state.suspects.digest())
-def tell_all(peers: RelayPeers, link: Link) -> None:
+def send_all_evidence(peers: RelayPeers, link: Link) -> None:
     """Send a node all evidence."""
     now = clock.now()
     evidence = peers.context.state.suspects.snapshot(now)
@@ -43,15 +43,15 @@
         link.send(encode_evidence(evidence, now))
 
 
-@receives(EvidenceTold)
-def take_evidence(peers: RelayPeers, link: Link, message: EvidenceTold) -> None:
+@receives(EvidenceMessage)
+def handle_evidence(peers: RelayPeers, link: Link, message: EvidenceMessage) -> None:
     """Process evidence that another node sent."""
     now = clock.now()
     peers.context.submit(EvidenceReceived(now, decode_evidence(message, now), link.name))
 
 
 @relay_performs(ShareEvidence)
-def perform_share(context: RelayContext, effect: ShareEvidence) -> None:
+def perform_share_evidence(context: RelayContext, effect: ShareEvidence) -> None:
     """Send the other nodes new evidence."""
     context.share_evidence(effect.evidence, effect.source)
 
@@ -59,7 +59,7 @@
 @relay_performs(VerdictFound)
 def perform_verdict(context: RelayContext, effect: VerdictFound) -> None:
     """Log and count a verdict."""
-    tell_verdict(context.metrics, effect)
+    report_verdict(context.metrics, effect)
 
 
 def write_verdicts(state: "NodeState", now: float) -> list[t.Any]:
--- a/packages/rookspring/src/rookspring/relay_news.py
+++ b/packages/rookspring/src/rookspring/relay_updates.py
@@ -1,32 +1,32 @@
 """Updates that relay nodes send at once: endpoints' states, unread prompts, load requests."""
 
+from rookspring_core.effects import RequestLoad
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import LoadingReceived
+from rookspring_core.events import LoadRequested
+from rookspring_core.events import PromptsReceived
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
-from .messages import Coming
-from .messages import Down
+from .messages import EndpointDown
+from .messages import ModelLoading
 from .messages import Prompts
 from .messages import Reports
 from .messages import WantModel
 from .messages import encode
 from .peers import Link
-from .relay_beats import group_prompts
-from .relay_beats import own_prompts
-from .relay_beats import rest_prompts
+from .relay_heartbeats import group_prompts
+from .relay_heartbeats import others_prompts
+from .relay_heartbeats import own_prompts
 from .relay_peers import RelayPeers
 from .relay_peers import receives
 from .reports import decode_report
 from .reports import encode_report
-from rookspring_core.effects import RequestLoad
-from rookspring_core.events import DownReceived
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import LoadRequested
-from rookspring_core.events import LoadingReceived
-from rookspring_core.events import PromptsReceived
-from rookspring_core.state import NodeState
-
 
 
-class PromptSums:
+class PromptUpdates:
     """Sends changes of the unread prompt tokens, batched over ``PROMPTS_FOLD_S``.
 
     A node sends its own tokens. A relay sends other relays the sum over itself and its
@@ -41,13 +41,13 @@
         self._all_changed: set[str] = set()
         self._scheduled = False
 
-    def note(self, endpoint: str, far: bool = False) -> None:
+    def note(self, endpoint: str, from_relay: bool = False) -> None:
         """Record that an endpoint's unread prompt tokens have changed.
 
         :param from_relay: whether another relay sent the change.
         """
         self._all_changed.add(endpoint)
-        if not far:
+        if not from_relay:
             self._group_changed.add(endpoint)
         if not self._scheduled:
             self._scheduled = True
@@ -75,22 +75,22 @@
                 if group:
                     link.send_encoded(group)
             elif name in peers.followers:
-                link.send(Prompts(rest_prompts(peers.context.state, all_changed, name)))
+                link.send(Prompts(others_prompts(peers.context.state, all_changed, name)))
 
 
 def share_report(peers: RelayPeers, report: EndpointReported) -> None:
     """Send all nodes an endpoint's report."""
-    peers.spread(Reports([encode_report(report._replace(polled=False), clock.now())]))
+    peers.broadcast(Reports([encode_report(report._replace(polled=False), clock.now())]))
 
 
-def share_coming(peers: RelayPeers, endpoint: str, model: str, in_s: float) -> None:
+def share_loading(peers: RelayPeers, endpoint: str, model: str, in_s: float) -> None:
     """Send all nodes that a model is being loaded, and in how many seconds it is expected."""
-    peers.spread(Coming(endpoint, model, in_s))
+    peers.broadcast(ModelLoading(endpoint, model, in_s))
 
 
 def share_down(peers: RelayPeers, endpoint: str) -> None:
     """Send all nodes that nothing listens at an endpoint."""
-    peers.spread(Down(endpoint))
+    peers.broadcast(EndpointDown(endpoint))
 
 
 def send_want(peers: RelayPeers, want: RequestLoad) -> None:
@@ -108,15 +108,15 @@
 
 
 @receives(Reports)
-def take_reports(peers: RelayPeers, link: Link, reports: Reports) -> None:
+def handle_reports(peers: RelayPeers, link: Link, reports: Reports) -> None:
     """Process and forward endpoint reports of the lease holder or of a watcher."""
     for row in reports.rows:
         peers.context.submit(decode_report(row, clock.now()))
-    peers.spread(reports, link.name)
+    peers.broadcast(reports, link.name)
 
 
 @receives(Prompts)
-def take_prompts(peers: RelayPeers, link: Link, prompts: Prompts) -> None:
+def handle_prompts(peers: RelayPeers, link: Link, prompts: Prompts) -> None:
     """Process other nodes' unread prompt tokens, and at a relay schedule them to be sent on."""
     rows = tuple((str(row[0]), int(row[1])) for row in prompts.rows)
     state = peers.context.state
@@ -128,32 +128,34 @@
             peers.context.share_prompts(endpoint, from_relay)
 
 
-@receives(Coming)
-def take_coming(peers: RelayPeers, link: Link, coming: Coming) -> None:
+@receives(ModelLoading)
+def handle_loading(peers: RelayPeers, link: Link, coming: ModelLoading) -> None:
     """Process and forward that the lease holder has ordered the load of a model."""
-    event = LoadingReceived(clock.now(), coming.endpoint, coming.model, float(coming.in_s))
+    event = LoadingReceived(clock.now(), coming.endpoint, coming.model, float(coming.ready_in_s))
     peers.context.submit(event)
-    peers.spread(coming, link.name)
+    peers.broadcast(coming, link.name)
 
 
-@receives(Down)
-def take_down(peers: RelayPeers, link: Link, down: Down) -> None:
+@receives(EndpointDown)
+def handle_down(peers: RelayPeers, link: Link, down: EndpointDown) -> None:
     """Process and forward that nothing listens at an endpoint, as another node found."""
     peers.context.submit(DownReceived(clock.now(), down.endpoint))
-    peers.spread(down, link.name)
+    peers.broadcast(down, link.name)
 
 
 @receives(WantModel)
-def take_want(peers: RelayPeers, link: Link, want: WantModel) -> None:
+def handle_want(peers: RelayPeers, link: Link, want: WantModel) -> None:
     """Process another node's load request as the lease holder, or forward one of a leaf to it."""
     now = clock.now()
     state = peers.context.state
     if state.control.holding(now):
-        back_s = float(want.back_s)
-        event = LoadRequested(now, want.service, want.model, want.adapter, back_s)
+        latest_retry_s = float(want.latest_retry_s)
+        event = LoadRequested(now, want.service, want.model, want.adapter, latest_retry_s)
         peers.context.submit(event)
     elif _forwards_from(state, link.name):
-        send_want(peers, RequestLoad(want.service, want.model, want.adapter, float(want.back_s)))
+        send_want(
+            peers, RequestLoad(want.service, want.model, want.adapter, float(want.latest_retry_s))
+        )
 
 
 def _forwards_from(state: NodeState, sender: str) -> bool:
--- a/packages/rookspring/src/rookspring/reports.py
+++ b/packages/rookspring/src/rookspring/reports.py
@@ -1,14 +1,14 @@
 """Encoding of endpoint reports as rows of messages between nodes."""
 
 import typing as t
-from . import defaults
+
 from rookspring_core.events import EndpointReported
 from rookspring_core.hashing import stable_hash
 
+from . import defaults
 
 
-
-def digest_of(report: EndpointReported) -> int:
+def digest_without_load(report: EndpointReported) -> int:
     """Return a hash of a report without its load and its age."""
     without_load = report._replace(at=0.0, age_s=0.0, running=0, queued=0)
     return stable_hash(repr(without_load))
@@ -25,14 +25,14 @@
 
     def row_for(self, report: EndpointReported, now: float) -> list[t.Any]:
         """Return the row to share: short if nothing but load and age has changed."""
-        digest = digest_of(report)
+        digest = digest_without_load(report)
         known, at = self._sent.get(report.endpoint, (0, -1e9))
         if known == digest and now - at < defaults.REPORT_WHOLE_S:
             return [report.endpoint, digest, report.age_s, report.running, report.queued]
         self._sent[report.endpoint] = (digest, now)
         return encode_report(report, now)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Send full rows again, since a newly linked node has no reports."""
         self._sent.clear()
 
--- a/packages/rookspring/src/rookspring/store_eras.py
+++ b/packages/rookspring/src/rookspring/store_eras.py
@@ -7,19 +7,19 @@
 
 import asyncio
 import typing as t
+
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+
+from rookspring_core.events import StoreEraBegan
+
 from . import clock
 from .exceptions import PlatformError
 from .exceptions import PlatformTooOld
 from .logs import log
 from .platform import PlatformClient
 from .reach import Reach
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-from rookspring_core.events import StoreEraBegan
-
-
-
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
@@ -37,13 +37,13 @@
         # Whether the store has answered this node, so that a new era makes its data obsolete.
         self._answered = False
         # How often an era began after this node had data of the one before.
-        self.risen = 0
+        self.restores = 0
 
-    def follow(self, platform: PlatformClient) -> None:
+    def attach_client(self, platform: PlatformClient) -> None:
         """Take eras from the responses that a client gets."""
-        platform.record_era = lambda era: self.hear(era, "store")
+        platform.record_era = lambda era: self.note_era(era, "store")
 
-    def hear(self, era: int, source: str) -> int:
+    def note_era(self, era: int, source: str) -> int:
         """Take an era from a response or another node; one that is not newer changes nothing.
 
         :return: the newest known era.
@@ -60,22 +60,24 @@
         self._reach.note_return(now)
         self._context.submit(StoreEraBegan(now, era))
         if self._answered:
-            self.risen += 1
+            self.restores += 1
             restored, self._restored = self._restored, asyncio.Event()
             restored.set()
         self._context.lease_check_due.set()
 
-    async def within(self, call: t.Awaitable[Result[T, PlatformError]]) -> Result[T, PlatformError]:
+    async def call_in_era(
+        self, call: t.Awaitable[Result[T, PlatformError]]
+    ) -> Result[T, PlatformError]:
         """Make a call to the store, and fail it if a new era begins before its response.
 
         The call is then cancelled at once, since its response would be of the old era.
         """
-        before = self.risen
+        before = self.restores
         pending = asyncio.ensure_future(call)
         restored = asyncio.ensure_future(self._restored.wait())
         try:
             await asyncio.wait({pending, restored}, return_when=asyncio.FIRST_COMPLETED)
-            if self.risen != before:
+            if self.restores != before:
                 return Failure(
                     PlatformTooOld("the store was restored from an older copy during the call")
                 )
@@ -87,6 +89,6 @@
             if not pending.done():
                 pending.cancel()
 
-    async def wait_risen(self) -> None:
+    async def wait_restored(self) -> None:
         """Wait until an era begins after this node had data of the one before."""
         await self._restored.wait()
