--- a/bench/notice_mutants.py
+++ b/bench/notice_mutants.py
@@ -91,9 +91,21 @@
         _never,
         NOTICES,
     ),
-    Mutant("whoever answers is meant", "reach", notice_handlers, "_take_other", _own_word, NOTICES),
     Mutant(
-        "ignores another's address", "reach", notice_handlers, "_take_other", _no_effects, NOTICES
+        "whoever answers is meant",
+        "reach",
+        notice_handlers,
+        "_handle_other_process",
+        _own_word,
+        NOTICES,
+    ),
+    Mutant(
+        "ignores another's address",
+        "reach",
+        notice_handlers,
+        "_handle_other_process",
+        _no_effects,
+        NOTICES,
     ),
     Mutant("remembers for good", "reach", NoticeTable, "tick", _nothing, NOTICES),
     Mutant("bounds no notices", "memory", notices, "_bound", _nothing, NOTICES),
--- a/features/size.feature
+++ b/features/size.feature
@@ -53,8 +53,8 @@
       | a leaf  | freezes                    | 6.0     |
       | a relay | freezes                    | 6.0     |
       | a leaf  | is cut off from the others | 6.0     |
-      | a leaf  | hears nobody               | 6.0     |
-      | a relay | is heard by nobody         | 6.0     |
+      | a leaf  | receives no messages       | 6.0     |
+      | a relay | delivers no messages       | 6.0     |
 
   Scenario Outline: all nodes learn of a leaving endpoint, whatever happens to the watchers
     Given <nodes> relay nodes that have run for 8 s
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -22,7 +22,7 @@
     Kind=TypeBuilder.make_choice(["a leaf", "a relay"]),
     Fate=TypeBuilder.make_choice(["is killed", "leaves as planned", "freezes", "is started again"]),
     Spell=TypeBuilder.make_choice(
-        ["freezes", "is cut off from the others", "hears nobody", "is heard by nobody"]
+        ["freezes", "is cut off from the others", "receives no messages", "delivers no messages"]
     ),
     Who=TypeBuilder.make_choice(
         ["all that watch the store", "all relays", "all nodes", "the relays of a data centre"]
@@ -144,9 +144,9 @@
     if fate == "freezes":
         node.frozen = True
     else:
-        if fate != "is heard by nobody":
+        if fate != "delivers no messages":
             fleet.cut |= {(other, node.name) for other in others}
-        if fate != "hears nobody":
+        if fate != "receives no messages":
             fleet.cut |= {(node.name, other) for other in others}
     fleet.run(seconds)
     context.fleet.thaw(node.name)
--- a/packages/rookspring-core/src/rookspring_core/acceptance.py
+++ b/packages/rookspring-core/src/rookspring_core/acceptance.py
@@ -42,8 +42,8 @@
     :param models: specs with ``engine`` and ``memory_gb``.
     """
     heaps: dict[str, list[float]] = {}
-    for room in runners:
-        heaps.setdefault(room.engine, []).append(-room.usable_gb)
+    for runner in runners:
+        heaps.setdefault(runner.engine, []).append(-runner.usable_gb)
     for heap in heaps.values():
         heapq.heapify(heap)
     for spec in sorted(models, key=lambda one: -float(one["memory_gb"])):
@@ -102,7 +102,7 @@
     return ""
 
 
-def _check_memory(resource: Resource, entries: Entries, rooms: tuple[RunnerMemory, ...]) -> str:
+def _check_memory(resource: Resource, entries: Entries, runners: tuple[RunnerMemory, ...]) -> str:
     specs = [
         entry.resource.spec
         for entry in entries.values()
@@ -110,7 +110,7 @@
     ]
     # While a model changes its version, the old and the new one are resident at the same time, so
     # the memory of the old one does not count as free.
-    if fits([*specs, resource.spec], rooms):
+    if fits([*specs, resource.spec], runners):
         return ""
     need = resource.spec["memory_gb"]
     return f"spec.memory_gb: {need} GB do not fit beside every other declared model"
--- a/packages/rookspring-core/src/rookspring_core/membership.py
+++ b/packages/rookspring-core/src/rookspring_core/membership.py
@@ -122,7 +122,7 @@
     def apply_member_rows(self, event: MembersReceived) -> list[str]:
         """Apply a linked node's rows, and add it to the sources of the nodes in them.
 
-        :return: the nodes that were removed, since they have no source and no link left.
+        :return: the nodes that were removed, since no source and no recent heartbeat is left.
         """
         lost: list[str] = []
         for row in event.rows:
--- a/packages/rookspring-core/src/rookspring_core/notice_handlers.py
+++ b/packages/rookspring-core/src/rookspring_core/notice_handlers.py
@@ -25,23 +25,23 @@
 
 
 @handles(NoticeReceived)
-def take_notice(state: NodeState, event: NoticeReceived) -> Effects:
+def handle_notice(state: NodeState, event: NoticeReceived) -> Effects:
     """Apply the notice in a response's headers."""
     notice = event.notice
     if notice.process_name and notice.process_name != event.endpoint:
-        return _take_other(state, event)
+        return _handle_other_process(state, event)
     effects: Effects = []
     if notice.leaving:
         effects += _note_leaving(state, event.endpoint, event.started_ms)
     if notice.requested_backoff_s() > 0.0:
-        effects += _note_rest(state, event, notice)
+        effects += _note_backoff(state, event, notice)
     effects += _note_rate(state, event)
     if notice.misdirected:
         _note_missing_target(state, event)
     return effects + requests.refuse_cooling_down(state) + requests.dispatch_waiting(state)
 
 
-def _take_other(state: NodeState, event: NoticeReceived) -> Effects:
+def _handle_other_process(state: NodeState, event: NoticeReceived) -> Effects:
     """Handle a notice from another process than the endpoint that the request was sent to.
 
     The notice is about that process. The endpoint has lost its address to it, unless the list has
@@ -82,7 +82,7 @@
         view.leaving = True
 
 
-def _note_rest(state: NodeState, event: NoticeReceived, notice: Notice) -> Effects:
+def _note_backoff(state: NodeState, event: NoticeReceived, notice: Notice) -> Effects:
     backoff_s = notice.requested_backoff_s()
     state.notices.add_backoff(event.endpoint, event.started_ms, state.now + backoff_s)
     _restore_view(state, event.endpoint)
--- a/packages/rookspring-core/src/rookspring_core/notices.py
+++ b/packages/rookspring-core/src/rookspring_core/notices.py
@@ -14,7 +14,7 @@
 from . import defaults
 from .hashing import stable_hash
 
-# How long a leaving process is remembered after it was last listed. A leaving process ends within
+# How long after its notice a leaving process that is no longer listed is remembered. It ends within
 # seconds, at most about a minute; its entry may reappear late, once the store is available again.
 LEAVING_KEPT_S = 600.0
 # The number of leaving processes, and of processes in back-off, that are kept: more than the
--- a/packages/rookspring-core/src/rookspring_core/placement.py
+++ b/packages/rookspring-core/src/rookspring_core/placement.py
@@ -58,8 +58,8 @@
 class Move(t.NamedTuple):
     """One load or unload, as planned by a placement policy.
 
-    :param last: planned as the unload of a model's last resident replica, which its runner
-        can reload within seconds and for which there is no demand now.
+    :param last: planned as the unload of a model's last resident replica; the policy expects
+        that its runner can reload it within seconds, and that it has little demand now.
     :param room_for: the model that an unload makes room for.
     """
 
--- a/packages/rookspring-core/src/rookspring_core/restarts.py
+++ b/packages/rookspring-core/src/rookspring_core/restarts.py
@@ -7,11 +7,11 @@
 message) and are ignored.
 
 If the box's clock was stepped back, the new process has an earlier start time than the old one.
-The endpoint itself distinguishes this case from a late message: read twice in a row, it reports the
-earlier time both times, whereas a process that has ended doesn't answer. Such a report is marked
-``sure``, and every node accepts it whatever its start time. If no node reads the endpoint, the
-list's row is accepted once it has stayed unchanged for longer than any message can be late
-(``relay_endpoint_list`` of the daemon).
+The endpoint itself distinguishes this case from a late message: read twice in a row, it reports
+the earlier time both times, whereas a process that has ended doesn't answer. Such a report is
+marked ``start_confirmed``, and every node accepts it whatever its start time. If no node reads the
+endpoint, the list's row is accepted once it has stayed unchanged for longer than any message can
+be late (``relay_endpoint_list`` of the daemon).
 """
 
 import typing as t
