--- a/features/entries.feature
+++ b/features/entries.feature
@@ -1,71 +1,71 @@
 @relay
-Feature: Entries that another writer left name no endpoint, and the others hold
+Feature: Malformed entries are rejected, and other entries still apply
 
-  Scenario Outline: an entry that is not as it ought to be names the field and no endpoint
+  Scenario Outline: an invalid entry is rejected with an error that names the field
     Given an entry of a model server
-    When its field <field> reads <value>
-    Then it names no endpoint, and the error names <told>
+    When its field <field> is the JSON value <value>
+    Then it is rejected, and the error names <name>
 
     Examples:
-      | field     | value            | told        |
-      | service   | null             | service     |
-      | service   | missing          | service     |
-      | service   | ""               | service     |
-      | address   | null             | address     |
-      | address   | "somewhere"      | address     |
-      | address   | 7                | address     |
-      | zone      | missing          | zone        |
-      | slots     | -3               | slots       |
-      | slots     | true             | slots       |
-      | slots     | 1e400            | slots       |
-      | slots     | "8"              | slots       |
-      | state     | "retired"        | state       |
-      | state     | null             | state       |
-      | models    | "abc"            | models      |
-      | models    | [7]              | models |
-      | models    | [{"name": "m"}]  | version     |
-      | models    | [{"name": "m", "version": 1, "adapters": "abc"}] | adapters |
-      | available | []               | available   |
-      | available | {"on-disk": 3}   | on-disk     |
-      | born      | 1.5              | born        |
-      | born      | "now"            | born        |
-      | itself    | null             | object      |
-      | itself    | [1, 2]           | object      |
+      | field     | value                                            | name      |
+      | service   | null                                             | service   |
+      | service   | missing                                          | service   |
+      | service   | ""                                               | service   |
+      | address   | null                                             | address   |
+      | address   | "somewhere"                                      | address   |
+      | address   | 7                                                | address   |
+      | zone      | missing                                          | zone      |
+      | slots     | -3                                               | slots     |
+      | slots     | true                                             | slots     |
+      | slots     | 1e400                                            | slots     |
+      | slots     | "8"                                              | slots     |
+      | state     | "retired"                                        | state     |
+      | state     | null                                             | state     |
+      | models    | "abc"                                            | models    |
+      | models    | [7]                                              | models    |
+      | models    | [{"name": "m"}]                                  | version   |
+      | models    | [{"name": "m", "version": 1, "adapters": "abc"}] | adapters  |
+      | available | []                                               | available |
+      | available | {"on-disk": 3}                                   | on-disk   |
+      | born      | 1.5                                              | born      |
+      | born      | "now"                                            | born      |
+      | itself    | null                                             | object    |
+      | itself    | [1, 2]                                           | object    |
 
-  Scenario: no bytes and no shapes of an entry, a report or a list get past the reader
-    Then 400 drawn entries and 400 drawn reports are read whole, or refused
-    And 400 drawn bodies of the store are read, or refused as a whole
-    And a list whose one row has odd bytes gives the others
+  Scenario: random entries, reports and lists are decoded or rejected without other errors
+    Then 400 random entries and 400 random reports are decoded or rejected
+    And 400 random response bodies of the store are decoded or rejected
+    And a list with invalid bytes in one row still yields the other rows
 
-  Scenario Outline: 7,100 entries are checked in little time
+  Scenario Outline: entries of the largest deployment are checked quickly
     Then 7100 entries with <models> models and <adapters> adapters are read in <seconds> s
 
     Examples:
       | models | adapters | seconds |
       | 3      | 8        | 0.6     |
 
-  Scenario Outline: other writers' entries beside good ones
-    Given two endpoints, and entries of another writer <when>
-    When a third endpoint comes
-    Then all three endpoints serve, and no other is used
-    And each bad entry is logged once, and counted
+  Scenario Outline: malformed entries do not affect valid ones
+    Given two endpoints, and malformed entries that are written <when>
+    When a third endpoint starts
+    Then all three endpoints serve requests, and no other endpoint exists
+    And each malformed entry is logged once, and counted
 
     Examples:
-      | when                 |
+      | when                   |
       | before the node starts |
-      | while it watches     |
+      | while the node watches |
 
-  Scenario Outline: an entry that was good and turns bad
-    Given two endpoints, and entries of another writer while it watches
-    When the first endpoint's entry is overwritten <and>
-    Then it serves for 1 s more, and <after>
+  Scenario Outline: a valid entry becomes malformed
+    Given two endpoints, and malformed entries that are written while the node watches
+    When the first endpoint's entry is overwritten with a malformed one <and>
+    Then its endpoint is still listed, and <after>
 
     Examples:
-      | and                              | after                      |
-      | and written anew by the endpoint | it serves on               |
-      | for good                         | no request goes there 4 s later |
+      | and                           | after                      |
+      | and rewritten by the endpoint | it is listed 4 s later     |
+      | permanently                   | it is not listed 4 s later |
 
-  Scenario: a list in pages goes on past odd names and rows that cannot be read
-    Given a store that lists 3 rows a page, with names that are odd and rows that are none
+  Scenario: a paged list continues past unusual names and malformed rows
+    Given a store that lists 3 rows a page, with unusual names and malformed rows
     When the endpoints are listed
-    Then each good row is found once
+    Then each valid row is returned once
--- a/features/field_readers.py
+++ b/features/field_readers.py
@@ -1,8 +1,8 @@
-"""Which fields of what is decoded from the wire nobody reads, told by types.
+"""Finds fields of decoded types that no code reads, by means of the type checker.
 
-``vulture`` goes by names, so a field that shares its name with one of another type passes there.
-Here the fields are renamed in a copy of the sources, and the type checker names each place that
-read one: whatever it does not name is read by nobody.
+``vulture`` compares names only, so it misses an unread field if another type has a field of the
+same name. Here the fields are renamed in a copy of the sources, and mypy reports each place that
+reads one. Fields that it does not report are unread.
 """
 
 import ast
@@ -15,7 +15,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 SOURCES = ("packages/rookspring-core/src", "packages/rookspring/src", "platform/src")
-# Modules whose classes are made of what comes over the wire.
+# The decoded types, by module; an empty tuple means all classes of the module.
 DECODED = {
     "rookspring_core/_endpoint_events.py": ("EndpointReported", "BoxListed"),
     "rookspring_core/notices.py": ("Notice",),
@@ -25,11 +25,14 @@
     "rookspring/messages.py": (),
     "rookspring_platform/entries.py": ("Entry", "Held", "Copies", "Report"),
 }
-MARK = "_unread"
+SUFFIX = "_unread"
 
 
 def find_fields(path, wanted):
-    """List fields of a module's classes as class, field and line; all where none is named."""
+    """Yield fields of a module as class, field and line.
+
+    :param wanted: names of the classes; empty for all.
+    """
     for node in ast.parse(path.read_text()).body:
         if not isinstance(node, ast.ClassDef) or (wanted and node.name not in wanted):
             continue
@@ -39,7 +42,7 @@
 
 
 def list_fields(folder):
-    """List all fields as module, class and field."""
+    """Return the fields of all decoded types, as module, class and field."""
     return {
         (module, name, field)
         for module, wanted in DECODED.items()
@@ -48,16 +51,19 @@
 
 
 def rename(path, fields):
-    """Rename fields, given as class and field, in a module."""
+    """Rename the definitions of fields in a module.
+
+    :param fields: as class and field.
+    """
     lines = path.read_text().split("\n")
     for name, field, number in find_fields(path, ()):
         if (name, field) in fields:
-            lines[number - 1] = re.sub(rf"\b{field}\b", field + MARK, lines[number - 1], count=1)
+            lines[number - 1] = re.sub(rf"\b{field}\b", field + SUFFIX, lines[number - 1], count=1)
     path.write_text("\n".join(lines))
 
 
 def find_read(fields):
-    """Give those of the fields that something reads, as class and field."""
+    """Return the fields that are read somewhere, as class and field."""
     with tempfile.TemporaryDirectory() as folder:
         copy = pathlib.Path(folder)
         for source in SOURCES:
@@ -80,10 +86,10 @@
 
 
 def find_unread():
-    """Give the decoded fields that nobody reads, as ``Class.field``.
+    """Return the decoded fields that no code reads, as ``Class.field``.
 
-    What is reached through a field that was renamed as well has no type, so those that are not
-    named are tried again, until no more are found to be read.
+    A field that is reached through another renamed field has no type for mypy, so its reads are not
+    reported. Fields without a report are therefore tried again, until none of them is found read.
     """
     with tempfile.TemporaryDirectory() as folder:
         copy = pathlib.Path(folder)
@@ -92,7 +98,7 @@
         fields = list_fields(copy)
     while True:
         read = find_read(fields)
-        left = {row for row in fields if row[1:] not in read}
-        if left == fields:
-            return {f"{name}.{field}" for _, name, field in left}
-        fields = left
+        unread = {row for row in fields if row[1:] not in read}
+        if unread == fields:
+            return {f"{name}.{field}" for _, name, field in unread}
+        fields = unread
--- a/features/house.feature
+++ b/features/house.feature
@@ -1,9 +1,9 @@
-Feature: The map of the modules is true
+Feature: Rules for the repository and its modules
 
-  Scenario: the page of the house names each module
-    Then docs/design/house.md names each module of the packages
+  Scenario: the page on the structure lists each module
+    Then docs/design/house.md lists each module of the packages
 
-  Scenario Outline: a package imports only what stands above it
+  Scenario Outline: a package imports only the packages that it may depend on
     Then <package> imports no more than: <allowed>
 
     Examples:
@@ -14,33 +14,33 @@
       | rookspring_fakes    | rookspring_core, rookspring                      |
       | rookspring_ctl      | rookspring_core, rookspring                      |
 
-  Scenario: nothing that is decoded from the wire is dropped unread
-    Then each field of what is decoded has a reader, but those of this table
+  Scenario: each decoded field is used
+    Then each field of a decoded type is read, except for those in this table
 
       | field                | why                                                             |
-      | AskSlots.passed      | read of whichever message goes to an owner (relay_owners)       |
+      | AskSlots.passed      | read from any message to an owner (relay_owners)                |
       | AskUnits.passed      | the same                                                        |
-      | SlotReply.origin     | read of whichever reply an owner sends (relay_owners)           |
+      | SlotReply.origin     | read from any reply «OURS:an owner|THEIRS:of» «OURS:sends|THEIRS:an owner» (relay_owners)                  |
       | UnitsReply.origin    | the same                                                        |
       | SlotFreed.passed     | the same                                                        |
       | UnitsReturned.passed | the same                                                        |
-      | ForwardStart.number  | read of whichever part of a forwarded answer comes (forwarding) |
+      | ForwardStart.number  | read from any part of a forwarded answer (forwarding)           |
       | ForwardPart.number   | the same                                                        |
       | ForwardEnd.number    | the same                                                        |
 
-  Scenario: nothing of the product is there unused
-    Then vulture names nothing in the packages, but the stand-ins
+  Scenario: the packages have no unused code
+    Then vulture reports nothing in the packages, except for the fakes
 
-  Scenario: nothing outside the adapter knows the platform's names
-    Then no module outside rookspring_platform names a header or field of the platform
+  Scenario: the platform's names are used only in its adapter
+    Then no module outside rookspring_platform contains a header or field of the platform
 
-  Scenario: our day files say what they are for and fit any deployment
-    Then each day file says in its first line what it is for, and is named as its day
-    And no day file names a service, a kind of request or a data centre of one deployment
+  Scenario: day files state their purpose and apply to any deployment
+    Then each day file begins with a sentence on its purpose, and has the name of its day
+    And no day file names a service, class of requests or data centre of one deployment
 
-  Scenario Outline: what is known to fail is printed, and nothing else is passed over
+  Scenario Outline: only listed scenarios may fail, and they must fail
     Given a run in which the scenario "a" <ends>, and "b" passes
-    When it is judged beside the list: <list>
+    When its results are compared with the list of known failures: <list>
     Then it counts <passed> passed and <failed> failed
 
     Examples:
@@ -54,8 +54,8 @@
       | passes | run: a day; why; how; 1 | 2      | 0      |
       | fails  | run: a; why; how; 1     | 1      | 1      |
 
-  Scenario Outline: a list of known failures that is not as it ought to be is an error
-    Then the list <list> is refused
+  Scenario Outline: an invalid list of known failures is an error
+    Then the list of known failures <list> is rejected
 
     Examples:
       | list                                                             |
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -1,19 +1,17 @@
 import asyncio
 import json
-import time
-
 import orjson
+import time
 from aiohttp import web
 from behave import given
 from behave import then
 from behave import when
 from hypothesis import HealthCheck
-from hypothesis import given as drawn
-from hypothesis import settings as drawing
+from hypothesis import given as hypothesis_given
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies
 from relay_fixture import RelayFixture
 from relay_fixture import request
-
 from rookspring.platform import StoredObject
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
@@ -24,7 +22,9 @@
 from rookspring_platform.endpoints import read_entry
 from rookspring_platform.endpoints import read_report
 
-GOOD = {
+
+
+VALID = {
     "service": "llm",
     "address": "10.1.64.1:8122",
     "zone": "z1",
@@ -39,7 +39,7 @@
 }
 REPORT = {
     "stage": "both",
-    "models": GOOD["models"],
+    "models": VALID["models"],
     "utilization": False,
     "sequence": 2,
     "queued": 1,
@@ -50,23 +50,23 @@
     "pending": ["m/a4@1"],
     "born": 1_700_000_000_000,
 }
-BAD = {
+MALFORMED = {
     "stranger": None,
     "half": {"service": "svc"},
     "odd name/with?signs": {"address": None, "service": None},
     "list": [1, 2, 3],
-    "retired": GOOD | {"service": "svc", "state": "retired"},
+    "retired": VALID | {"service": "svc", "state": "retired"},
 }
 DRAWS = 400
-PLAIN = (
+SCALARS = (
     strategies.none()
     | strategies.booleans()
     | strategies.integers()
     | strategies.floats()
     | strategies.text(max_size=20)
 )
-ANY = strategies.recursive(
-    PLAIN,
+JSON_VALUES = strategies.recursive(
+    SCALARS,
     lambda inner: (
         strategies.lists(inner, max_size=3)
         | strategies.dictionaries(strategies.text(max_size=10), inner, max_size=4)
@@ -75,23 +75,25 @@
 )
 
 
-def changed(good):
-    """Draw shapes that differ from a good one in some fields, or altogether."""
-    keys = strategies.sampled_from(sorted(good))
-    some = strategies.dictionaries(keys, ANY, max_size=3)
-    lacking = strategies.sets(keys, max_size=2)
+def mutate(valid):
+    """Generate values that differ from a valid one in some fields, or entirely."""
+    keys = strategies.sampled_from(sorted(valid))
+    changes = strategies.dictionaries(keys, JSON_VALUES, max_size=3)
+    removed_keys = strategies.sets(keys, max_size=2)
     near = strategies.builds(
-        lambda rest, gone: {k: v for k, v in (good | rest).items() if k not in gone}, some, lacking
+        lambda changed, removed: {k: v for k, v in (valid | changed).items() if k not in removed},
+        changes,
+        removed_keys,
     )
-    return near | ANY
+    return near | JSON_VALUES
 
 
 @given("an entry of a model server")
 def an_entry(context):
-    context.entry = dict(GOOD)
+    context.entry = dict(VALID)
 
 
-@when("its field {field} reads {value}")
+@when("its field {field} is the JSON value {value}")
 def field_is(context, field, value):
     if field == "itself":
         context.entry = json.loads(value)
@@ -101,12 +103,12 @@
         context.entry[field] = json.loads(value)
 
 
-@then("it names no endpoint, and the error names {told}")
-def names_none(context, told):
+@then("it is rejected, and the error names {name}")
+def is_rejected(context, name):
     try:
         read = read_entry(StoredObject("i1", 1, context.entry), 0.0)
     except ValueError as error:
-        assert told in str(error), error
+        assert name in str(error), error
     else:
         raise AssertionError(read)
 
@@ -126,25 +128,27 @@
 
 def draw(strategy, check, count):
     options = {"max_examples": count, "deadline": None, "derandomize": True, "database": None}
-    quiet = [HealthCheck.too_slow, HealthCheck.filter_too_much]
-    drawing(**options, suppress_health_check=quiet)(drawn(strategy)(check))()
+    suppressed = [HealthCheck.too_slow, HealthCheck.filter_too_much]
+    hypothesis_settings(**options, suppress_health_check=suppressed)(
+        hypothesis_given(strategy)(check)
+    )()
 
 
-@then("{entries:d} drawn entries and {reports:d} drawn reports are read whole, or refused")
-def drawn_shapes(context, entries, reports):
-    draw(changed(GOOD), check_entry, entries)
-    _, known = read_entry(StoredObject("i1", 1, GOOD), 0.0)
+@then("{entries:d} random entries and {reports:d} random reports are decoded or rejected")
+def random_values(context, entries, reports):
+    draw(mutate(VALID), check_entry, entries)
+    _, known = read_entry(StoredObject("i1", 1, VALID), 0.0)
 
     def check_report(raw):
         report = read_report(json.dumps(raw).encode(), known, 1.0)
         assert report is None or (report.order_token[1] >= 0 and report.running >= 0)
 
-    draw(changed(REPORT), check_report, reports)
+    draw(mutate(REPORT), check_report, reports)
 
 
-@then("{bodies:d} drawn bodies of the store are read, or refused as a whole")
-def drawn_bodies(context, bodies):
-    row = {"metadata": {"name": "i1", "revision": 4}, "spec": GOOD}
+@then("{bodies:d} random response bodies of the store are decoded or rejected")
+def random_bodies(context, bodies):
+    row = {"metadata": {"name": "i1", "revision": 4}, "spec": VALID}
     whole = orjson.dumps({"items": [row, row], "as-of": 9})
 
     def check_body(at, put):
@@ -161,9 +165,9 @@
     draw(pairs, lambda pair: check_body(*pair), bodies)
 
 
-@then("a list whose one row has odd bytes gives the others")
-def odd_bytes(context):
-    good = {"metadata": {"name": "i1", "revision": 4}, "spec": GOOD}
+@then("a list with invalid bytes in one row still yields the other rows")
+def invalid_bytes(context):
+    good = {"metadata": {"name": "i1", "revision": 4}, "spec": VALID}
     odd = good | {"metadata": {"name": "i2", "revision": 5}, "spec": "ODD"}
     whole = orjson.dumps({"items": [odd, good], "as-of": 9})
     for bytes_ in (b'"\xff\xfe"', b"NaN", b'"\x01"', b"1e999"):
@@ -181,7 +185,7 @@
         {"name": f"m{one}", "version": 1, "adapters": [f"a{two}@1" for two in range(adapters)]}
         for one in range(models)
     ]
-    stored = StoredObject("i1", 1, GOOD | {"models": held})
+    stored = StoredObject("i1", 1, VALID | {"models": held})
     began = time.process_time()
     for _ in range(count):
         read_entry(stored, 0.0)
@@ -189,29 +193,29 @@
     assert took_s <= seconds, took_s
 
 
-async def write_bad(stage):
-    for name, spec in BAD.items():
+async def write_malformed(stage):
+    for name, spec in MALFORMED.items():
         await stage.store.write("servers", name, spec)
 
 
-@given("two endpoints, and entries of another writer {when}")
+@given("two endpoints, and malformed entries that are written {when}")
 def two_endpoints(context, when):
-    async def rise():
+    async def start():
         stage = RelayFixture([[], []])
         if when == "before the node starts":
-            await write_bad(stage)
+            await write_malformed(stage)
         await stage.start()
-        if when == "while it watches":
-            await write_bad(stage)
+        if when == "while the node watches":
+            await write_malformed(stage)
         await asyncio.sleep(0.3)
         return stage
 
-    context.relay = context.loop.run(rise())
+    context.relay = context.loop.run(start())
 
 
-@when("a third endpoint comes")
-def third_comes(context):
-    async def come():
+@when("a third endpoint starts")
+def third_starts(context):
+    async def start():
         stage = context.relay
         third = ModelServer("i2", [])
         await third.start()
@@ -219,10 +223,10 @@
         await stage.store.write("servers", third.name, third.entry("svc"))
         await stage.until(lambda: "i2" in stage.node.context.state.endpoints)
 
-    context.loop.run(come())
+    context.loop.run(start())
 
 
-@then("all three endpoints serve, and no other is used")
+@then("all three endpoints serve requests, and no other endpoint exists")
 def all_serve(context):
     async def ask():
         stage = context.relay
@@ -237,21 +241,21 @@
     assert all(server.runs for server in stage.servers), [one.runs for one in stage.servers]
 
 
-@then("each bad entry is logged once, and counted")
+@then("each malformed entry is logged once, and counted")
 def logged_once(context):
     stage = context.relay
     lines = [line for line in stage.log_lines if "event=endpoint_malformed" in line]
-    assert len(lines) == len(BAD), lines
+    assert len(lines) == len(MALFORMED), lines
     text = stage.node.context.metrics.render()[0].decode()
-    assert f'rookspring_entries_malformed{{node="n1"}} {len(BAD)}' in text, text
+    assert f'rookspring_entries_malformed{{node="n1"}} {len(MALFORMED)}' in text, text
 
 
-@when("the first endpoint's entry is overwritten {and_}")
+@when("the first endpoint's entry is overwritten with a malformed one {and_}")
 def overwritten(context, and_):
     async def write():
         stage = context.relay
-        await stage.store.write("servers", "i0", BAD["half"])
-        if and_ != "for good":
+        await stage.store.write("servers", "i0", MALFORMED["half"])
+        if and_ != "permanently":
             await asyncio.sleep(0.5)
             await stage.store.write("servers", "i0", stage.servers[0].entry("svc"))
 
@@ -259,8 +263,8 @@
     context.loop.run(write())
 
 
-@then("it serves for 1 s more, and {after}")
-def serves_and(context, after):
+@then("its endpoint is still listed, and {after}")
+def is_listed_and(context, after):
     stage = context.relay
     state = stage.node.context.state
     assert "i0" in state.endpoints and not state.endpoints["i0"].gone
@@ -270,22 +274,27 @@
 
     context.loop.run(later())
     view = state.endpoints.get("i0")
-    stands = view is not None and not view.gone
-    assert stands == (after == "it serves on"), after
+    listed = view is not None and not view.gone
+    assert listed == (after == "it is listed 4 s later"), after
 
 
-ODD = ("a b", "c&d=e", "f/g", "h?i", "j%k", "ü")
+UNUSUAL_NAMES = ("a b", "c&d=e", "f/g", "h?i", "j%k", "ü")
 
 
 class PagedStore:
-    """Lists a kind in pages, the next after a name; some of its rows are none."""
+    """A store that lists objects in pages; each page continues after a name.
+
+    Each page also has a malformed row.
+    """
 
     def __init__(self, page):
         self.page = page
-        rows = [{"metadata": {"name": name, "revision": 3}, "spec": GOOD} for name in ODD]
-        rows += [{"metadata": {"name": f"z{n}", "revision": 3}, "spec": GOOD} for n in range(4)]
+        rows = [
+            {"metadata": {"name": name, "revision": 3}, "spec": VALID} for name in UNUSUAL_NAMES
+        ]
+        rows += [{"metadata": {"name": f"z{n}", "revision": 3}, "spec": VALID} for n in range(4)]
         self.rows = rows
-        self.none = [{"metadata": {}}, {"spec": 4}, 7, None]
+        self.malformed = [{"metadata": {}}, {"spec": 4}, 7, None]
 
     def app(self):
         app = web.Application()
@@ -297,11 +306,11 @@
         first = names.index(request.query["after"]) + 1 if "after" in request.query else 0
         found = self.rows[first : first + self.page]
         more = first + self.page < len(self.rows)
-        items = [self.none[first % len(self.none)], *found]
+        items = [self.malformed[first % len(self.malformed)], *found]
         return web.json_response({"items": items, "truncated": more, "as-of": 9})
 
 
-@given("a store that lists {page:d} rows a page, with names that are odd and rows that are none")
+@given("a store that lists {page:d} rows a page, with unusual names and malformed rows")
 def paged_store(context, page):
     context.store = PagedStore(page)
 
@@ -320,7 +329,7 @@
     context.listing = context.loop.run(listing()).unwrap()
 
 
-@then("each good row is found once")
-def found_once(context):
+@then("each valid row is returned once")
+def returned_once(context):
     names = [row.name for row in context.listing.items]
     assert names == [row["metadata"]["name"] for row in context.store.rows], names
--- a/features/steps/house_steps.py
+++ b/features/steps/house_steps.py
@@ -5,7 +5,6 @@
 import subprocess
 import sys
 import tomllib
-
 from behave import given
 from behave import then
 from behave import when
@@ -13,6 +12,7 @@
 from run import count
 from run import read_known
 
+
 ROOT = pathlib.Path(__file__).parent.parent.parent
 PACKAGES = {
     "rookspring_core": ROOT / "packages/rookspring-core/src/rookspring_core",
@@ -21,10 +21,12 @@
     "rookspring_fakes": ROOT / "packages/rookspring-fakes/src/rookspring_fakes",
     "rookspring_ctl": ROOT / "packages/rookspring-ctl/src/rookspring_ctl",
 }
-# The command that starts the demonstration raises the stand-ins.
+# The modules of the demonstration, which uses the fakes.
 DEMO = {"cli", "demonstration", "stage"}
-# Names of the platform's own that its pages give to what the project calls otherwise.
-THEIRS = re.compile(r"X-Rookspring-Tenant|api-keys|rate-per-s|plain-tokens|path-prefix|as-of")
+# Terms of the platform for which the project has others.
+PLATFORM_TERMS = re.compile(
+    r"X-Rookspring-Tenant|api-keys|rate-per-s|plain-tokens|path-prefix|as-of"
+)
 
 
 def modules(package):
@@ -32,7 +34,7 @@
 
 
 def imported(path):
-    """Give the packages of the project that a module imports."""
+    """Return the project's packages that a module imports."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -42,24 +44,24 @@
     return found & set(PACKAGES)
 
 
-@then("docs/design/house.md names each module of the packages")
-def names_each(context):
+@then("docs/design/house.md lists each module of the packages")
+def lists_each(context):
     text = (ROOT / "docs/design/house.md").read_text()
     sections = {part.split("`")[1]: part for part in text.split("\n## ")[1:] if part[0] == "`"}
     assert set(sections) == set(PACKAGES), set(sections)
     for package, section in sections.items():
         named = set(re.findall(r"^\| `(\w+)` \|", section, flags=re.M))
-        there = {path.stem for path in modules(package)}
-        assert named == there, (package, named ^ there)
+        existing = {path.stem for path in modules(package)}
+        assert named == existing, (package, named ^ existing)
 
 
-@then("each field of what is decoded has a reader, but those of this table")
+@then("each field of a decoded type is read, except for those in this table")
 def each_field_read(context):
     excepted = {row["field"] for row in context.table}
     assert find_unread() == excepted, find_unread() ^ excepted
 
 
-@then("vulture names nothing in the packages, but the stand-ins")
+@then("vulture reports nothing in the packages, except for the fakes")
 def nothing_unused(context):
     command = [sys.executable, "-m", "vulture"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
@@ -73,29 +75,29 @@
 def imports_allowed(context, package, allowed):
     names = set(re.findall(r"rookspring\w*", allowed)) | {package}
     for path in modules(package):
-        beyond = imported(path) - names
-        assert not beyond, (path.name, beyond)
+        forbidden = imported(path) - names
+        assert not forbidden, (path.name, forbidden)
         if "rookspring_fakes" in imported(path) and package == "rookspring":
             assert path.stem in DEMO, path.name
 
 
-@then("no module outside rookspring_platform names a header or field of the platform")
-def no_names(context):
+@then("no module outside rookspring_platform contains a header or field of the platform")
+def no_platform_terms(context):
     for package in ("rookspring_core", "rookspring", "rookspring_ctl"):
         for path in modules(package):
-            found = THEIRS.findall(path.read_text())
+            found = PLATFORM_TERMS.findall(path.read_text())
             assert not found, (path.name, found)
 
 
 def day_files():
-    """Give the path, text and content of each day file; there are ten at least."""
+    """Return the path, text and content of each day file, of which there are at least ten."""
     paths = sorted((ROOT / "deploy/days").glob("*.toml"))
     assert len(paths) >= 10, paths
     return [(path, path.read_text(), tomllib.loads(path.read_text())) for path in paths]
 
 
-@then("each day file says in its first line what it is for, and is named as its day")
-def day_files_told(context):
+@then("each day file begins with a sentence on its purpose, and has the name of its day")
+def day_files_named(context):
     for path, text, content in day_files():
         assert text.startswith("# ") and text.splitlines()[0].endswith("."), path.name
         (day,) = content["day"]
@@ -103,8 +105,8 @@
         assert day["plan"] or day["faults"], path.name
 
 
-@then("no day file names a service, a kind of request or a data centre of one deployment")
-def day_files_fit(context):
+@then("no day file names a service, class of requests or data centre of one deployment")
+def day_files_general(context):
     for path, _, content in day_files():
         (day,) = content["day"]
         for entry in (*day["plan"], *day["faults"]):
@@ -120,8 +122,8 @@
     context.report = json.dumps([{"status": "failed", "elements": elements}])
 
 
-@when("it is judged beside the list: {lines}")
-def judged(context, lines):
+@when("its results are compared with the list of known failures: {lines}")
+def compared(context, lines):
     known = read_known("" if lines == "none" else lines)
     context.verdict = count(context.report, known, whole=True)
 
@@ -131,8 +133,8 @@
     assert (context.verdict.passed, context.verdict.failed) == (passed, failed), context.verdict
 
 
-@then("the list {lines} is refused")
-def list_refused(context, lines):
+@then("the list of known failures {lines} is rejected")
+def list_rejected(context, lines):
     try:
         known = read_known("\n".join(lines.split(" / ")))
     except ValueError as error:
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -5,12 +5,10 @@
 import subprocess
 import sys
 import tempfile
-
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
-
 from rookspring.dialect import Errand
 from rookspring.exceptions import SettingsError
 from rookspring.http_messages import HttpHead
@@ -21,6 +19,8 @@
 from rookspring_platform import endpoints
 from rookspring_platform import read_settings
 
+
+
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 SETTINGS = {
     "node-name": "frontend-1",
@@ -83,23 +83,23 @@
             context.faults = error.faults
 
 
-@then("the node does not start and names {named}")
+@then("the node does not start, and the error names {named}")
 def names_field(context, named):
     (fault,) = context.faults
     assert fault.startswith(f"{named}: "), fault
 
 
-@then("the node is named and has a grace of {seconds:d} s")
+@then("the node has its name, and a grace period of {seconds:d} s")
 def has_grace(context, seconds):
     assert context.settings.name == "frontend-1"
     assert context.settings.grace_s == seconds
     assert context.settings.seeds == ("10.0.0.1:8144", "10.0.0.2:8144")
 
 
-@when("the daemon is started for the platform without a settings file")
-def started_without(context):
+@when("the node's process is started without a settings file")
+def started_without_settings(context):
     environment = {key: value for key, value in os.environ.items() if key != "ROOKSPRING_CONFIG"}
-    context.ended = subprocess.run(
+    context.exited = subprocess.run(
         [sys.executable, "-m", "rookspring_platform"],
         env=environment,
         capture_output=True,
@@ -109,10 +109,10 @@
     )
 
 
-@then("it ends with status {status:d} and names {named}")
-def ends_with(context, status, named):
-    assert context.ended.returncode == status, context.ended
-    lines = context.ended.stdout.splitlines()
+@then("it exits with code {status:d} and names {named}")
+def exits_with(context, status, named):
+    assert context.exited.returncode == status, context.exited
+    lines = context.exited.stdout.splitlines()
     assert len(lines) == 1 and named in lines[0], lines
 
 
@@ -121,7 +121,7 @@
     context.what = what
 
 
-def ask_of(prefix):
+def read_request(prefix):
     headers = (
         (b"X-Rookspring-Request-Id", b"9c41"),
         (b"Host", b"h"),
@@ -151,8 +151,8 @@
         REPORT.replace(b"false", b"true"), decoded_entry(), 2.0
     ),
     "a malformed report": lambda: endpoints.read_report(b"{}", decoded_entry(), 2.0),
-    "a request": lambda: ask_of(b"5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
-    "a request with one part": lambda: ask_of(b"e4402b7d:250"),
+    "a request": lambda: read_request(b"5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
+    "a request with one part": lambda: read_request(b"e4402b7d:250"),
 }
 FIELDS = {
     "orders taken": lambda one: "unknown" if one.order_token[1] < 0 else one.order_token[1],
@@ -179,18 +179,18 @@
     assert found == value, found
 
 
-WORDS = (
+TERMS = (
     "fencing-token|path-prefix|kv-used|server-stamp|expect-instance|cold-left-ms|not-executed"
     "|max-conns|slo-ms|ttl-s|as-of|token-count|prefix-hash|weights-mb|x-rookspring-request"
 )
 
 
-@when("the product's sources are searched for the platform's words")
-def search_words(context):
+@when("the product's sources are searched for the platform's terms")
+def search_terms(context):
     context.found = []
     for folder in ("rookspring-core", "rookspring", "rookspring-ctl"):
         for path in (ROOT / "packages" / folder).rglob("*.py"):
-            if re.search(WORDS, path.read_text(), re.IGNORECASE):
+            if re.search(TERMS, path.read_text(), re.IGNORECASE):
                 context.found.append(path.name)
 
 
@@ -214,14 +214,14 @@
     assert context.printed.split()[1].startswith("3.")
 
 
-@when("Python imports the platform's entry")
+@when("Python imports the platform's entry point")
 def import_entry(context):
     code = "import sys, rookspring_platform.__main__; print(*sys.modules, sep='\\n')"
     ended = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     context.loaded = {line.partition(".")[0] for line in ended.stdout.split()}
 
 
-@then("only libraries of requirements/relay.in are loaded")
+@then("only libraries of requirements/relay.in are imported")
 def only_declared(context):
     declared = (ROOT / "requirements" / "runtime.in").read_text().split()
     relay = (ROOT / "requirements" / "relay.in").read_text().split()
@@ -243,12 +243,12 @@
     assert count_lines(ROOT / "platform" / "src") * 10 < product
 
 
-@then("no part of a node imports the module that wires it")
-def no_circle(context):
+@then("no module of a node imports the module that assembles the node")
+def no_circular_imports(context):
     sources = ROOT / "packages" / "rookspring" / "src" / "rookspring"
-    above = {"node": {"cli", "stage"}, "relay_node": set()}
+    allowed_importers = {"node": {"cli", "stage"}, "relay_node": set()}
     for path in sources.glob("*.py"):
-        for module, allowed in above.items():
+        for module, allowed in allowed_importers.items():
             imports = rf"from \.{module} import|from \. import {module}\b"
             found = re.search(imports, path.read_text())
             assert not found or path.stem in allowed, path.name
@@ -273,8 +273,8 @@
     context.head = HttpHead(status, tuple(rows))
 
 
-@when("it is judged for request r1 of endpoint i1")
-def judged(context):
+@when("it is read as the answer to request r1 from endpoint i1")
+def read_as_answer(context):
     context.verdict = PlatformDialect().judge(context.head, "r1")
 
 
@@ -286,32 +286,32 @@
     assert (", ".join(found) or "foreign") == verdict, got
 
 
-@given("the head of a {status:d} with {lines}")
+@given("the headers of a {status:d} with {lines}")
 def an_answer_with_lines(context, status, lines):
     rows = (line.partition(":") for line in lines.split("; "))
     headers = tuple((name.encode(), value.strip().encode()) for name, _, value in rows)
     context.head = HttpHead(status, headers)
 
 
-@then("it says of its endpoint: {said}")
-def head_says(context, said):
+@then("its notice is: {notice}")
+def notice_is(context, notice):
     got = PlatformDialect().read_notice(context.head)
     flags = {"leaving": got.leaving, "misdirected": got.misdirected, "turned away": got.turned_away}
-    found = [f"life {got.process_name}"] if got.process_name and not got.is_empty() else []
+    found = [f"process {got.process_name}"] if got.process_name and not got.is_empty() else []
     found += [name for name, true in flags.items() if true]
-    found += [] if got.backoff_s is None else [f"rest {got.backoff_s:g} s"]
+    found += [] if got.backoff_s is None else [f"back-off {got.backoff_s:g} s"]
     found += [] if got.rate is None else [f"rate {got.rate:g}"]
     found += [f"malformed {got.malformed.strip()}"] if got.malformed else []
-    assert (", ".join(found) or "nothing") == said, got
+    assert (", ".join(found) or "nothing") == notice, got
 
 
-@given("an endpoint of start 5 that is known to {known}")
+@given("an endpoint with start time 5, known to {known}")
 def known_endpoint(context, known):
     context.known = RelayHarness().report("e1", started_ms=5)._replace(leaving=known == "leave")
 
 
-@when("its report tells the state {state} and the start {start:d}")
-def report_tells_state(context, state, start):
+@when("its report has the state {state} and the start time {start:d}")
+def report_has_state(context, state, start):
     raw = {
         "models": [],
         "utilization": False,
@@ -321,17 +321,17 @@
         "born": start,
         "state": int(state) if state.isdigit() else state,
     }
-    context.told = PlatformDialect().read_report(json.dumps(raw).encode(), context.known, 1.0)
+    context.reported = PlatformDialect().read_report(json.dumps(raw).encode(), context.known, 1.0)
 
 
-@then("it stays")
-def told_stays(context):
-    assert context.told is not None and not context.told.leaving, context.told
+@then("the endpoint stays")
+def endpoint_stays(context):
+    assert context.reported is not None and not context.reported.leaving, context.reported
 
 
-@then("it leaves")
-def told_leaves(context):
-    assert context.told is not None and context.told.leaving, context.told
+@then("the endpoint leaves")
+def endpoint_leaves(context):
+    assert context.reported is not None and context.reported.leaving, context.reported
 
 
 SET_BY_CALLER = b"set-by-the-caller"
@@ -348,23 +348,23 @@
     context.headers = [(header.encode(), SET_BY_CALLER)]
 
 
-@when("its headers are written for an endpoint")
-def headers_written(context):
+@when("its headers for an endpoint are built")
+def headers_built(context):
     errand = Errand(1.0, "i1", 0, "7")
-    context.written = PlatformDialect().errand_headers(context.headers, errand)
+    context.built = PlatformDialect().errand_headers(context.headers, errand)
 
 
 def values_of(context, header):
-    return [value for name, value in context.written if name.lower() == header.lower().encode()]
+    return [value for name, value in context.built if name.lower() == header.lower().encode()]
 
 
-@then("{header} is there {times:d} times, and never as the caller set it")
-def set_anew(context, header, times):
+@then("{header} is sent {times:d} times, and never with the caller's value")
+def replaced(context, header, times):
     values = values_of(context, header)
     assert len(values) == times, values
     assert SET_BY_CALLER not in values, values
 
 
-@then("{header} is there as the caller set it")
+@then("{header} is sent with the caller's value")
 def passed_on(context, header):
-    assert values_of(context, header) == [SET_BY_CALLER], context.written
+    assert values_of(context, header) == [SET_BY_CALLER], context.built
--- a/packages/rookspring-ctl/src/rookspring_ctl/__init__.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""Operator tool of rookspring."""
+"""The command-line tool for operators of rookspring."""
--- a/packages/rookspring-ctl/src/rookspring_ctl/cli.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/cli.py
@@ -1,11 +1,9 @@
-"""Command line of the operator tool."""
+"""Commands of the operator tool ``rookctl``."""
 
 import importlib.metadata
 import time
-import typing as t
-
 import typer
-
+import typing as t
 from . import timelines
 from .client import Server
 from .client import call
@@ -22,6 +20,8 @@
 from .tables import show
 from .tables import show_table
 
+
+
 app = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False)
 EXIT_DIFFERS = 1
 
@@ -38,14 +38,17 @@
 def root(
     context: typer.Context,
     server: t.Annotated[
-        str, typer.Option(envvar="ROOKCTL_SERVER", help="URL of a node, or several by commas.")
+        str,
+        typer.Option(
+            envvar="ROOKCTL_SERVER", help="URL of a node; several are separated by commas."
+        ),
     ] = "http://127.0.0.1:7401",
     key: t.Annotated[str, typer.Option(envvar="ROOKCTL_KEY", help="An operator's key.")] = "",
     version: t.Annotated[
         bool, typer.Option("--version", callback=_show_version, is_eager=True)
     ] = False,
 ) -> None:
-    """Operate rookspring by its resource API."""
+    """Operate rookspring through its resource API."""
     context.obj = Server(tuple(part.strip() for part in server.split(",") if part.strip()), key)
 
 
@@ -57,9 +60,11 @@
 def apply(
     context: typer.Context,
     file: t.Annotated[str, typer.Option("-f", "--file", help="YAML or JSON; - reads stdin.")],
-    wait_s: t.Annotated[float, typer.Option(help="Wait so long for acceptance.")] = 0.0,
+    wait_s: t.Annotated[
+        float, typer.Option(help="Seconds to wait until the changes are accepted.")
+    ] = 0.0,
 ) -> None:
-    """Create or change what a file declares."""
+    """Create or change the resources that a file declares."""
     documents = read_documents(file)
     failed: CtlError | None = None
     written: list[tuple[Document, int]] = []
@@ -94,20 +99,20 @@
 
 
 def _wait_accepted(server: Server, written: list[tuple[Document, int]], wait_s: float) -> None:
-    end = time.monotonic() + wait_s
-    left = list(written)
-    while left and time.monotonic() < end:
-        left = [one for one in left if not _accepted(server, *one)]
-        time.sleep(0.2 if left else 0.0)
-    for document, version in left:
+    deadline = time.monotonic() + wait_s
+    pending = list(written)
+    while pending and time.monotonic() < deadline:
+        pending = [one for one in pending if not _is_accepted(server, *one)]
+        time.sleep(0.2 if pending else 0.0)
+    for document, version in pending:
         status = call(server, "GET", _path(document.kind, document.name))["status"]
         reason = status["reason"] or f"version {version} is not accepted yet"
         typer.echo(f"{document.kind}/{document.name}: {reason}", err=True)
-    if left:
+    if pending:
         raise typer.Exit(1)
 
 
-def _accepted(server: Server, document: Document, version: int) -> bool:
+def _is_accepted(server: Server, document: Document, version: int) -> bool:
     status = call(server, "GET", _path(document.kind, document.name))["status"]
     return int(status["accepted_version"]) >= version
 
@@ -134,10 +139,10 @@
 
 @app.command()
 def describe(context: typer.Context, kind: str, name: str) -> None:
-    """Show a resource in full, with its status and recorded decisions."""
+    """Show a resource with its status and the decisions recorded about it."""
     answer = call(context.obj, "GET", _path(kind_of(kind), name))
     show(answer, Output.yaml, lambda: resource_rows([answer]))
-    _explain(context.obj, name)
+    _print_decisions(context.obj, name)
 
 
 @app.command()
@@ -145,7 +150,9 @@
     context: typer.Context,
     kind: str,
     name: str,
-    version: t.Annotated[int | None, typer.Option(help="Only if still at this version.")] = None,
+    version: t.Annotated[
+        int | None, typer.Option(help="Delete only if it still has this version.")
+    ] = None,
 ) -> None:
     """Delete a resource."""
     call(context.obj, "DELETE", _path(kind_of(kind), name), version=version)
@@ -156,10 +163,10 @@
 def watch(
     context: typer.Context,
     kind: str,
-    since: t.Annotated[int, typer.Option("--from", help="Version to go on from.")] = -1,
-    count: t.Annotated[int, typer.Option(help="End after so many changes; 0: never.")] = 0,
+    since: t.Annotated[int, typer.Option("--from", help="Show changes after this version.")] = -1,
+    count: t.Annotated[int, typer.Option(help="Exit after this many changes; 0: never.")] = 0,
 ) -> None:
-    """Follow changes of a kind; lists again where the version is too old."""
+    """Show the changes to resources of a kind as they are made."""
     path = _path(kind_of(kind))
     if since < 0:
         since = int(call(context.obj, "GET", path)["version"])
@@ -176,7 +183,7 @@
 
 @app.command()
 def diff(context: typer.Context, file: t.Annotated[str, typer.Option("-f", "--file")]) -> None:
-    """Show how a file differs from what is declared; exit code 1 if it does."""
+    """Show how a file differs from the declared resources; the exit code is 1 if it does."""
     differs = False
     for document in read_documents(file):
         label = f"{document.kind}/{document.name}"
@@ -196,7 +203,7 @@
 
 @app.command()
 def status(context: typer.Context, output: OutputOption = Output.table) -> None:
-    """Show boxes, lease, revision in force, models not resident, endpoints."""
+    """Show boxes, the lease, the revision in force, models not resident, and endpoints."""
     answer = call(context.obj, "GET", "status")
     show(answer, output, lambda: _status_rows(answer))
     if output is not Output.table:
@@ -232,9 +239,9 @@
 def top(
     context: typer.Context,
     interval_s: t.Annotated[float, typer.Option()] = 2.0,
-    count: t.Annotated[int, typer.Option(help="End after so many rounds; 0: never.")] = 0,
+    count: t.Annotated[int, typer.Option(help="Exit after this many updates; 0: never.")] = 0,
 ) -> None:
-    """Show load by endpoint, the busiest first, again and again."""
+    """Show the busiest endpoints with their load, and update this periodically."""
     rounds = 0
     while True:
         answer = call(context.obj, "GET", "status")
@@ -254,31 +261,32 @@
     subject: str,
     log: t.Annotated[
         typer.FileText | None,
-        typer.Option(help="Read a request's story from logs of the nodes; - reads stdin."),
+        typer.Option(help="Explain a request from a log of the nodes; - reads stdin."),
     ] = None,
 ) -> None:
-    """Tell why a request was refused, or a model or an endpoint was changed."""
+    """Explain why a request was refused, or a model or endpoint was changed."""
     if log is not None:
-        _tell_story(log, subject)
+        _print_timeline(log, subject)
         return
-    if not _explain(context.obj, subject):
+    if not _print_decisions(context.obj, subject):
         raise NotFound(f"{subject!r}: no node remembers a decision about it")
 
 
-def _tell_story(log: t.Iterable[str], request_id: str) -> None:
-    story = timelines.explain(log, request_id)
-    if story is None:
+def _print_timeline(log: t.Iterable[str], request_id: str) -> None:
+    timeline = timelines.explain(log, request_id)
+    if timeline is None:
         raise NotFound(f"{request_id!r}: no line of the log has this id")
-    for line in story.own:
+    for line in timeline.own:
         typer.echo(line.text)
-    if story.related:
+    if timeline.related:
         typer.echo("\nWhat may explain it:")
-    for line in story.related:
+    for line in timeline.related:
         typer.echo(line.text)
-    typer.echo(f"\n{story.verdict}")
+    typer.echo(f"\n{timeline.verdict}")
 
 
-def _explain(server: Server, subject: str) -> int:
+def _print_decisions(server: Server, subject: str) -> int:
+    """Print the decisions that any node remembers about a subject, and return their number."""
     found: list[tuple[str, ...]] = []
     for address in _all_addresses(server):
         try:
@@ -305,7 +313,7 @@
     context: typer.Context,
     box: t.Annotated[str, typer.Argument(help="Name of the box.")],
 ) -> None:
-    """Stop a box as planned: nothing in flight is cut."""
+    """Shut a box down gracefully: requests in flight are not cut off."""
     nodes = call(context.obj, "GET", "status")["nodes"]
     found = [one for one in nodes if one["name"] == box]
     if not found:
@@ -317,7 +325,7 @@
 
 
 def main() -> None:
-    """Run the command line; errors are one line each, with their exit code."""
+    """Run the command line; prints an error as one line and exits with its code."""
     try:
         app()
     except CtlError as error:
--- a/packages/rookspring-ctl/src/rookspring_ctl/client.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/client.py
@@ -1,22 +1,27 @@
-"""Client of the resource API; asks the next server when one does not answer."""
-
-import asyncio
-import typing as t
+"""Client of the resource API; tries the next node if one cannot be reached."""
 
 import aiohttp
+import asyncio
 import orjson
-
+import typing as t
 from .exceptions import Conflict
 from .exceptions import CtlError
 from .exceptions import Denied
 from .exceptions import NotFound
 from .exceptions import Unreachable
 
+
+
 _BY_STATUS: dict[int, type[CtlError]] = {401: Denied, 404: NotFound, 409: Conflict}
 
 
 class Server(t.NamedTuple):
-    """Where the nodes are and how to speak to them."""
+    """The nodes that a command may call.
+
+    :param addresses: base URLs, tried in this order.
+    :param key: an operator's key.
+    :param timeout_s: for one call, in seconds.
+    """
 
     addresses: tuple[str, ...]
     key: str
@@ -26,11 +31,12 @@
 def call(
     server: Server, method: str, path: str, body: t.Any = None, version: int | None = None
 ) -> t.Any:
-    """Call the resource API and give the decoded answer.
+    """Call the resource API and return the decoded response.
 
-    A write is tried at one server only, unless nothing was sent.
+    A write that may have been sent is not repeated at the next node: it may have taken effect.
 
-    :raises CtlError: one of its subclasses, by the kind of failure.
+    :param version: for ``If-Match``; None to send no condition.
+    :raises CtlError: or a subclass, depending on the failure.
     """
     return asyncio.run(_call(server, method, path, body, version))
 
@@ -41,28 +47,28 @@
         headers["If-Match"] = str(version)
     data = None if body is None else orjson.dumps(body)
     limit = aiohttp.ClientTimeout(total=server.timeout_s, connect=2.0)
-    last = "no server was given"
+    last_error = "no server was given"
     async with aiohttp.ClientSession(headers=headers, timeout=limit) as session:
         for address in server.addresses:
             url = f"{address.rstrip('/')}/api/v1/{path}"
             try:
                 async with session.request(method, url, data=data) as response:
-                    return _judge(response.status, await response.read())
+                    return _decode_response(response.status, await response.read())
             except aiohttp.ClientConnectorError as error:
-                last = f"{address}: {error.os_error.strerror}"
+                last_error = f"{address}: {error.os_error.strerror}"
             except (aiohttp.ClientError, TimeoutError, OSError) as error:
-                last = f"{address}: {type(error).__name__}"
+                last_error = f"{address}: {type(error).__name__}"
                 if method != "GET":
-                    text = f"{last}; the change may or may not have been made"
+                    text = f"{last_error}; the change may or may not have been made"
                     raise Unreachable(text) from None
-    raise Unreachable(last)
+    raise Unreachable(last_error)
 
 
-def _judge(status: int, raw: bytes) -> t.Any:
+def _decode_response(status: int, raw: bytes) -> t.Any:
     try:
         answer = orjson.loads(raw)
     except orjson.JSONDecodeError:
-        raise CtlError(f"status {status}: not the resource API") from None
+        raise CtlError(f"status {status}: the response is not from the resource API") from None
     if status < 400:
         return answer
     message = answer.get("error", {}).get("message", "refused")
--- a/packages/rookspring-ctl/src/rookspring_ctl/documents.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/documents.py
@@ -1,13 +1,13 @@
-"""Resource documents in YAML or JSON files, and the differences between two."""
+"""Resource documents in YAML or JSON files, and differences between specs."""
 
 import pathlib
 import sys
 import typing as t
-
 import yaml
-
 from .exceptions import UsageError
 
+
+
 KINDS = {
     "model": "Model",
     "models": "Model",
@@ -23,7 +23,10 @@
 
 
 class Document(t.NamedTuple):
-    """One resource as a file declares it."""
+    """A resource as a file declares it.
+
+    :param version: that the stored resource must have for a change; None if not stated.
+    """
 
     kind: str
     name: str
@@ -32,9 +35,9 @@
 
 
 def kind_of(text: str) -> str:
-    """Give the kind that an operator means.
+    """Return the kind for an operator's spelling of it: any case, singular or plural.
 
-    :raises UsageError: when there is none.
+    :raises UsageError: if there is no such kind.
     """
     found = KINDS.get(text.lower())
     if found is None:
@@ -46,7 +49,8 @@
 def read_documents(path: str) -> list[Document]:
     """Read all documents of a file; ``-`` is standard input.
 
-    :raises UsageError: naming the file, the document and the field at fault.
+    :raises UsageError: if the file can't be read or a document is invalid; the message names the
+        file and, if known, the document and the field.
     """
     try:
         text = sys.stdin.read() if path == "-" else pathlib.Path(path).read_text()
@@ -55,29 +59,32 @@
         raise UsageError(f"{path}: {error.strerror}") from None
     except (yaml.YAMLError, UnicodeDecodeError) as error:
         raise UsageError(f"{path}: {' '.join(str(error).split())}") from None
-    return [_read_one(path, number, one) for number, one in enumerate(raw, 1)]
+    return [_parse_document(path, number, one) for number, one in enumerate(raw, 1)]
 
 
-def _read_one(path: str, number: int, raw: t.Any) -> Document:
-    where = f"{path}, document {number}"
+def _parse_document(path: str, number: int, raw: t.Any) -> Document:
+    location = f"{path}, document {number}"
     if not isinstance(raw, dict):
-        raise UsageError(f"{where}: a mapping was expected")
+        raise UsageError(f"{location}: a mapping was expected")
     for field in ("kind", "name", "spec"):
         if field not in raw:
-            raise UsageError(f"{where}: {field} is missing")
+            raise UsageError(f"{location}: {field} is missing")
     unknown = sorted(set(raw) - {"kind", "name", "spec", "version", "status"})
     if unknown:
-        raise UsageError(f"{where}: {unknown[0]}: unknown field")
+        raise UsageError(f"{location}: {unknown[0]}: unknown field")
     if not isinstance(raw["spec"], dict):
-        raise UsageError(f"{where}: spec: a mapping was expected")
+        raise UsageError(f"{location}: spec: a mapping was expected")
     version = raw.get("version")
     if version is not None and not isinstance(version, int):
-        raise UsageError(f"{where}: version: a whole number was expected")
+        raise UsageError(f"{location}: version: a whole number was expected")
     return Document(kind_of(str(raw["kind"])), str(raw["name"]), raw["spec"], version)
 
 
 def compare(declared: dict[str, t.Any], found: dict[str, t.Any]) -> list[str]:
-    """List how a declared spec differs from the one found; absent fields keep defaults."""
+    """List the differences between a declared spec and the stored one, a line for each field.
+
+    A field that the declared spec lacks is not compared: it keeps its default.
+    """
     lines: list[str] = []
     for field, value in declared.items():
         known = found.get(field)
--- a/packages/rookspring-ctl/src/rookspring_ctl/tables.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/tables.py
@@ -1,17 +1,17 @@
-"""Output as tables, JSON or YAML."""
+"""Output of results as tables, JSON or YAML."""
 
 import enum
-import typing as t
-
 import orjson
 import typer
+import typing as t
 import yaml
 from rich.console import Console
 from rich.table import Table
 
 
+
 class Output(enum.StrEnum):
-    """Form of the output."""
+    """Output formats."""
 
     table = "table"
     json = "json"
@@ -19,9 +19,9 @@
 
 
 def show(value: t.Any, output: Output, rows: t.Callable[[], "Rows"]) -> None:
-    """Print a value in the form asked for.
+    """Print a value in an output format.
 
-    :param rows: builds the table's rows, if a table is asked for.
+    :param rows: builds the table; called only for the table format.
     """
     if output is Output.json:
         typer.echo(orjson.dumps(value, option=orjson.OPT_INDENT_2).decode())
@@ -32,14 +32,22 @@
 
 
 class Rows(t.NamedTuple):
-    """A table: column names and texts."""
+    """The contents of a table.
+
+    :param columns: column names.
+    :param rows: the texts of each row, in the order of the columns.
+    """
 
     columns: tuple[str, ...]
     rows: t.Sequence[tuple[str, ...]]
 
 
 def show_table(rows: Rows) -> None:
-    """Print a table; plain enough to be cut with common tools."""
+    """Print a table.
+
+    It has no borders, and is 160 columns wide where the output is not a terminal, so that tools
+    such as awk can process it.
+    """
     table = Table(box=None, pad_edge=False, header_style="bold")
     for name in rows.columns:
         table.add_column(name, overflow="fold")
@@ -49,7 +57,7 @@
 
 
 def resource_rows(items: list[dict[str, t.Any]]) -> Rows:
-    """Build the table of resources."""
+    """Build a table of resources, or of changes to them; a change may be a deletion."""
     rows: list[tuple[str, ...]] = []
     for one in items:
         status = one.get("status", {})
@@ -58,16 +66,17 @@
             continue
         accepted = "yes" if status.get("accepted") else "no"
         if not status.get("accepted") and not status.get("reason"):
+            # Neither accepted nor refused yet.
             accepted = "pending"
         resident = ", ".join(status.get("resident_on", []))
         detail = status.get("reason") or resident
-        force = f"{status.get('in_force_on', 0)}/{status.get('nodes', 0)}"
-        rows.append((one["kind"], one["name"], str(one["version"]), accepted, force, detail))
+        in_force = f"{status.get('in_force_on', 0)}/{status.get('nodes', 0)}"
+        rows.append((one["kind"], one["name"], str(one["version"]), accepted, in_force, detail))
     return Rows(("KIND", "NAME", "VERSION", "ACCEPTED", "IN FORCE", "RESIDENT ON / REASON"), rows)
 
 
 def endpoint_rows(items: list[dict[str, t.Any]]) -> Rows:
-    """Build the table of endpoints."""
+    """Build a table of endpoints."""
     rows = [
         (
             one["name"],
--- a/packages/rookspring-ctl/src/rookspring_ctl/timelines.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/timelines.py
@@ -1,24 +1,28 @@
-"""What a log stream tells of one request: its own lines, and those that explain them.
+"""Timelines of single requests from the nodes' logs: their lines, and related events.
 
-Nodes write one ``key=value`` line a decision. Whatever stands before ``event=`` is kept
-as it is; where it begins with a number, that is the time, in seconds.
+A node logs each event as a line of ``key=value`` pairs that begins with ``event=``. Log
+collectors may add a prefix. If the prefix begins with a number, that is the time in seconds, and
+its second word is the node.
 """
 
 import re
 import typing as t
 
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
-# Lines of other subjects count as related when they lie this close to the request's own,
-# in seconds: an endpoint's entry lapses three seconds after it fell silent.
+# Other lines count as related up to this many seconds before and after those of the request. It
+# exceeds the 3 s after which the entry of an endpoint that stopped responding lapses.
 NEAR_S = 5.0
-# Events that change what all requests meet.
-_COMMON = frozenset({"platform_down", "platform_up", "lease_acquired", "node_draining"})
+# Events that affect all requests at a node.
+_NODE_WIDE_EVENTS = frozenset({"platform_down", "platform_up", "lease_acquired", "node_draining"})
 
 
 class Line(t.NamedTuple):
-    """One line of a log.
+    """A logged event.
 
-    :param at: seconds; None where the line does not begin with a number.
+    :param at: time in seconds; None if the line does not begin with a number.
+    :param node: name of the node; empty if the line does not name it.
+    :param fields: the other pairs, without quotes.
+    :param text: the whole line, with its prefix.
     """
 
     at: float | None
@@ -29,7 +33,12 @@
 
 
 class Timeline(t.NamedTuple):
-    """A request's own lines, those that may explain them, and what they come to."""
+    """What a log contains about a request.
+
+    :param own_lines: the lines that carry the request's ID.
+    :param related_lines: events close in time that may have affected the request.
+    :param summary: how the request ended, in one sentence.
+    """
 
     own: tuple[Line, ...]
     related: tuple[Line, ...]
@@ -37,11 +46,11 @@
 
 
 def read_line(text: str) -> Line | None:
-    """Read a line; None where it is no event."""
-    head, sign, rest = text.partition("event=")
-    if not sign:
+    """Parse a line; returns None if it is not an event."""
+    prefix, separator, rest = text.partition("event=")
+    if not separator:
         return None
-    words = head.split()
+    words = prefix.split()
     fields = {key: value.strip('"') for key, value in _PAIR.findall("event=" + rest)}
     event = fields.pop("event", "")
     try:
@@ -53,49 +62,51 @@
 
 
 def explain(lines: t.Iterable[str], request_id: str) -> Timeline | None:
-    """Find what a log tells of a request; None where it does not name it."""
-    read = [line for text in lines if (line := read_line(text)) is not None]
-    own = tuple(line for line in read if line.fields.get("id") == request_id)
+    """Collect the lines of a request and the related ones; None if no line carries its ID."""
+    events = [line for text in lines if (line := read_line(text)) is not None]
+    own = tuple(line for line in events if line.fields.get("id") == request_id)
     if not own:
         return None
-    subjects = _subjects(own)
+    subjects = _find_subjects(own)
     related = tuple(
         line
-        for line in read
-        if "id" not in line.fields and _near(line, own) and _concerns(line, own[-1].node, subjects)
+        for line in events
+        if "id" not in line.fields
+        and _is_close(line, own)
+        and _is_related(line, own[-1].node, subjects)
     )
-    return Timeline(own, related, _judge(own, read))
+    return Timeline(own, related, _summarise(own, events))
 
 
-def _subjects(own: t.Iterable[Line]) -> frozenset[str]:
-    """Name the endpoints and the model that a request met."""
+def _find_subjects(own: t.Iterable[Line]) -> frozenset[str]:
+    """Return the names of the models and endpoints that a request used or was refused for."""
     names = {line.fields.get(key, "") for line in own for key in ("endpoint", "model")}
     for line in own:
-        # ``503 absent: MODEL is on none of …``
-        missing = re.match(r"503 absent: (\S+) is on none", line.fields.get("why", ""))
-        if missing:
-            names.add(missing[1].partition("/")[0])
+        # A request for a model without replicas: ``503 absent: MODEL is on none of …``.
+        absent = re.match(r"503 absent: (\S+) is on none", line.fields.get("why", ""))
+        if absent:
+            names.add(absent[1].partition("/")[0])
     return frozenset(names - {""})
 
 
-def _near(line: Line, own: tuple[Line, ...]) -> bool:
+def _is_close(line: Line, own: tuple[Line, ...]) -> bool:
     times = [one.at for one in own if one.at is not None]
     if line.at is None or not times:
         return True
     return min(times) - NEAR_S <= line.at <= max(times) + NEAR_S
 
 
-def _concerns(line: Line, node: str, subjects: frozenset[str]) -> bool:
-    if line.event in _COMMON:
+def _is_related(line: Line, node: str, subjects: frozenset[str]) -> bool:
+    if line.event in _NODE_WIDE_EVENTS:
         return line.event == "lease_acquired" or line.node == node
     if line.event in ("endpoint_gone", "endpoint_listed") and line.node != node:
-        # Every node writes these; the request's own is enough.
+        # All nodes log these, so only the lines of the request's node are used.
         return False
     words = set(re.findall(r"[\w.-]+", " ".join(line.fields.values())))
     return bool(words & subjects)
 
 
-def _judge(own: tuple[Line, ...], read: list[Line]) -> str:
+def _summarise(own: tuple[Line, ...], events: list[Line]) -> str:
     end = next((line for line in reversed(own) if line.event == "request_ended"), None)
     if end is None:
         return "no end was logged: its node was stopped, or dropped lines (lines_dropped)"
@@ -109,10 +120,10 @@
     endpoint = failed[-1].fields.get("endpoint", "")
     others = [
         line
-        for line in read
+        for line in events
         if line.event == "attempt_failed"
         and line.fields.get("endpoint") == endpoint
         and line.fields.get("id") != own[0].fields["id"]
-        and _near(line, own)
+        and _is_close(line, own)
     ]
     return f"{text}; {len(others)} other attempts failed at {endpoint} within {NEAR_S:g} s of it"
