--- a/bench/losses.py
+++ b/bench/losses.py
@@ -13,8 +13,8 @@
 import re
 import typing as t
 
-from rookspring_ctl.timelines import Line
-from rookspring_ctl.timelines import read_line
+from rookspring_ctl.timelines import LogLine
+from rookspring_ctl.timelines import parse_line
 
 from .registry import experiment
 from .registry import report
@@ -40,7 +40,7 @@
     resent: set[tuple[str, str]] = set()
     tries = []
     for text in lines:
-        line = read_line(text)
+        line = parse_line(text)
         if line is None or line.at is None:
             continue
         key = (line.node, line.fields.get("key", ""))
@@ -55,7 +55,7 @@
     return tries
 
 
-def judge(line: Line, waited_s: float, resent: bool) -> str:
+def judge(line: LogLine, waited_s: float, resent: bool) -> str:
     """Say what became of a try: ``in time``, ``late: …``, ``refused: …`` or ``lost: …``.
 
     :param waited_s: at the node, before its first attempt.
--- a/bench/relay_mutants.py
+++ b/bench/relay_mutants.py
@@ -207,7 +207,7 @@
 
 
 MUTANTS = (
-    Mutant("reads no list with odd bytes", "drain", store, "_loads", orjson.loads, ENTRIES),
+    Mutant("reads no list with odd bytes", "drain", store, "_decode_json", orjson.loads, ENTRIES),
     Mutant("asks for odd names as they are", "drain", store, "quote", _as_it_is, ENTRIES),
     Mutant(
         "uses what has turned bad for ever",
--- a/bench/starved.py
+++ b/bench/starved.py
@@ -13,8 +13,8 @@
 import statistics
 import typing as t
 
-from rookspring_ctl.timelines import Line
-from rookspring_ctl.timelines import read_line
+from rookspring_ctl.timelines import LogLine
+from rookspring_ctl.timelines import parse_line
 
 from .registry import experiment
 from .registry import report
@@ -64,7 +64,7 @@
     tries: dict[str, list[Asked]] = {}
     orders = []
     for text in lines:
-        line = read_line(text)
+        line = parse_line(text)
         if line is None or line.at is None:
             continue
         if line.event == "request_ended" and line.fields.get("model"):
@@ -76,7 +76,7 @@
     return Story(tries, orders)
 
 
-def _read_order(line: Line, at: float) -> Given:
+def _read_order(line: LogLine, at: float) -> Given:
     fields = line.fields
     return Given(
         at,
--- a/features/field_readers.py
+++ b/features/field_readers.py
@@ -23,7 +23,7 @@
     "rookspring_core/organisations.py": ("Organisation", "Allotment"),
     "rookspring/dialect.py": ("Ask", "Verdict", "OrderReply"),
     "rookspring/messages.py": (),
-    "rookspring_platform/entries.py": ("Entry", "Held", "Copies", "Report"),
+    "rookspring_platform/entries.py": ("Entry", "ResidentModel", "CachedModels", "Report"),
 }
 SUFFIX = "_unread"
 
--- a/features/house.feature
+++ b/features/house.feature
@@ -20,7 +20,7 @@
       | field                | why                                                             |
       | AskSlots.passed      | read from any message to an owner (relay_owners)                |
       | AskUnits.passed      | the same                                                        |
-      | SlotReply.origin     | read from any reply «OURS:an owner|THEIRS:of» «OURS:sends|THEIRS:an owner» (relay_owners)                  |
+      | SlotReply.origin     | read from any reply of an owner (relay_owners)                  |
       | UnitsReply.origin    | the same                                                        |
       | SlotFreed.passed     | the same                                                        |
       | UnitsReturned.passed | the same                                                        |
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -1,7 +1,8 @@
 import asyncio
 import json
-import orjson
 import time
+
+import orjson
 from aiohttp import web
 from behave import given
 from behave import then
@@ -12,6 +13,7 @@
 from hypothesis import strategies
 from relay_fixture import RelayFixture
 from relay_fixture import request
+
 from rookspring.platform import StoredObject
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
@@ -22,8 +24,6 @@
 from rookspring_platform.endpoints import read_entry
 from rookspring_platform.endpoints import read_report
 
-
-
 VALID = {
     "service": "llm",
     "address": "10.1.64.1:8122",
@@ -154,11 +154,11 @@
     def check_body(at, put):
         raw = whole[:at] + put + whole[at + len(put) :]
         try:
-            body = store_module._loads(raw)
+            body = store_module._decode_json(raw)
         except ValueError:
             return
         if isinstance(body, dict) and isinstance(body.get("items"), list):
-            store_module._read_rows("servers", body["items"], 0)
+            store_module._decode_objects("servers", body["items"], 0)
 
     places = strategies.integers(0, len(whole) - 1)
     pairs = strategies.tuples(places, strategies.binary(min_size=1, max_size=6))
@@ -171,8 +171,8 @@
     odd = good | {"metadata": {"name": "i2", "revision": 5}, "spec": "ODD"}
     whole = orjson.dumps({"items": [odd, good], "as-of": 9})
     for bytes_ in (b'"\xff\xfe"', b"NaN", b'"\x01"', b"1e999"):
-        body = store_module._loads(whole.replace(b'"ODD"', bytes_))
-        rows = store_module._read_rows("servers", body["items"], 0)
+        body = store_module._decode_json(whole.replace(b'"ODD"', bytes_))
+        rows = store_module._decode_objects("servers", body["items"], 0)
         assert [row.name for row in rows] == ["i2", "i1"], rows
         read_entry(rows[1], 0.0)
 
--- a/features/steps/house_steps.py
+++ b/features/steps/house_steps.py
@@ -5,6 +5,7 @@
 import subprocess
 import sys
 import tomllib
+
 from behave import given
 from behave import then
 from behave import when
@@ -12,7 +13,6 @@
 from run import count
 from run import read_known
 
-
 ROOT = pathlib.Path(__file__).parent.parent.parent
 PACKAGES = {
     "rookspring_core": ROOT / "packages/rookspring-core/src/rookspring_core",
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -5,10 +5,12 @@
 import subprocess
 import sys
 import tempfile
+
 from behave import given
 from behave import then
 from behave import when
 from relay_harness import RelayHarness
+
 from rookspring.dialect import Errand
 from rookspring.exceptions import SettingsError
 from rookspring.http_messages import HttpHead
@@ -19,8 +21,6 @@
 from rookspring_platform import endpoints
 from rookspring_platform import read_settings
 
-
-
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 SETTINGS = {
     "node-name": "frontend-1",
@@ -137,10 +137,10 @@
 
 
 DECODED = {
-    "a route": lambda: configuration._route(ROUTE),
-    "a split route": lambda: configuration._route({**ROUTE, "backends": SPLIT}),
-    "an engine": lambda: configuration._engine(ENGINE),
-    "a model": lambda: configuration._model(MODEL),
+    "a route": lambda: configuration._parse_route(ROUTE),
+    "a split route": lambda: configuration._parse_route({**ROUTE, "backends": SPLIT}),
+    "an engine": lambda: configuration._parse_engine(ENGINE),
+    "a model": lambda: configuration._parse_model(MODEL),
     "an entry": decoded_entry,
     "an entry with copies": lambda: decoded_entry(
         available={"in-memory": ["m"], "on-disk": ["m", "n"]}
--- a/packages/rookspring-ctl/src/rookspring_ctl/cli.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/cli.py
@@ -2,30 +2,30 @@
 
 import importlib.metadata
 import time
-import typer
 import typing as t
+
+import typer
+
 from . import timelines
-from .client import Server
+from .client import ApiServers
 from .client import call
 from .documents import Document
-from .documents import compare
-from .documents import kind_of
+from .documents import diff_specs
+from .documents import parse_kind
 from .documents import read_documents
 from .exceptions import CtlError
 from .exceptions import NotFound
-from .tables import Output
-from .tables import Rows
-from .tables import endpoint_rows
-from .tables import resource_rows
-from .tables import show
-from .tables import show_table
-
-
+from .tables import OutputFormat
+from .tables import TableData
+from .tables import make_endpoint_table
+from .tables import make_resource_table
+from .tables import print_output
+from .tables import print_table
 
 app = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False)
 EXIT_DIFFERS = 1
 
-OutputOption = t.Annotated[Output, typer.Option("-o", "--output")]
+OutputOption = t.Annotated[OutputFormat, typer.Option("-o", "--output")]
 
 
 def _show_version(value: bool) -> None:
@@ -49,7 +49,7 @@
     ] = False,
 ) -> None:
     """Operate rookspring through its resource API."""
-    context.obj = Server(tuple(part.strip() for part in server.split(",") if part.strip()), key)
+    context.obj = ApiServers(tuple(part.strip() for part in server.split(",") if part.strip()), key)
 
 
 def _path(kind: str, name: str = "") -> str:
@@ -80,13 +80,13 @@
         _wait_accepted(context.obj, written, wait_s)
 
 
-def _apply_one(server: Server, document: Document) -> int:
+def _apply_one(server: ApiServers, document: Document) -> int:
     path = _path(document.kind, document.name)
     version = document.version
     verb = "created"
     try:
         found = call(server, "GET", path)
-        if not compare(document.spec, found["spec"]):
+        if not diff_specs(document.spec, found["spec"]):
             typer.echo(f"{document.kind}/{document.name}: unchanged")
             return int(found["version"])
         version = found["version"] if version is None else version
@@ -98,7 +98,7 @@
     return int(answer["version"])
 
 
-def _wait_accepted(server: Server, written: list[tuple[Document, int]], wait_s: float) -> None:
+def _wait_accepted(server: ApiServers, written: list[tuple[Document, int]], wait_s: float) -> None:
     deadline = time.monotonic() + wait_s
     pending = list(written)
     while pending and time.monotonic() < deadline:
@@ -112,7 +112,7 @@
         raise typer.Exit(1)
 
 
-def _is_accepted(server: Server, document: Document, version: int) -> bool:
+def _is_accepted(server: ApiServers, document: Document, version: int) -> bool:
     status = call(server, "GET", _path(document.kind, document.name))["status"]
     return int(status["accepted_version"]) >= version
 
@@ -122,7 +122,7 @@
     context: typer.Context,
     kind: t.Annotated[str, typer.Argument(help="Model, Adapter, Service, Team, Policy, Endpoint")],
     name: t.Annotated[str, typer.Argument()] = "",
-    output: OutputOption = Output.table,
+    output: OutputOption = OutputFormat.table,
 ) -> None:
     """List resources of a kind, or show one."""
     if kind.lower() in ("endpoint", "endpoints"):
@@ -130,18 +130,18 @@
         items = [one for one in items if name in ("", one["name"])]
         if name and not items:
             raise NotFound(f"endpoint {name!r}: no such endpoint")
-        show(items, output, lambda: endpoint_rows(items))
+        print_output(items, output, lambda: make_endpoint_table(items))
         return
-    answer = call(context.obj, "GET", _path(kind_of(kind), name))
+    answer = call(context.obj, "GET", _path(parse_kind(kind), name))
     items = [answer] if name else answer["items"]
-    show(answer if name else items, output, lambda: resource_rows(items))
+    print_output(answer if name else items, output, lambda: make_resource_table(items))
 
 
 @app.command()
 def describe(context: typer.Context, kind: str, name: str) -> None:
     """Show a resource with its status and the decisions recorded about it."""
-    answer = call(context.obj, "GET", _path(kind_of(kind), name))
-    show(answer, Output.yaml, lambda: resource_rows([answer]))
+    answer = call(context.obj, "GET", _path(parse_kind(kind), name))
+    print_output(answer, OutputFormat.yaml, lambda: make_resource_table([answer]))
     _print_decisions(context.obj, name)
 
 
@@ -155,8 +155,8 @@
     ] = None,
 ) -> None:
     """Delete a resource."""
-    call(context.obj, "DELETE", _path(kind_of(kind), name), version=version)
-    typer.echo(f"{kind_of(kind)}/{name}: deleted")
+    call(context.obj, "DELETE", _path(parse_kind(kind), name), version=version)
+    typer.echo(f"{parse_kind(kind)}/{name}: deleted")
 
 
 @app.command()
@@ -167,7 +167,7 @@
     count: t.Annotated[int, typer.Option(help="Exit after this many changes; 0: never.")] = 0,
 ) -> None:
     """Show the changes to resources of a kind as they are made."""
-    path = _path(kind_of(kind))
+    path = _path(parse_kind(kind))
     if since < 0:
         since = int(call(context.obj, "GET", path)["version"])
     seen = 0
@@ -175,7 +175,7 @@
         answer = call(context.obj, "GET", f"{path}?watch=1&from={since}&timeout_s=10")
         since = int(answer["version"])
         if answer["items"]:
-            show_table(resource_rows(answer["items"]))
+            print_table(make_resource_table(answer["items"]))
         seen += len(answer["items"])
         if count and seen >= count:
             return
@@ -193,7 +193,7 @@
             typer.echo(f"{label}: would be created")
             differs = True
             continue
-        lines = compare(document.spec, found["spec"])
+        lines = diff_specs(document.spec, found["spec"])
         if lines:
             typer.echo("\n".join([f"{label}: would be changed", *lines]))
             differs = True
@@ -202,17 +202,17 @@
 
 
 @app.command()
-def status(context: typer.Context, output: OutputOption = Output.table) -> None:
+def status(context: typer.Context, output: OutputOption = OutputFormat.table) -> None:
     """Show boxes, the lease, the revision in force, models not resident, and endpoints."""
     answer = call(context.obj, "GET", "status")
-    show(answer, output, lambda: _status_rows(answer))
-    if output is not Output.table:
+    print_output(answer, output, lambda: _status_rows(answer))
+    if output is not OutputFormat.table:
         return
     typer.echo("")
-    show_table(endpoint_rows(answer["endpoints"]))
+    print_table(make_endpoint_table(answer["endpoints"]))
 
 
-def _status_rows(answer: dict[str, t.Any]) -> Rows:
+def _status_rows(answer: dict[str, t.Any]) -> TableData:
     typer.echo(
         f"lease: {answer['lease_holder'] or 'nobody'} (epoch {answer['lease_epoch']}); "
         f"revision {answer['revision']}, in force on {answer['in_force_on']} boxes; "
@@ -232,7 +232,7 @@
         )
         for one in answer["nodes"]
     ]
-    return Rows(("BOX", "DATA CENTRE", "ADDRESS", "REVISION", "STATE"), rows)
+    return TableData(("BOX", "DATA CENTRE", "ADDRESS", "REVISION", "STATE"), rows)
 
 
 @app.command()
@@ -248,7 +248,7 @@
         items = sorted(answer["endpoints"], key=lambda one: -one["load"])
         waiting = sum(answer["waiting"].values())
         typer.echo(f"requests {answer['requests']}, waiting {waiting}, moves {answer['moves']}")
-        show_table(endpoint_rows(items[:20]))
+        print_table(make_endpoint_table(items[:20]))
         rounds += 1
         if count and rounds >= count:
             return
@@ -273,19 +273,19 @@
 
 
 def _print_timeline(log: t.Iterable[str], request_id: str) -> None:
-    timeline = timelines.explain(log, request_id)
+    timeline = timelines.build_timeline(log, request_id)
     if timeline is None:
         raise NotFound(f"{request_id!r}: no line of the log has this id")
-    for line in timeline.own:
+    for line in timeline.own_lines:
         typer.echo(line.text)
-    if timeline.related:
+    if timeline.related_lines:
         typer.echo("\nWhat may explain it:")
-    for line in timeline.related:
+    for line in timeline.related_lines:
         typer.echo(line.text)
-    typer.echo(f"\n{timeline.verdict}")
+    typer.echo(f"\n{timeline.summary}")
 
 
-def _print_decisions(server: Server, subject: str) -> int:
+def _print_decisions(server: ApiServers, subject: str) -> int:
     """Print the decisions that any node remembers about a subject, and return their number."""
     found: list[tuple[str, ...]] = []
     for address in _all_addresses(server):
@@ -298,11 +298,11 @@
             found.append(row)
     if found:
         found.sort(key=lambda row: -float(row[1]))
-        show_table(Rows(("BOX", "SECONDS AGO", "SUBJECT", "DECISION", "WHY"), found))
+        print_table(TableData(("BOX", "SECONDS AGO", "SUBJECT", "DECISION", "WHY"), found))
     return len(found)
 
 
-def _all_addresses(server: Server) -> list[str]:
+def _all_addresses(server: ApiServers) -> list[str]:
     nodes = call(server, "GET", "status")["nodes"]
     scheme = server.addresses[0].partition("://")[0]
     return [f"{scheme}://{one['address']}" for one in nodes]
--- a/packages/rookspring-ctl/src/rookspring_ctl/client.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/client.py
@@ -1,21 +1,21 @@
 """Client of the resource API; tries the next node if one cannot be reached."""
 
-import aiohttp
 import asyncio
-import orjson
 import typing as t
+
+import aiohttp
+import orjson
+
 from .exceptions import Conflict
 from .exceptions import CtlError
 from .exceptions import Denied
 from .exceptions import NotFound
 from .exceptions import Unreachable
 
-
-
 _BY_STATUS: dict[int, type[CtlError]] = {401: Denied, 404: NotFound, 409: Conflict}
 
 
-class Server(t.NamedTuple):
+class ApiServers(t.NamedTuple):
     """The nodes that a command may call.
 
     :param addresses: base URLs, tried in this order.
@@ -29,7 +29,7 @@
 
 
 def call(
-    server: Server, method: str, path: str, body: t.Any = None, version: int | None = None
+    server: ApiServers, method: str, path: str, body: t.Any = None, version: int | None = None
 ) -> t.Any:
     """Call the resource API and return the decoded response.
 
@@ -41,7 +41,9 @@
     return asyncio.run(_call(server, method, path, body, version))
 
 
-async def _call(server: Server, method: str, path: str, body: t.Any, version: int | None) -> t.Any:
+async def _call(
+    server: ApiServers, method: str, path: str, body: t.Any, version: int | None
+) -> t.Any:
     headers = {"Authorization": f"Bearer {server.key}"}
     if version is not None:
         headers["If-Match"] = str(version)
--- a/packages/rookspring-ctl/src/rookspring_ctl/documents.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/documents.py
@@ -3,10 +3,10 @@
 import pathlib
 import sys
 import typing as t
-import yaml
-from .exceptions import UsageError
 
+import yaml
 
+from .exceptions import UsageError
 
 KINDS = {
     "model": "Model",
@@ -34,7 +34,7 @@
     version: int | None = None
 
 
-def kind_of(text: str) -> str:
+def parse_kind(text: str) -> str:
     """Return the kind for an operator's spelling of it: any case, singular or plural.
 
     :raises UsageError: if there is no such kind.
@@ -77,10 +77,10 @@
     version = raw.get("version")
     if version is not None and not isinstance(version, int):
         raise UsageError(f"{location}: version: a whole number was expected")
-    return Document(kind_of(str(raw["kind"])), str(raw["name"]), raw["spec"], version)
+    return Document(parse_kind(str(raw["kind"])), str(raw["name"]), raw["spec"], version)
 
 
-def compare(declared: dict[str, t.Any], found: dict[str, t.Any]) -> list[str]:
+def diff_specs(declared: dict[str, t.Any], found: dict[str, t.Any]) -> list[str]:
     """List the differences between a declared spec and the stored one, a line for each field.
 
     A field that the declared spec lacks is not compared: it keeps its default.
--- a/packages/rookspring-ctl/src/rookspring_ctl/tables.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/tables.py
@@ -1,16 +1,16 @@
 """Output of results as tables, JSON or YAML."""
 
 import enum
+import typing as t
+
 import orjson
 import typer
-import typing as t
 import yaml
 from rich.console import Console
 from rich.table import Table
 
 
-
-class Output(enum.StrEnum):
+class OutputFormat(enum.StrEnum):
     """Output formats."""
 
     table = "table"
@@ -18,20 +18,20 @@
     yaml = "yaml"
 
 
-def show(value: t.Any, output: Output, rows: t.Callable[[], "Rows"]) -> None:
+def print_output(value: t.Any, output: OutputFormat, rows: t.Callable[[], "TableData"]) -> None:
     """Print a value in an output format.
 
     :param rows: builds the table; called only for the table format.
     """
-    if output is Output.json:
+    if output is OutputFormat.json:
         typer.echo(orjson.dumps(value, option=orjson.OPT_INDENT_2).decode())
-    elif output is Output.yaml:
+    elif output is OutputFormat.yaml:
         typer.echo(yaml.safe_dump(value, sort_keys=False).rstrip())
     else:
-        show_table(rows())
+        print_table(rows())
 
 
-class Rows(t.NamedTuple):
+class TableData(t.NamedTuple):
     """The contents of a table.
 
     :param columns: column names.
@@ -42,7 +42,7 @@
     rows: t.Sequence[tuple[str, ...]]
 
 
-def show_table(rows: Rows) -> None:
+def print_table(rows: TableData) -> None:
     """Print a table.
 
     It has no borders, and is 160 columns wide where the output is not a terminal, so that tools
@@ -56,7 +56,7 @@
     Console(width=None if Console().is_terminal else 160, highlight=False).print(table)
 
 
-def resource_rows(items: list[dict[str, t.Any]]) -> Rows:
+def make_resource_table(items: list[dict[str, t.Any]]) -> TableData:
     """Build a table of resources, or of changes to them; a change may be a deletion."""
     rows: list[tuple[str, ...]] = []
     for one in items:
@@ -72,10 +72,12 @@
         detail = status.get("reason") or resident
         in_force = f"{status.get('in_force_on', 0)}/{status.get('nodes', 0)}"
         rows.append((one["kind"], one["name"], str(one["version"]), accepted, in_force, detail))
-    return Rows(("KIND", "NAME", "VERSION", "ACCEPTED", "IN FORCE", "RESIDENT ON / REASON"), rows)
+    return TableData(
+        ("KIND", "NAME", "VERSION", "ACCEPTED", "IN FORCE", "RESIDENT ON / REASON"), rows
+    )
 
 
-def endpoint_rows(items: list[dict[str, t.Any]]) -> Rows:
+def make_endpoint_table(items: list[dict[str, t.Any]]) -> TableData:
     """Build a table of endpoints."""
     rows = [
         (
@@ -91,4 +93,4 @@
         for one in items
     ]
     columns = ("NAME", "ROLE", "DATA CENTRE", "STATE", "LOAD", "MEMORY GB", "CHECKS", "RESIDENT")
-    return Rows(columns, rows)
+    return TableData(columns, rows)
--- a/packages/rookspring-ctl/src/rookspring_ctl/timelines.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/timelines.py
@@ -11,12 +11,12 @@
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S+)')
 # Other lines count as related up to this many seconds before and after those of the request. It
 # exceeds the 3 s after which the entry of an endpoint that stopped responding lapses.
-NEAR_S = 5.0
+RELATED_WITHIN_S = 5.0
 # Events that affect all requests at a node.
 _NODE_WIDE_EVENTS = frozenset({"platform_down", "platform_up", "lease_acquired", "node_draining"})
 
 
-class Line(t.NamedTuple):
+class LogLine(t.NamedTuple):
     """A logged event.
 
     :param at: time in seconds; None if the line does not begin with a number.
@@ -40,12 +40,12 @@
     :param summary: how the request ended, in one sentence.
     """
 
-    own: tuple[Line, ...]
-    related: tuple[Line, ...]
-    verdict: str
+    own_lines: tuple[LogLine, ...]
+    related_lines: tuple[LogLine, ...]
+    summary: str
 
 
-def read_line(text: str) -> Line | None:
+def parse_line(text: str) -> LogLine | None:
     """Parse a line; returns None if it is not an event."""
     prefix, separator, rest = text.partition("event=")
     if not separator:
@@ -58,12 +58,12 @@
     except ValueError:
         at = None
     node = words[1] if at is not None and len(words) > 1 else ""
-    return Line(at, node, event, fields, text.rstrip("\n"))
+    return LogLine(at, node, event, fields, text.rstrip("\n"))
 
 
-def explain(lines: t.Iterable[str], request_id: str) -> Timeline | None:
+def build_timeline(lines: t.Iterable[str], request_id: str) -> Timeline | None:
     """Collect the lines of a request and the related ones; None if no line carries its ID."""
-    events = [line for text in lines if (line := read_line(text)) is not None]
+    events = [line for text in lines if (line := parse_line(text)) is not None]
     own = tuple(line for line in events if line.fields.get("id") == request_id)
     if not own:
         return None
@@ -78,7 +78,7 @@
     return Timeline(own, related, _summarise(own, events))
 
 
-def _find_subjects(own: t.Iterable[Line]) -> frozenset[str]:
+def _find_subjects(own: t.Iterable[LogLine]) -> frozenset[str]:
     """Return the names of the models and endpoints that a request used or was refused for."""
     names = {line.fields.get(key, "") for line in own for key in ("endpoint", "model")}
     for line in own:
@@ -89,14 +89,14 @@
     return frozenset(names - {""})
 
 
-def _is_close(line: Line, own: tuple[Line, ...]) -> bool:
+def _is_close(line: LogLine, own: tuple[LogLine, ...]) -> bool:
     times = [one.at for one in own if one.at is not None]
     if line.at is None or not times:
         return True
-    return min(times) - NEAR_S <= line.at <= max(times) + NEAR_S
+    return min(times) - RELATED_WITHIN_S <= line.at <= max(times) + RELATED_WITHIN_S
 
 
-def _is_related(line: Line, node: str, subjects: frozenset[str]) -> bool:
+def _is_related(line: LogLine, node: str, subjects: frozenset[str]) -> bool:
     if line.event in _NODE_WIDE_EVENTS:
         return line.event == "lease_acquired" or line.node == node
     if line.event in ("endpoint_gone", "endpoint_listed") and line.node != node:
@@ -106,7 +106,7 @@
     return bool(words & subjects)
 
 
-def _summarise(own: tuple[Line, ...], events: list[Line]) -> str:
+def _summarise(own: tuple[LogLine, ...], events: list[LogLine]) -> str:
     end = next((line for line in reversed(own) if line.event == "request_ended"), None)
     if end is None:
         return "no end was logged: its node was stopped, or dropped lines (lines_dropped)"
@@ -126,4 +126,7 @@
         and line.fields.get("id") != own[0].fields["id"]
         and _is_close(line, own)
     ]
-    return f"{text}; {len(others)} other attempts failed at {endpoint} within {NEAR_S:g} s of it"
+    return (
+        f"{text}; {len(others)} other attempts failed at {endpoint} "
+        f"within {RELATED_WITHIN_S:g} s of it"
+    )
