--- a/bench/idle.py
+++ b/bench/idle.py
@@ -9,8 +9,8 @@
 import aiohttp
 import uvloop
 
+from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
-from rookspring.stage import StagePlan
 from rookspring_fakes import USERS
 
 from .live import raised
@@ -43,7 +43,7 @@
 
 
 async def _run(user: str, nodes: int, seconds: float) -> dict[str, t.Any]:
-    plan = StagePlan(USERS[user], base_port=8300)
+    plan = LocalClusterPlan(USERS[user], base_port=8300)
     async with raised(plan, range(1, nodes + 1)) as boxes:
         await asyncio.sleep(8.0)
         pids = [process.pid for process in boxes.running.values()]
--- a/bench/live.py
+++ b/bench/live.py
@@ -10,20 +10,20 @@
 
 import aiohttp
 
-from rookspring.stage import Stage
-from rookspring.stage import StagePlan
+from rookspring.local_cluster import LocalCluster
+from rookspring.local_cluster import LocalClusterPlan
 
 
 class Boxes:
     """Nodes as processes of the real daemon, which can be killed, paused and drained."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: LocalCluster) -> None:
         self.stage = stage
         self.running: dict[int, subprocess.Popen[bytes]] = {}
 
     def start(self, number: int) -> None:
         """Start a box and list it."""
-        settings = self.stage.settings_of(number)
+        settings = self.stage.make_settings(number)
         flags = {
             "--name": settings.name,
             "--data-centre": settings.data_centre,
@@ -41,7 +41,7 @@
 
     def address(self, number: int) -> str:
         """Give where callers reach a box."""
-        return self.stage.settings_of(number).caller_address
+        return self.stage.make_settings(number).caller_address
 
     def signal(self, number: int, which: int) -> None:
         """Send a signal to a box."""
@@ -87,10 +87,10 @@
 
 
 @contextlib.asynccontextmanager
-async def raised(plan: StagePlan, numbers: t.Sequence[int]) -> t.AsyncIterator[Boxes]:
+async def raised(plan: LocalClusterPlan, numbers: t.Sequence[int]) -> t.AsyncIterator[Boxes]:
     """Raise stand-ins here and boxes as processes, with resources in force, and end all."""
-    stage = Stage(plan._replace(nodes=0, quiet=True))
-    await stage.rise()
+    stage = LocalCluster(plan._replace(nodes=0, quiet=True))
+    await stage.start()
     boxes = Boxes(stage)
     try:
         for number in numbers:
--- a/bench/once.py
+++ b/bench/once.py
@@ -15,10 +15,10 @@
 import orjson
 import uvloop
 
+from rookspring.local_cluster import KEY
+from rookspring.local_cluster import LocalCluster
+from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
-from rookspring.stage import KEY
-from rookspring.stage import Stage
-from rookspring.stage import StagePlan
 from rookspring_fakes.users import SMALL
 
 from .live import Boxes
@@ -127,9 +127,9 @@
 
 async def _run(
     calls: int, workers: int, pause_s: float, tells: bool
-) -> tuple[Ledgerbook, Stage, dict[str, int], float]:
+) -> tuple[Ledgerbook, LocalCluster, dict[str, int], float]:
     numbers = [1, 2, 3, 4, 5, 6]
-    async with raised(StagePlan(SMALL, base_port=7900), numbers) as boxes:
+    async with raised(LocalClusterPlan(SMALL, base_port=7900), numbers) as boxes:
         stage = boxes.stage
         for service in stage.services.values():
             service.faults.applied_unanswered = 0.01
--- a/bench/organisation_mutants.py
+++ b/bench/organisation_mutants.py
@@ -25,7 +25,7 @@
 
 _JUDGE = keys.check_key
 _ASK = SlotQueue.request_slot
-_ERRAND_HEADERS = PlatformDialect.errand_headers
+_FORWARD_HEADERS = PlatformDialect.forward_headers
 
 
 def _proved_when_heard(at: float, as_of: float, version: int) -> TableProved:
@@ -57,8 +57,8 @@
     return KeyVerdict(401, "unknown_key") if verdict.may_wait else verdict
 
 
-def _passes_the_key(self: PlatformDialect, headers: t.Any, errand: t.Any) -> list[t.Any]:
-    return _ERRAND_HEADERS(self, headers, errand._replace(keyed=False))
+def _passes_the_key(self: PlatformDialect, headers: t.Any, fields: t.Any) -> list[t.Any]:
+    return _FORWARD_HEADERS(self, headers, fields._replace(keyed=False))
 
 
 def _granted_alone(self: Allotments, name: str, granted: t.Any, now: float, since: float) -> float:
@@ -98,7 +98,7 @@
     Mutant("asks for keys at arrival alone", "keys", keys, "find_fault", _nothing, ORGANISATIONS),
     Mutant("denies new keys", "keys", keys, "check_key", _denies_at_once, ORGANISATIONS),
     Mutant(
-        "passes keys on", "keys", PlatformDialect, "errand_headers", _passes_the_key, ORGANISATIONS
+        "passes keys on", "keys", PlatformDialect, "forward_headers", _passes_the_key, ORGANISATIONS
     ),
     Mutant(
         "lets callers name themselves",
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -16,11 +16,11 @@
 import orjson
 import uvloop
 
+from rookspring.local_cluster import LocalCluster
+from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
 from rookspring.node import Node
 from rookspring.settings import Settings
-from rookspring.stage import Stage
-from rookspring.stage import StagePlan
 from rookspring_fakes.users import SMALL
 
 from .registry import experiment
@@ -102,15 +102,15 @@
     return Sample(first, time.perf_counter() - begun, tokens, events)
 
 
-def _serve_stand_ins(plan: StagePlan, pipe: t.Any) -> None:
+def _serve_stand_ins(plan: LocalClusterPlan, pipe: t.Any) -> None:
     """Run the platform and the runners in this process until it is ended."""
     configure("ERROR")
 
     async def run() -> None:
-        stage = Stage(plan)
-        await stage.rise()
+        stage = LocalCluster(plan)
+        await stage.start()
         settings = [
-            stage.settings_of(number + 1)._replace(full_checks=False) for number in range(2)
+            stage.make_settings(number + 1)._replace(full_checks=False) for number in range(2)
         ]
         for one in settings:
             stage.list_node(one)
@@ -178,7 +178,7 @@
     parser.add_argument("--stream-rate", type=float, default=100.0, help="tokens/s of a stream")
     parser.add_argument("--profile", default="")
     options = parser.parse_args(arguments)
-    plan = StagePlan(
+    plan = LocalClusterPlan(
         SMALL,
         base_port=7700,
         nodes=0,
@@ -215,7 +215,7 @@
     return 0
 
 
-async def _run(plan: StagePlan, options: argparse.Namespace) -> dict[str, t.Any]:
+async def _run(plan: LocalClusterPlan, options: argparse.Namespace) -> dict[str, t.Any]:
     context = multiprocessing.get_context("spawn")
     pipe, far = context.Pipe()
     stand_ins = context.Process(target=_serve_stand_ins, args=(plan, far), daemon=True)
@@ -226,7 +226,7 @@
     try:
         addresses = [one.caller_address for one in settings]
         await _wait_up(addresses)
-        await Stage(plan).apply_at(addresses)
+        await LocalCluster(plan).apply_at(addresses)
         return await _measure(
             pipe.recv(), addresses, options.rounds, options.streams, nodes.pid or 0
         )
--- a/bench/relay_mutants.py
+++ b/bench/relay_mutants.py
@@ -121,15 +121,15 @@
     return []
 
 
-_judge = PlatformDialect.judge
+_match_answer = PlatformDialect.match_answer
 
 
 def _anybodys(self: PlatformDialect, head: t.Any, request_id: str) -> t.Any:
-    return _judge(self, head, request_id)._replace(mine=True)
+    return _match_answer(self, head, request_id)._replace(matches=True)
 
 
 def _reset_is_not_run(self: PlatformDialect, head: t.Any, request_id: str) -> t.Any:
-    return _judge(self, head, request_id)._replace(not_run=True)
+    return _match_answer(self, head, request_id)._replace(not_run=True)
 
 
 def _everyone_known(peers: t.Any) -> set[str]:
@@ -321,8 +321,14 @@
         "unloads models that are in use", "attainment", planning.attaching, "list_used", _nobody
     ),
     Mutant("misses no replica", "attainment", swapping.SwapBoard, "loss", _alone),
-    Mutant("takes anybody's answer", "foreign answers", PlatformDialect, "judge", _anybodys),
-    Mutant("takes any answer for not run", "refusals", PlatformDialect, "judge", _reset_is_not_run),
+    Mutant("takes anybody's answer", "foreign answers", PlatformDialect, "match_answer", _anybodys),
+    Mutant(
+        "takes any answer for not run",
+        "refusals",
+        PlatformDialect,
+        "match_answer",
+        _reset_is_not_run,
+    ),
 )
 
 
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -7,9 +7,9 @@
 
 import uvloop
 
+from rookspring.local_cluster import LocalCluster
+from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
-from rookspring.stage import Stage
-from rookspring.stage import StagePlan
 from rookspring_fakes import Caller
 from rookspring_fakes.caller import Answer
 from rookspring_fakes.caller import expected_text
@@ -40,7 +40,7 @@
         found.append(Outcome(answer, expected_text(model, prompt, TOKENS)))
 
 
-async def _kill_runners(stage: Stage, until: asyncio.Event, seed: int) -> int:
+async def _kill_runners(stage: LocalCluster, until: asyncio.Event, seed: int) -> int:
     """Break a runner's connections and streams now and then."""
     chance = random.Random(seed)
     count = 0
@@ -57,7 +57,7 @@
 
 
 async def _run(streams: int, workers: int) -> dict[str, t.Any]:
-    plan = StagePlan(SMALL, base_port=8100, slots=64, token_rate=8000.0)
+    plan = LocalClusterPlan(SMALL, base_port=8100, slots=64, token_rate=8000.0)
     numbers = [1, 2, 3, 4, 5]
     async with raised(plan, numbers) as boxes:
         seeds = [boxes.address(number) for number in numbers]
--- a/features/environment.py
+++ b/features/environment.py
@@ -2,16 +2,16 @@
 
 import asyncio
 import threading
+
 import uvloop
 from ports import find_base
+
+from rookspring.local_cluster import LocalCluster
+from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
-from rookspring.stage import Stage
-from rookspring.stage import StagePlan
 from rookspring_fakes.users import SMALL
 
 
-
-
 class LoopThread:
     """Runs an event loop in a thread; steps run coroutines in it and wait for their results."""
 
@@ -40,13 +40,13 @@
     if "sockets" not in feature.tags:
         return
     context.loop = LoopThread()
-    plan = StagePlan(
+    plan = LocalClusterPlan(
         SMALL, base_port=find_base(), quiet=True, trace_file=_trace_file(context, feature)
     )
 
     async def start():
-        stage = Stage(plan)
-        await stage.rise()
+        stage = LocalCluster(plan)
+        await stage.start()
         await stage.apply()
         return stage
 
@@ -78,7 +78,7 @@
         return
     context.loop.run(end(context.stage))
     context.loop.stop()
-    assert not context.stage.broken, context.stage.broken
+    assert not context.stage.violations, context.stage.violations
 
 
 def after_scenario(context, scenario):
--- a/features/field_readers.py
+++ b/features/field_readers.py
@@ -21,7 +21,7 @@
     "rookspring_core/notices.py": ("Notice",),
     "rookspring_core/routes.py": ("Route", "Split", "ModelSize", "EngineSize", "ServiceSize"),
     "rookspring_core/organisations.py": ("Organisation", "Allotment"),
-    "rookspring/dialect.py": ("Ask", "Verdict", "OrderReply"),
+    "rookspring/dialect.py": ("RequestFields", "AnswerMatch", "OrderReply"),
     "rookspring/messages.py": (),
     "rookspring_platform/entries.py": ("Entry", "ResidentModel", "CachedModels", "Report"),
 }
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -61,17 +61,17 @@
 
     Examples:
       | status | headers             | verdict       |
-      | 200    | id r1               | mine          |
+      | 200    | id r1               | matches                  |
       | 200    | id r2               | foreign       |
       | 200    | no id               | foreign       |
-      | 503    | id r1, not-executed | mine, not run |
-      | 503    | id r1               | mine          |
-      | 500    | id r1               | mine          |
-      | 504    | id r1               | mine          |
-      | 429    | id r1, not-executed | mine, not run |
-      | 421    | id r1               | mine, not run |
-      | 421    | id r1, instance i2  | mine, not run |
-      | 200    | id r1, closing      | mine          |
+      | 503    | id r1, not-executed | matches, not run         |
+      | 503    | id r1               | matches                  |
+      | 500    | id r1               | matches                  |
+      | 504    | id r1               | matches                  |
+      | 429    | id r1, not-executed | matches, not run         |
+      | 421    | id r1               | matches, not run         |
+      | 421    | id r1, instance i2  | matches, not run         |
+      | 200    | id r1, closing      | matches                  |
 
   Scenario Outline: the leaving state of a report applies to the reporting process only
     Given an endpoint with start time 5, known to <known>
--- a/features/relay_fixture.py
+++ b/features/relay_fixture.py
@@ -115,7 +115,7 @@
             task.cancel()
         await asyncio.gather(*self.node.context.tasks, return_exceptions=True)
         for listener in self.node.listeners.values():
-            listener.stop_taking()
+            listener.stop_accepting()
         await self.node.peers.server.close()
         await self.node.context.platform.close()
         self.settings = self.settings._replace(**changed)
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -203,7 +203,7 @@
             async for chunk in chunks:
                 tokens += len(chunk.tokens)
         except EndpointError as error:
-            if error.said_not_run:
+            if error.reported_not_run:
                 return "not-run"
             return "broken" if error.sent else "unsent"
         return f"{tokens}-tokens"
--- a/features/steps/crash_socket_steps.py
+++ b/features/steps/crash_socket_steps.py
@@ -20,7 +20,7 @@
     async def work():
         # The runners that exist already crash on it as well.
         for one in range(number):
-            await stage.raise_runner(SMALL.runners + one, text)
+            await stage.start_runner(SMALL.runners + one, text)
         for runner in stage.runners.values():
             runner.fatal_text = text
         await asyncio.sleep(1.0)
@@ -51,7 +51,7 @@
 
 @then("no more than {most:d} runners have crashed")
 def ended(context, most):
-    found = context.stage.ended_runners
+    found = context.stage.crashed_runners
     assert 2 <= len(found) <= most, (found, [one[0] for one in context.answers])
 
 
--- a/features/steps/house_steps.py
+++ b/features/steps/house_steps.py
@@ -22,7 +22,7 @@
     "rookspring_ctl": ROOT / "packages/rookspring-ctl/src/rookspring_ctl",
 }
 # The modules of the demonstration, which uses the fakes.
-DEMO = {"cli", "demonstration", "stage"}
+DEMO = {"cli", "demonstration", "local_cluster"}
 # Terms of the platform for which the project has others.
 PLATFORM_TERMS = re.compile(
     r"X-Rookspring-Tenant|api-keys|rate-per-s|plain-tokens|path-prefix|as-of"
--- a/features/steps/notice_socket_steps.py
+++ b/features/steps/notice_socket_steps.py
@@ -109,19 +109,19 @@
 def waits_for_connection(context, line):
     relay = context.relay
     pool = relay.node.context.pool
-    take = pool.take
+    acquire = pool.acquire
     going = asyncio.Event()
     held = []
 
-    async def slow_take(address, sure):
+    async def slow_acquire(address, wide_margin):
         if held:
-            return await take(address, sure)
+            return await acquire(address, wide_margin)
         held.append(address)
         await going.wait()
-        return await take(address, sure)
+        return await acquire(address, wide_margin)
 
     async def work():
-        pool.take = slow_take
+        pool.acquire = slow_acquire
         waiting = asyncio.ensure_future(relay.ask(request("unsafe", 1)))
         await relay.until(lambda: held)
         relay.servers[0].says.append(line)
--- a/features/steps/operation_steps.py
+++ b/features/steps/operation_steps.py
@@ -3,16 +3,16 @@
 import re
 import subprocess
 import sys
+
 import yaml
 from behave import then
 from behave import when
+
 from rookspring.logs import EVENTS
 from rookspring.metrics import Metrics
 from rookspring_fakes.users import USERS
 from rookspring_fakes.users import declare
 
-
-
 ROOT = pathlib.Path(__file__).parent.parent.parent
 
 
--- a/features/steps/organisation_steps.py
+++ b/features/steps/organisation_steps.py
@@ -16,7 +16,7 @@
 
 from rookspring import defaults
 from rookspring import relay
-from rookspring.dialect import Errand
+from rookspring.dialect import ForwardFields
 from rookspring.http_messages import HttpRequest
 from rookspring.platform import StoredObject
 from rookspring_core import keys
@@ -96,7 +96,7 @@
 
 
 def judge(node, request):
-    ask = PlatformDialect().read_ask(request)
+    ask = PlatformDialect().read_request(request)
     route = node.state.table.match(ask.host, ask.path)
     return keys.check_key(node.state, route, ask.key, node.now, node.now)
 
@@ -195,8 +195,8 @@
     )
     name = "" if whose == "nobody" else whose
     keyed = context.node.state.table.directory is not None
-    errand = Errand(1.0, "i1", 1, "", name, keyed)
-    headers = PlatformDialect().errand_headers(rows, errand)
+    fields = ForwardFields(1.0, "i1", 1, "", name, keyed)
+    headers = PlatformDialect().forward_headers(rows, fields)
     context.seen = [(key.lower(), value) for key, value in headers]
 
 
@@ -235,7 +235,7 @@
     table = context.node.state.table
     route = table.match("h", "/a/x")
     request = make_request([])
-    ask = PlatformDialect().read_ask(request)
+    ask = PlatformDialect().read_request(request)
     found = [
         relay.RelayExchange(None, request, ask, route, 0.0, table.directory.by_name[name]).rank
         for name in ("org-a", "org-b")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -11,7 +11,7 @@
 from behave import when
 from relay_harness import RelayHarness
 
-from rookspring.dialect import Errand
+from rookspring.dialect import ForwardFields
 from rookspring.exceptions import SettingsError
 from rookspring.http_messages import HttpHead
 from rookspring.http_messages import HttpRequest
@@ -129,7 +129,7 @@
         (b"X-Rookspring-Token-Count", b"1460,80"),
         (b"X-Rookspring-Prefix-Hash", prefix),
     )
-    return PlatformDialect().read_ask(HttpRequest(b"POST", b"/a/b", headers, b"", True))
+    return PlatformDialect().read_request(HttpRequest(b"POST", b"/a/b", headers, b"", True))
 
 
 def decoded_entry(**changed):
@@ -246,7 +246,7 @@
 @then("no module of a node imports the module that assembles the node")
 def no_circular_imports(context):
     sources = ROOT / "packages" / "rookspring" / "src" / "rookspring"
-    allowed_importers = {"node": {"cli", "stage"}, "relay_node": set()}
+    allowed_importers = {"node": {"cli", "local_cluster"}, "relay_node": set()}
     for path in sources.glob("*.py"):
         for module, allowed in allowed_importers.items():
             imports = rf"from \.{module} import|from \. import {module}\b"
@@ -275,13 +275,13 @@
 
 @when("it is read as the answer to request r1 from endpoint i1")
 def read_as_answer(context):
-    context.verdict = PlatformDialect().judge(context.head, "r1")
+    context.verdict = PlatformDialect().match_answer(context.head, "r1")
 
 
 @then("the verdict is {verdict}")
 def verdict_is(context, verdict):
     got = context.verdict
-    names = ("mine", "not_run")
+    names = ("matches", "not_run")
     found = [name.replace("_", " ") for name in names if getattr(got, name)]
     assert (", ".join(found) or "foreign") == verdict, got
 
@@ -350,8 +350,8 @@
 
 @when("its headers for an endpoint are built")
 def headers_built(context):
-    errand = Errand(1.0, "i1", 0, "7")
-    context.built = PlatformDialect().errand_headers(context.headers, errand)
+    fields = ForwardFields(1.0, "i1", 0, "7")
+    context.built = PlatformDialect().forward_headers(context.headers, fields)
 
 
 def values_of(context, header):
--- a/features/steps/relay_socket_steps.py
+++ b/features/steps/relay_socket_steps.py
@@ -55,7 +55,7 @@
     def fail(*args):
         raise RuntimeError("injected by the test")
 
-    context.relay.node.context.dialect.errand_headers = fail
+    context.relay.node.context.dialect.forward_headers = fail
 
 
 @when("a caller who waits {ms:d} ms sends a safe request")
--- a/features/steps/tls_steps.py
+++ b/features/steps/tls_steps.py
@@ -1,24 +1,24 @@
-import aiohttp
 import asyncio
 import pathlib
 import ssl
 import tempfile
+
+import aiohttp
 import trustme
 from behave import given
 from behave import then
 from environment import LoopThread
 from ports import find_base
+
 from rookspring.exceptions import SettingsError
+from rookspring.local_cluster import LocalCluster
+from rookspring.local_cluster import LocalClusterPlan
 from rookspring.node import Node
 from rookspring.peers import PeerServer
 from rookspring.settings import check_settings
-from rookspring.stage import Stage
-from rookspring.stage import StagePlan
 from rookspring_fakes.users import SMALL
 
 
-
-
 @given("two nodes with a certificate")
 def two_nodes(context):
     context.loop = LoopThread()
@@ -33,11 +33,11 @@
     authority.configure_trust(context.trusting)
 
     async def work():
-        stage = Stage(StagePlan(SMALL, base_port=find_base(), nodes=0, quiet=True))
-        await stage.rise()
+        stage = LocalCluster(LocalClusterPlan(SMALL, base_port=find_base(), nodes=0, quiet=True))
+        await stage.start()
         nodes = []
         for number in (1, 2):
-            settings = stage.settings_of(number)._replace(tls_cert=cert, tls_key=key)
+            settings = stage.make_settings(number)._replace(tls_cert=cert, tls_key=key)
             nodes.append(Node(check_settings(settings)))
             stage.list_node(settings)
             await nodes[-1].start()
@@ -101,7 +101,7 @@
 
 @then("settings with a certificate alone are refused, naming {fields}")
 def settings_refused(context, fields):
-    settings = Stage(StagePlan(SMALL)).settings_of(1)._replace(tls_cert="x")
+    settings = LocalCluster(LocalClusterPlan(SMALL)).make_settings(1)._replace(tls_cert="x")
     try:
         check_settings(settings)
     except SettingsError as error:
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -52,7 +52,7 @@
 # The first nodes are told to all as seeds.
 SEEDS = 3
 # Ticks from one look at how new the configuration is to the next.
-PROOF_TICKS = round(defaults.PROOF_ASK_S / core_defaults.TICK_S)
+PROOF_TICKS = round(defaults.PROOF_REQUEST_INTERVAL_S / core_defaults.TICK_S)
 # The node that holds the lease, and ticks from one renewal to the next.
 HOLDER = "n0"
 RENEW_TICKS = round(core_defaults.RELAY_LEASE_RENEW_S / core_defaults.TICK_S)
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
@@ -38,7 +38,7 @@
             self._era = state.store_era
             self._next_look = now
         if control_jobs.awaits_release(state):
-            self._next_look = min(self._next_look, now + defaults.RELAY_LEASE_FREED_S)
+            self._next_look = min(self._next_look, now + defaults.RELAY_LEASE_RELEASED_READ_S)
         if now >= self._next_look and (not self._looked or control_jobs.should_read_lease(state)):
             self._next_look = now + defaults.RELAY_LEASE_READ_S
             self._read()
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -13,7 +13,6 @@
 from rookspring import relay_updates
 from rookspring.messages import encode
 from rookspring.platform import StoredObject
-from rookspring.reach import Reach
 from rookspring.relay_endpoint_list import EndpointList
 from rookspring.relay_peers import RelayPeers
 from rookspring.relay_proofs import ProofRefresher
@@ -21,6 +20,7 @@
 from rookspring.relay_settings import RelaySettings
 from rookspring.relay_store_loops import row_check_delay_s
 from rookspring.store_eras import StoreEras
+from rookspring.store_reachability import StoreReachability
 from rookspring_core import Identity
 from rookspring_core import NodeState
 from rookspring_core import reduce
@@ -193,7 +193,7 @@
         self.spawn: t.Any = None
         context = t.cast(t.Any, self)
         self.peers = RelayPeers(context)
-        self.reach = Reach(context)
+        self.reach = StoreReachability(context)
         self.eras = StoreEras(context, self.reach)
         self.list = EndpointList(context, self.peers, self.reach)
         self.proofs = ProofRefresher(context, self.peers, self.reach)
@@ -335,7 +335,7 @@
         if not self.fleet.reaches_store(self.name):
             self._next_read = self.fleet.now + defaults.RELAY_BACKOFF_MAX_S
             return
-        self._next_read = self.fleet.now + defaults.FEW_FOLD_S + defaults.FEW_WATCH_S
+        self._next_read = self.fleet.now + defaults.SHARED_WATCH_BATCH_S + defaults.SHARED_WATCH_S
         self.hear_store()
         self.submit(StoreRead(self.fleet.now))
         self.fleet.watch_table(self)
--- a/packages/rookspring/src/rookspring/attempts.py
+++ b/packages/rookspring/src/rookspring/attempts.py
@@ -15,7 +15,7 @@
 
 from . import clock
 from . import defaults
-from .connections import refuses
+from .connections import refuses_connections
 from .endpoints import Chunk
 from .endpoints import GenerationRequest
 from .exceptions import CallerGone
@@ -65,11 +65,11 @@
     ended when it records which requests may have crashed it.
     """
     if error.broken:
-        error.down = await refuses(address)
+        error.down = await refuses_connections(address)
 
 
 def _fail(node: NodeContext, effect: Dispatch | AttachStream, error: EndpointError) -> None:
-    node.metrics.attempts.inc({"end": "not_run" if error.said_not_run else "failed"})
+    node.metrics.attempts.inc({"end": "not_run" if error.reported_not_run else "failed"})
     if error.leaving:
         _submit_leaving(node, effect.endpoint)
     node.submit(
@@ -78,7 +78,7 @@
             effect.request_id,
             effect.attempt,
             error.sent,
-            error.said_not_run,
+            error.reported_not_run,
             error.reason,
             error.down,
             error.broken,
--- a/packages/rookspring/src/rookspring/back_off.py
+++ b/packages/rookspring/src/rookspring/back_off.py
@@ -2,8 +2,8 @@
 
 import asyncio
 import random
-from . import defaults
 
+from . import defaults
 
 
 class BackOff:
@@ -12,9 +12,9 @@
     :param max_s: the bound before the factor, in seconds.
     """
 
-    def __init__(self, most_s: float = defaults.BACKOFF_MAX_S) -> None:
+    def __init__(self, max_s: float = defaults.BACKOFF_MAX_S) -> None:
         self._wait = defaults.BACKOFF_START_S
-        self._most = most_s
+        self._most = max_s
 
     def reset(self) -> None:
         """Start again at the shortest wait, after a call succeeded."""
--- a/packages/rookspring/src/rookspring/cli.py
+++ b/packages/rookspring/src/rookspring/cli.py
@@ -5,19 +5,19 @@
 import os
 import signal
 import sys
-import typer
 import typing as t
+
+import typer
 import uvloop
+
+from rookspring_core import InvariantBroken
+
 from .exceptions import SettingsError
 from .logs import configure
 from .logs import log
 from .node import Node
 from .settings import Settings
 from .settings import check_settings
-from rookspring_core import InvariantBroken
-
-
-
 
 app = typer.Typer(no_args_is_help=True, add_completion=True, pretty_exceptions_enable=False)
 EXIT_SETTINGS = 2
@@ -177,7 +177,7 @@
         raise typer.Exit(EXIT_SETTINGS)
     configure(log_level)
     plan = demonstration.DemoPlan(user, exit_, as_json, base_port, trace_file)
-    code = uvloop.run(demonstration.show(plan))
+    code = uvloop.run(demonstration.run_demo(plan))
     raise typer.Exit(code)
 
 
--- a/packages/rookspring/src/rookspring/connections.py
+++ b/packages/rookspring/src/rookspring/connections.py
@@ -5,16 +5,16 @@
 was lost would be reported as a conflict.
 """
 
-import aiohttp
 import asyncio
 import contextlib
 import typing as t
-from . import defaults
 
+import aiohttp
 
+from . import defaults
 
 
-class OneConnection(aiohttp.TCPConnector):
+class SingleUseConnector(aiohttp.TCPConnector):
     """A connector that connects once, for one request.
 
     Its connection is always new, so never a stale one from a pool.
@@ -33,7 +33,7 @@
         return connection
 
 
-async def refuses(address: str) -> bool:
+async def refuses_connections(address: str) -> bool:
     """Say whether an address refuses connections; one that is made is closed at once."""
     host, _, port = address.rpartition(":")
     try:
--- a/packages/rookspring/src/rookspring/defaults.py
+++ b/packages/rookspring/src/rookspring/defaults.py
@@ -40,7 +40,7 @@
 OUTCOMES_PAGE_BYTES = 700 * 1024
 OUTCOMES_PAGES_MAX = 64
 # An unchanged report is sent in full this often, and in between its load alone.
-REPORT_WHOLE_S = 10.0
+FULL_REPORT_INTERVAL_S = 10.0
 # Published heads whose shards are kept for readers that are behind.
 HEADS_KEPT = 4
 # Limits of the relay's callers, unless a configuration sets others.
@@ -51,19 +51,19 @@
 LISTEN_BACKLOG = 1024
 # Idle time in which a connection is reused if the endpoint states no keep-alive timeout: such
 # endpoints close idle connections within a second.
-ENDPOINT_IDLE_UNTOLD_S = 0.3
+ENDPOINT_IDLE_DEFAULT_S = 0.3
 # Shares of a stated keep-alive timeout in which a connection is reused; the smaller one is
 # for requests that must not be sent twice.
 ENDPOINT_IDLE_SHARE = 0.8
-ENDPOINT_IDLE_SURE_SHARE = 0.6
+ENDPOINT_IDLE_SAFE_SHARE = 0.6
 # Answers to other requests that are skipped before the connection is closed.
-FOREIGN_ANSWERS_MAX = 2
+MISMATCHED_ANSWERS_MAX = 2
 # A connection whose other side acknowledges nothing for this long is closed: a box that lost
 # power sends no reset, and callers wait about this long between events of a stream.
-SILENCE_S = 2.5
-PROBE_AFTER_S = 1
-PROBE_EVERY_S = 1
-PROBES_MAX = 2
+TCP_USER_TIMEOUT_S = 2.5
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES_MAX = 2
 # Largest complete answer that is relayed, and the weight of an answer's token relative to
 # one of the prompt in a request's size.
 ANSWER_BYTES_MAX = 16 << 20
@@ -75,21 +75,21 @@
 # each watcher, and no node relies on a watcher that has been cut off for longer than
 # ``STORE_STALE_S``. A new configuration ends the table's watch at once; its longest wait only
 # bounds how long a watcher may be cut off unnoticed.
-FEW_WATCH_S = 0.5
-FEW_FOLD_S = 0.6
-FEW_WATCH_TABLE_S = 2.0
+SHARED_WATCH_S = 0.5
+SHARED_WATCH_BATCH_S = 0.6
+SHARED_WATCH_TABLE_S = 2.0
 # Added to the back-off of a failed call to the store while other nodes send this one fresh
 # data: refused calls are charged too.
-FED_PAUSE_S = 2.0
+FRESH_SOURCE_PAUSE_S = 2.0
 # A node counts as a watcher of the store if the store has answered it within this time.
-READ_LATELY_S = 2.0
+STORE_READ_RECENT_S = 2.0
 # A link that neither end needs is kept this long, since the roles may change back.
 IDLE_LINK_S = 5.0
 # Changes of prompts that endpoints have yet to process are batched for this long before they
 # are sent: all nodes have 320 changes a second, and a prompt takes 20 to 100 ms.
-PROMPTS_FOLD_S = 0.03
+PROMPTS_BATCH_S = 0.03
 # Network bandwidth used by the work that one core can do, in Mbit/s.
-LINK_MBPS_A_CORE = 50.0
+LINK_MBPS_PER_CORE = 50.0
 # Endpoints whose entries expired during an outage of the store write them again within two
 # seconds of its end, if they are up; the rest is for network latency.
 LAPSE_GRACE_S = 2.2
@@ -98,7 +98,7 @@
 NODE_LIST_S = 10.0
 # After a restore of the store, each node checks its own row there; the checks are spread out
 # so that, on average, one node does so in this many seconds.
-ROW_AGAIN_PER_NODE_S = 0.03
+ROW_CHECK_PER_NODE_S = 0.03
 # A planned stop ends this long before the platform would kill the process.
 STOP_MARGIN_S = 0.7
 # A leaving node starts no request after this share of its grace time: the users' longest
@@ -108,9 +108,9 @@
 SETTINGS_CHECK_S = 1.0
 POOL_SWEEP_S = 1.0
 # Time at a stop to transmit answers that are complete.
-LAST_BYTES_S = 0.05
+STOP_FLUSH_S = 0.05
 # Callers may use a lookup answer for up to three times its TTL.
-LOOKUP_LIVES = 3.2
+LOOKUP_TTL_FACTOR = 3.2
 # The allowance for resends is divided evenly between the nodes, and between at least this
 # many: a deployment has 8 to 71 boxes, and a node that starts knows none of the others.
 RELAY_NODES_MIN = 16
@@ -123,12 +123,12 @@
 RELAY_LEASE_READ_S = 1.0
 # A leaving holder releases the lease at once, but the notice of that may arrive before the
 # write does, so candidates then read again after this time.
-RELAY_LEASE_FREED_S = 0.1
+RELAY_LEASE_RELEASED_READ_S = 0.1
 # Interval at which the other nodes check whether they have become candidates.
-RELAY_LEASE_LOOK_S = 0.5
+RELAY_LEASE_CHECK_S = 0.5
 # Changes of endpoints are batched for this long before the next watch, since each watch of
 # each node is a charged call; a leaving endpoint must be known within two seconds.
-ENDPOINT_FOLD_S = 0.4
+ENDPOINT_BATCH_S = 0.4
 # Interval at which relay nodes send each other their work and demand; routing and placement
 # use figures as old as the last heartbeat.
 RELAY_HEARTBEAT_S = 0.4
@@ -143,15 +143,15 @@
 # do so once a second. So a node's proof is some 0.8 s old, and 2 s if two answers in a row
 # were lost, of the 4.5 s that a bound of 5 s allows. These reads are about 100 calls to the
 # store a minute.
-PROOF_ASK_S = 0.5
-PROOF_LEAST_S = 0.1
-PROOF_READ_S = 1.0
+PROOF_REQUEST_INTERVAL_S = 0.5
+PROOF_REQUEST_MIN_S = 0.1
+PROOF_READ_INTERVAL_S = 1.0
 # Timeout of such a read, since another one may succeed.
 PROOF_CALL_S = 1.0
 PROOF_BACKOFF_MAX_S = 2.0
 # Answers that took longer were delayed and are dropped; their bound is valid but too old to
 # be useful.
-PROOF_ANSWER_S = 5.0
+PROOF_AGE_MAX_S = 5.0
 # How long a request with an unknown key waits for a newer configuration, and how many may wait
 # at once: a new key is in force on all nodes within a second, and callers don't retry after
 # a 401.
@@ -160,10 +160,10 @@
 KEY_WAITS_MAX = 256
 # Interval at which the owner of a plain service checks its queue, also for requests that can
 # no longer be served.
-SLOT_SETTLE_S = 0.05
+SLOT_QUEUES_INTERVAL_S = 0.05
 # A linked node whose merged sets differ from this node's for this long, three heartbeats, is
 # sent all of them, and again after the second time at the earliest.
-MERGED_DIFFERS_S = 1.2
-MERGED_AGAIN_S = 5.0
+MERGED_MISMATCH_S = 1.2
+MERGED_RESEND_S = 5.0
 # A node that has not ticked for this long, ten ticks, has stalled, and logs that.
-STOOD_STILL_S = 1.0
+STALLED_S = 1.0
--- a/packages/rookspring/src/rookspring/demonstration.py
+++ b/packages/rookspring/src/rookspring/demonstration.py
@@ -6,19 +6,19 @@
 """
 
 import asyncio
-import orjson
 import random
-import typer
 import typing as t
-from .stage import Stage
-from .stage import StagePlan
-from rookspring_fakes import Caller
+
+import orjson
+import typer
+
 from rookspring_fakes import USERS as USERS
+from rookspring_fakes import Caller
 from rookspring_fakes.caller import Answer
 from rookspring_fakes.caller import expected_text
 
-
-
+from .local_cluster import LocalCluster
+from .local_cluster import LocalClusterPlan
 
 STREAMS = 150
 CALLS = 150
@@ -51,7 +51,7 @@
         self.moves = 0
         self.broken: list[str] = []
 
-    def take(self, answer: Answer, wanted: str) -> None:
+    def count_stream(self, answer: Answer, wanted: str) -> None:
         """Count the end of a stream."""
         self.sent += 1
         self.resumed += answer.resumed
@@ -64,7 +64,7 @@
         else:
             self.cut += 1
 
-    def take_call(self, outcome: str) -> None:
+    def count_call(self, outcome: str) -> None:
         """Count the end of an unrepeatable call by the outcome that its caller got."""
         self.sent += 1
         if outcome == "ran":
@@ -83,16 +83,16 @@
         return dict(vars(self).items())
 
 
-class Show:
+class DemoLoad:
     """Requests of ten callers to a local cluster, while nodes are killed and drained."""
 
-    def __init__(self, cluster: Stage) -> None:
+    def __init__(self, cluster: LocalCluster) -> None:
         self.cluster = cluster
         self.size = cluster.size
         self.tally = Tally()
         self._not_run_calls: set[str] = set()
 
-    async def load(self, callers: int = 10) -> None:
+    async def run(self, callers: int = 10) -> None:
         """Send streams and unrepeatable calls while nodes are killed and drained."""
         clients = [Caller(self.cluster.addresses(), seed=number) for number in range(callers)]
         try:
@@ -113,7 +113,7 @@
         engines = cluster.engines.values()
         self.tally.moves = sum(engine.loads + engine.unloads for engine in engines)
         over = sum(engine.overcommits for engine in engines)
-        self.tally.broken = list(cluster.broken)
+        self.tally.broken = list(cluster.violations)
         if over:
             self.tally.broken.append(f"{over} orders beyond an endpoint's memory")
 
@@ -124,7 +124,7 @@
             prompt = f"caller {number} turn {turn}"
             wanted = expected_text(model, prompt, TOKENS)
             answer = await caller.stream(model, prompt, TOKENS)
-            self.tally.take(answer, wanted)
+            self.tally.count_stream(answer, wanted)
 
     async def _run_calls(self, caller: Caller, number: int) -> None:
         session: str | None = None
@@ -146,38 +146,38 @@
                 self._not_run_calls.add(call)
             if outcome == "unknown":
                 session = None
-            self.tally.take_call(outcome)
-            await asyncio.sleep(0.15 + chance_of(number, turn))
+            self.tally.count_call(outcome)
+            await asyncio.sleep(0.15 + jitter_s(number, turn))
 
     async def _stop_nodes(self) -> None:
         await asyncio.sleep(2.0)
-        self.cluster.say("killing box-2")
+        self.cluster.print_progress("killing box-2")
         await self.cluster.kill("box-2")
         await asyncio.sleep(2.0)
-        self.cluster.say("draining box-3")
+        self.cluster.print_progress("draining box-3")
         self.cluster.drain("box-3")
 
 
-def chance_of(number: int, turn: int) -> float:
+def jitter_s(number: int, turn: int) -> float:
     """Give a short pause that differs by caller and turn, in seconds."""
     return random.Random(number * 1000 + turn).random() * 0.2
 
 
-async def show(plan: DemoPlan) -> int:
+async def run_demo(plan: DemoPlan) -> int:
     """Run the demo.
 
     :return: the exit code, non-zero if a guarantee was violated.
     """
     size = USERS[plan.user]
-    cluster = Stage(StagePlan(size, plan.base_port, trace_file=plan.trace_file))
-    cluster.say(f"starting stand-ins and three boxes for {plan.user}")
-    await cluster.rise()
+    cluster = LocalCluster(LocalClusterPlan(size, plan.base_port, trace_file=plan.trace_file))
+    cluster.print_progress(f"starting stand-ins and three boxes for {plan.user}")
+    await cluster.start()
     try:
         await cluster.apply()
         if plan.exit:
-            cluster.say("sending requests")
-            load = Show(cluster)
-            await load.load()
+            cluster.print_progress("sending requests")
+            load = DemoLoad(cluster)
+            await load.run()
             _print(plan, load.tally)
             return int(load.tally.failed())
         _print_commands(cluster)
@@ -196,7 +196,7 @@
         typer.echo(f"{name:>14}  {value}")
 
 
-def _print_commands(cluster: Stage) -> None:
+def _print_commands(cluster: LocalCluster) -> None:
     address = cluster.addresses()[0]
     model = f"{cluster.size.engine}-00"
     typer.echo(f"up; addresses: curl http://{address}/v1/addresses")
--- a/packages/rookspring/src/rookspring/dialect.py
+++ b/packages/rookspring/src/rookspring/dialect.py
@@ -6,19 +6,19 @@
 
 import abc
 import typing as t
-from .http_messages import Header
-from .http_messages import HttpHead
-from .http_messages import HttpRequest
-from .platform import StoredObject
+
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
 from rookspring_core.notices import Notice
 from rookspring_core.routes import RouteTable
 
+from .http_messages import Header
+from .http_messages import HttpHead
+from .http_messages import HttpRequest
+from .platform import StoredObject
 
 
-
-class Ask(t.NamedTuple):
+class RequestFields(t.NamedTuple):
     """Fields of a caller's request that routing and admission use.
 
     :param deadline_s: how long the caller waits from now on; None if it is not stated.
@@ -40,10 +40,10 @@
     prefix: int
     last_event: str
     key: str = ""
-    told_tokens: int | None = None
+    declared_tokens: int | None = None
 
 
-class Errand(t.NamedTuple):
+class ForwardFields(t.NamedTuple):
     """What this system adds to a request that it forwards.
 
     :param remaining_s: time until the deadline, in seconds.
@@ -52,7 +52,7 @@
     :param keyed: the route needs keys, which are removed from what endpoints get.
     """
 
-    left_s: float
+    remaining_s: float
     incarnation: str
     rank: int
     last_event: str
@@ -60,14 +60,14 @@
     keyed: bool = False
 
 
-class Verdict(t.NamedTuple):
+class AnswerMatch(t.NamedTuple):
     """What the head of an endpoint's answer states about the request.
 
     :param matches: the answer belongs to the request in flight.
     :param not_run: the endpoint reports that it did not run the request.
     """
 
-    mine: bool
+    matches: bool
     not_run: bool = False
 
 
@@ -84,7 +84,7 @@
     fenced: bool = False
 
 
-class OrderAsked(t.NamedTuple):
+class OrderRequest(t.NamedTuple):
     """An order to an endpoint.
 
     :param fence: fencing token, which belongs to one holder and rises with each one.
@@ -105,18 +105,18 @@
     """Formats of one platform."""
 
     @abc.abstractmethod
-    def read_ask(self, request: HttpRequest) -> Ask:
+    def read_request(self, request: HttpRequest) -> RequestFields:
         """Parse a caller's request.
 
         :raises CallerError: if it is malformed.
         """
 
     @abc.abstractmethod
-    def errand_headers(self, headers: t.Iterable[Header], errand: Errand) -> list[Header]:
+    def forward_headers(self, headers: t.Iterable[Header], fields: ForwardFields) -> list[Header]:
         """Give the headers with which a request is forwarded to an endpoint."""
 
     @abc.abstractmethod
-    def judge(self, head: HttpHead, request_id: str) -> Verdict:
+    def match_answer(self, head: HttpHead, request_id: str) -> AnswerMatch:
         """Read what the head of an endpoint's answer states about a request."""
 
     @abc.abstractmethod
@@ -136,7 +136,7 @@
         """Write the answer to an address lookup."""
 
     @abc.abstractmethod
-    def is_ready_check(self, request: HttpRequest) -> bool:
+    def is_readiness_check(self, request: HttpRequest) -> bool:
         """Say whether a request is the platform's own readiness check."""
 
     @abc.abstractmethod
@@ -161,7 +161,7 @@
         """Write the request for an endpoint's report."""
 
     @abc.abstractmethod
-    def order_request(self, address: str, order: OrderAsked) -> bytes:
+    def order_request(self, address: str, order: OrderRequest) -> bytes:
         """Write an order."""
 
     @abc.abstractmethod
--- a/packages/rookspring/src/rookspring/dialling.py
+++ b/packages/rookspring/src/rookspring/dialling.py
@@ -1,17 +1,17 @@
 """Dials the nodes to which this node must have a link and has none."""
 
 import typing as t
+
+from rookspring_core.membership import Membership
+
 from . import clock
 from . import defaults
 from .peers import PeerServer
-from rookspring_core.membership import Membership
-
-
 
 Spawn = t.Callable[[t.Coroutine[t.Any, t.Any, None]], t.Any]
 
 
-class Wanted(t.NamedTuple):
+class LinkPlan(t.NamedTuple):
     """The links that a node must have.
 
     :param addresses: of the nodes to link to, by name.
@@ -21,16 +21,16 @@
     """
 
     addresses: t.Mapping[str, str]
-    waits: t.Container[str]
+    mutual: t.Container[str]
     linked: t.Container[str]
     seeds: bool = True
 
 
-def want_links(membership: Membership) -> Wanted:
+def plan_links(membership: Membership) -> LinkPlan:
     """Plan the links that a membership chooses; the lower name of each pair dials first."""
     rows = {row.name: row.address for row in membership.links()}
     linked = {peer.heard.address for peer in membership.peers.values()}
-    return Wanted(rows, rows, linked)
+    return LinkPlan(rows, rows, linked)
 
 
 class Dialler:
@@ -45,15 +45,15 @@
     def __init__(
         self,
         name: str,
-        wanted: t.Callable[[], Wanted],
+        get_plan: t.Callable[[], LinkPlan],
         server: PeerServer,
         seeds: t.Sequence[str],
         spawn: Spawn,
-        unreached: t.Callable[[str], None] | None = None,
+        on_unreachable: t.Callable[[str], None] | None = None,
     ) -> None:
         self._name = name
-        self._get_plan = wanted
-        self._on_unreachable = unreached
+        self._get_plan = get_plan
+        self._on_unreachable = on_unreachable
         self._server = server
         self.seeds = tuple(seeds)
         self._spawn = spawn
@@ -79,7 +79,7 @@
         now = clock.now()
         plan = self._get_plan()
         for name, address in plan.addresses.items():
-            dials_first = self._name < name or name not in plan.waits
+            dials_first = self._name < name or name not in plan.mutual
             if name in self._server.links or address in self._dialling:
                 self._missing_since.pop(name, None)
                 continue
--- a/packages/rookspring/src/rookspring/endpoints.py
+++ b/packages/rookspring/src/rookspring/endpoints.py
@@ -16,7 +16,7 @@
 from rookspring_core.events import EndpointReported
 
 from . import defaults
-from .connections import OneConnection
+from .connections import SingleUseConnector
 from .exceptions import EndpointError
 
 
@@ -209,7 +209,7 @@
         limit = aiohttp.ClientTimeout(total=defaults.ORDER_CALL_S, connect=defaults.CONNECT_S)
         try:
             async with (
-                aiohttp.ClientSession(connector=OneConnection(), timeout=limit) as session,
+                aiohttp.ClientSession(connector=SingleUseConnector(), timeout=limit) as session,
                 session.post(
                     f"http://{order.address}/v1/orders", data=orjson.dumps(body)
                 ) as response,
@@ -265,7 +265,7 @@
         limit = aiohttp.ClientTimeout(total=timeout_s, connect=defaults.CONNECT_S)
         if repeatable:
             return await _call_service(self._get_session(), method, url, body, headers, limit)
-        async with aiohttp.ClientSession(connector=OneConnection()) as session:
+        async with aiohttp.ClientSession(connector=SingleUseConnector()) as session:
             return await _call_service(session, method, url, body, headers, limit)
 
     async def close(self) -> None:
@@ -316,7 +316,7 @@
         return
     if isinstance(answer, dict) and answer.get("not_run") is True:
         reason = str(answer.get("reason", ""))
-        raise EndpointError(reason, sent=True, said_not_run=True, leaving=reason == "leaving")
+        raise EndpointError(reason, sent=True, reported_not_run=True, leaving=reason == "leaving")
 
 
 _STREAM_TIMEOUT = aiohttp.ClientTimeout(
--- a/packages/rookspring/src/rookspring/event_streams.py
+++ b/packages/rookspring/src/rookspring/event_streams.py
@@ -32,7 +32,7 @@
         number = whole.count(b"\n\n") + whole.count(b"\r\n\r\n")
         return Events(whole, number, _last_id(whole))
 
-    def rest(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Give the bytes of the incomplete event at the end."""
         return self._rest
 
--- a/packages/rookspring/src/rookspring/exceptions.py
+++ b/packages/rookspring/src/rookspring/exceptions.py
@@ -1,8 +1,8 @@
 """Errors of the daemon's layers; each layer converts the errors of the one below."""
 
 import typing as t
-from rookspring_core import RookspringError
 
+from rookspring_core import RookspringError
 
 
 class SettingsError(RookspringError):
@@ -55,7 +55,7 @@
         self,
         reason: str,
         sent: bool,
-        said_not_run: bool = False,
+        reported_not_run: bool = False,
         leaving: bool = False,
         down: bool = False,
         broken: bool = False,
@@ -64,7 +64,7 @@
         super().__init__(reason)
         self.reason = reason
         self.sent = sent
-        self.said_not_run = said_not_run
+        self.reported_not_run = reported_not_run
         self.leaving = leaving
         self.down = down
         self.broken = broken
--- a/packages/rookspring/src/rookspring/http_client.py
+++ b/packages/rookspring/src/rookspring/http_client.py
@@ -11,19 +11,19 @@
 
 import asyncio
 import collections
-import httptools
 import socket
 import typing as t
+
+import httptools
+
 from . import clock
 from . import defaults
 from .exceptions import EndpointError
 from .http_messages import Header
 from .http_messages import HttpHead
 
-
-
-Accept = t.Callable[[HttpHead], bool]
-Hear = t.Callable[[HttpHead], None]
+AcceptHead = t.Callable[[HttpHead], bool]
+OnHead = t.Callable[[HttpHead], None]
 
 
 class Reply:
@@ -32,13 +32,13 @@
     def __init__(self) -> None:
         self.head: HttpHead | None = None
         self.parts: collections.deque[bytes] = collections.deque()
-        self.whole = False
-        self.broken = ""
+        self.complete = False
+        self.failure = ""
         # Whether the endpoint closed or reset the connection; false if it stopped responding.
-        self.ended = False
+        self.closed_by_endpoint = False
         self._changed = asyncio.Event()
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Wake the task that waits for the head or the next part."""
         self._changed.set()
 
@@ -48,8 +48,8 @@
         :raises EndpointError: if the connection ended before them.
         """
         while self.head is None:
-            if self.broken:
-                raise EndpointError(self.broken, sent=True, broken=self.ended)
+            if self.failure:
+                raise EndpointError(self.failure, sent=True, broken=self.closed_by_endpoint)
             self._changed.clear()
             await self._changed.wait()
         return self.head
@@ -60,10 +60,10 @@
         :raises EndpointError: if the answer was cut off.
         """
         while not self.parts:
-            if self.whole:
+            if self.complete:
                 return b""
-            if self.broken:
-                raise EndpointError(self.broken, sent=True, broken=self.ended)
+            if self.failure:
+                raise EndpointError(self.failure, sent=True, broken=self.closed_by_endpoint)
             self._changed.clear()
             await self._changed.wait()
         return self.parts.popleft()
@@ -89,8 +89,8 @@
         self._transport: t.Any = None
         self._parser: t.Any = None
         self._reply: Reply | None = None
-        self._accept: Accept | None = None
-        self._on_head: Hear | None = None
+        self._accept: AcceptHead | None = None
+        self._on_head: OnHead | None = None
         self._answer_headers: list[Header] = []
         self._skipping = False
         self._skipped = 0
@@ -100,8 +100,8 @@
         self.open = False
         self.reusable = True
         self.idle_since = 0.0
-        self.idle_life_s = defaults.ENDPOINT_IDLE_UNTOLD_S
-        self.served = 0
+        self.idle_timeout_s = defaults.ENDPOINT_IDLE_DEFAULT_S
+        self.requests_sent = 0
 
     def connection_made(self, transport: t.Any) -> None:
         """Mark the connection as open and enable keep-alive probes on its socket."""
@@ -110,7 +110,7 @@
         self.idle_since = clock.now()
         raw = transport.get_extra_info("socket")
         if raw is not None:
-            watch_silence(raw)
+            enable_keepalive(raw)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the reply: an answer without a length is complete after a regular close."""
@@ -120,7 +120,7 @@
         if exc is None and self._until_close and not self._skipping:
             self._finish()
         else:
-            self._reply.ended = not isinstance(exc, TimeoutError)
+            self._reply.closed_by_endpoint = not isinstance(exc, TimeoutError)
             self._break("connection reset" if exc else "connection closed")
 
     def eof_received(self) -> bool:
@@ -128,7 +128,9 @@
         self.reusable = False
         return False
 
-    def ask(self, data: bytes, accept: Accept, hear: Hear, no_body: bool = False) -> Reply:
+    def send_request(
+        self, data: bytes, accept: AcceptHead, on_head: OnHead, no_body: bool = False
+    ) -> Reply:
         """Send a request, given as its bytes, and give its reply.
 
         :param accept: decides whether the head of an answer belongs to this request.
@@ -137,11 +139,11 @@
         """
         self._reply = Reply()
         self._accept = accept
-        self._on_head = hear
+        self._on_head = on_head
         self._no_body = no_body
         self._skipped = 0
         self._new_parser()
-        self.served += 1
+        self.requests_sent += 1
         self._transport.write(data)
         return self._reply
 
@@ -194,7 +196,7 @@
             self._skipping = True
             self._skipped += 1
             self.reusable = False
-            if self._skipped > defaults.FOREIGN_ANSWERS_MAX:
+            if self._skipped > defaults.MISMATCHED_ANSWERS_MAX:
                 raise ValueError("too many answers to other requests")
             return
         framed = head.header(b"content-length") or head.header(b"transfer-encoding")
@@ -207,22 +209,22 @@
             self.reusable = False
             self._finish()
             return
-        self._reply.tell()
+        self._reply.notify()
 
     def _note_idle_timeout(self, head: HttpHead) -> None:
         for part in head.header(b"keep-alive").split(b","):
             key, _, value = part.strip().partition(b"=")
             if key.lower() == b"timeout" and value.isdigit():
                 # A margin for network latency and for clocks that run at different rates.
-                self.idle_life_s = float(value) * defaults.ENDPOINT_IDLE_SHARE
+                self.idle_timeout_s = float(value) * defaults.ENDPOINT_IDLE_SHARE
                 return
-        self.idle_life_s = defaults.ENDPOINT_IDLE_UNTOLD_S
+        self.idle_timeout_s = defaults.ENDPOINT_IDLE_DEFAULT_S
 
     def on_body(self, body: bytes) -> None:
         """Append a part of the body."""
         if self._reply is not None and not self._skipping:
             self._reply.parts.append(body)
-            self._reply.tell()
+            self._reply.notify()
 
     def on_message_complete(self) -> None:
         """Complete the answer, whose framing has ended."""
@@ -237,8 +239,8 @@
         reply, self._reply = self._reply, None
         self.idle_since = clock.now()
         if reply is not None:
-            reply.whole = True
-            reply.tell()
+            reply.complete = True
+            reply.notify()
         if not self.reusable:
             self.close()
 
@@ -246,8 +248,8 @@
         reply, self._reply = self._reply, None
         self.reusable = False
         if reply is not None:
-            reply.broken = reason
-            reply.tell()
+            reply.failure = reason
+            reply.notify()
 
     def close(self) -> None:
         """Abort the connection; a request in flight on it fails."""
@@ -263,25 +265,27 @@
         """Whether a request is in flight on it."""
         return self._reply is not None
 
-    def fresh(self, now: float, sure: bool) -> bool:
+    def is_usable(self, now: float, wide_margin: bool) -> bool:
         """Say whether the endpoint presumably still keeps the connection open.
 
         :param wide_margin: assume a shorter idle timeout, for requests that can't be sent twice.
         """
         if not self.open or not self.reusable or self._reply is not None:
             return False
-        timeout_s = self.idle_life_s * (defaults.ENDPOINT_IDLE_SURE_SHARE if sure else 1.0)
+        timeout_s = self.idle_timeout_s * (
+            defaults.ENDPOINT_IDLE_SAFE_SHARE if wide_margin else 1.0
+        )
         return now - self.idle_since < timeout_s
 
 
-def watch_silence(raw: t.Any) -> None:
+def enable_keepalive(raw: t.Any) -> None:
     """Make the kernel close a connection whose other side no longer responds."""
-    silence_ms = int(defaults.SILENCE_S * 1000)
+    silence_ms = int(defaults.TCP_USER_TIMEOUT_S * 1000)
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silence_ms)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, defaults.PROBE_AFTER_S)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, defaults.PROBE_EVERY_S)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, defaults.PROBES_MAX)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, defaults.KEEPALIVE_IDLE_S)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, defaults.KEEPALIVE_INTERVAL_S)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, defaults.KEEPALIVE_PROBES_MAX)
 
 
 class ConnectionPool:
@@ -291,7 +295,7 @@
         self._kept: dict[str, list[ClientConnection]] = {}
         self._probes: dict[str, asyncio.Future[bool]] = {}
 
-    async def take(self, address: str, sure: bool) -> ClientConnection:
+    async def acquire(self, address: str, wide_margin: bool) -> ClientConnection:
         """Give an idle connection that is usable, else a new one.
 
         :param wide_margin: see :meth:`ClientConnection.is_usable`.
@@ -301,7 +305,7 @@
         now = clock.now()
         while kept:
             connection = kept.pop()
-            if connection.fresh(now, sure):
+            if connection.is_usable(now, wide_margin):
                 return connection
             connection.close()
         return await self._open(address)
@@ -330,19 +334,19 @@
 
     async def _probe(self, address: str) -> bool:
         try:
-            self.give_back(address, await self._open(address))
+            self.release(address, await self._open(address))
         except EndpointError as error:
             return error.down
         return False
 
-    def give_back(self, address: str, connection: ClientConnection) -> None:
+    def release(self, address: str, connection: ClientConnection) -> None:
         """Pool a connection if it can be reused, else close it."""
         if connection.open and connection.reusable:
             self._kept.setdefault(address, []).append(connection)
         else:
             connection.close()
 
-    def settle(self, address: str, connection: ClientConnection) -> None:
+    def release_or_close(self, address: str, connection: ClientConnection) -> None:
         """Pool a connection whose answer was read completely; close any other.
 
         By the close the endpoint learns that the rest of the answer is not needed.
@@ -350,12 +354,12 @@
         if connection.busy:
             connection.close()
         else:
-            self.give_back(address, connection)
+            self.release(address, connection)
 
     def sweep(self, now: float) -> None:
         """Close the connections that have been idle for too long."""
         for address, kept in list(self._kept.items()):
-            live = [one for one in kept if one.fresh(now, sure=False)]
+            live = [one for one in kept if one.is_usable(now, wide_margin=False)]
             for one in kept:
                 if one not in live:
                     one.close()
@@ -373,7 +377,7 @@
 
 
 async def call(
-    pool: ConnectionPool, address: str, data: bytes, hear: Hear, timeout_s: float
+    pool: ConnectionPool, address: str, data: bytes, on_head: OnHead, timeout_s: float
 ) -> tuple[HttpHead, bytes]:
     """Send a request, given as its bytes, once, and give the complete answer.
 
@@ -384,12 +388,12 @@
     connection: ClientConnection | None = None
     try:
         async with asyncio.timeout(timeout_s):
-            connection = await pool.take(address, sure=True)
-            reply = connection.ask(data, lambda head: True, hear)
+            connection = await pool.acquire(address, wide_margin=True)
+            reply = connection.send_request(data, lambda head: True, on_head)
             head = await reply.wait_head()
             return head, await reply.read_rest(defaults.ANSWER_BYTES_MAX)
     except TimeoutError:
         raise EndpointError("no answer in time", sent=connection is not None) from None
     finally:
         if connection is not None:
-            pool.settle(address, connection)
+            pool.release_or_close(address, connection)
--- a/packages/rookspring/src/rookspring/http_messages.py
+++ b/packages/rookspring/src/rookspring/http_messages.py
@@ -74,7 +74,7 @@
     return b""
 
 
-def end_to_end(headers: t.Iterable[Header]) -> list[Header]:
+def end_to_end_headers(headers: t.Iterable[Header]) -> list[Header]:
     """Give the headers that are forwarded to the next hop.
 
     Headers that ``Connection`` names are hop-by-hop as well.
@@ -90,7 +90,7 @@
     return [row for row in rows if row[0].lower() not in dropped]
 
 
-def reason_of(status: int) -> bytes:
+def reason_phrase(status: int) -> bytes:
     """Give the reason phrase of a status."""
     try:
         return http.HTTPStatus(status).phrase.encode()
--- a/packages/rookspring/src/rookspring/http_platform.py
+++ b/packages/rookspring/src/rookspring/http_platform.py
@@ -11,7 +11,7 @@
 from rookspring_core.events import BoxListed
 
 from . import defaults
-from .connections import OneConnection
+from .connections import SingleUseConnector
 from .exceptions import PlatformConflict
 from .exceptions import PlatformError
 from .exceptions import PlatformMissing
@@ -72,7 +72,7 @@
                 return await self._send(self._get_session(), method, path, all_headers, data, limit)
             # If the library resent a write that had taken effect, the second one would fail
             # with a conflict, as the first had changed the version.
-            async with aiohttp.ClientSession(connector=OneConnection()) as session:
+            async with aiohttp.ClientSession(connector=SingleUseConnector()) as session:
                 return await self._send(session, method, path, all_headers, data, limit)
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             self._count(method, "unreachable")
--- a/packages/rookspring/src/rookspring/http_server.py
+++ b/packages/rookspring/src/rookspring/http_server.py
@@ -9,18 +9,18 @@
 """
 
 import asyncio
-import httptools
 import typing as t
+
+import httptools
+
 from . import defaults
 from .exceptions import CallerGone
 from .http_messages import Header
 from .http_messages import HttpRequest
-from .http_messages import reason_of
+from .http_messages import reason_phrase
 from .http_messages import write_head
 
 
-
-
 class ReadLimits(t.NamedTuple):
     """Limits on the size of a request in bytes, and on the time to send it in seconds."""
 
@@ -58,8 +58,8 @@
         self._writable.set()
         self._method = b""
         self._reset_request()
-        self.on_left: t.Callable[[], None] | None = None
-        self.left = False
+        self.on_disconnect: t.Callable[[], None] | None = None
+        self.disconnected = False
         self._answering = False
         self._close_after = False
         self._chunked = False
@@ -94,10 +94,10 @@
         return False
 
     def _handle_disconnect(self) -> None:
-        self.left = True
+        self.disconnected = True
         self._writable.set()
-        if self.on_left is not None:
-            callback, self.on_left = self.on_left, None
+        if self.on_disconnect is not None:
+            callback, self.on_disconnect = self.on_disconnect, None
             callback()
 
     def pause_writing(self) -> None:
@@ -113,7 +113,7 @@
         if self._answering:
             self._pipelined += data
             if len(self._pipelined) > defaults.PIPELINED_BYTES_MAX:
-                self.cut()
+                self.abort()
             return
         self._parse(data)
 
@@ -206,10 +206,10 @@
 
     async def _serve(self, request: HttpRequest) -> None:
         await self._options.serve(self, request)
-        self.on_left = None
-        if self._answering and not self.left:
+        self.on_disconnect = None
+        if self._answering and not self.disconnected:
             # No complete answer was written; the caller must be able to see that.
-            self.cut()
+            self.abort()
 
     # Answers.
 
@@ -228,11 +228,11 @@
             rows.append((b"Content-Length", str(length).encode()))
         if self._close_after:
             rows.append((b"Connection", b"close"))
-        line = b"HTTP/1.1 " + str(status).encode() + b" " + reason_of(status)
+        line = b"HTTP/1.1 " + str(status).encode() + b" " + reason_phrase(status)
         self._write(write_head(line, rows))
 
     def _write(self, data: bytes) -> None:
-        if not self.left:
+        if not self.disconnected:
             self._transport.write(data)
 
     async def send(self, data: bytes) -> None:
@@ -247,7 +247,7 @@
         self._write(data)
         if not self._writable.is_set():
             await self._writable.wait()
-        if self.left:
+        if self.disconnected:
             raise CallerGone
 
     def end(self) -> None:
@@ -255,8 +255,8 @@
         if self._chunked and self._method != b"HEAD":
             self._write(b"0\r\n\r\n")
         self._answering = False
-        self.on_left = None
-        if self.left:
+        self.on_disconnect = None
+        if self.disconnected:
             return
         if self._close_after:
             self._transport.close()
@@ -275,7 +275,7 @@
             self._write(body)
         self.end()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that the caller sees that an answer is incomplete."""
         self._answering = False
         if self._transport is not None and not self._transport.is_closing():
@@ -286,7 +286,7 @@
         self._close_after = True
         self._answering = True
         self._method = b""
-        self.answer(status, [(b"Content-Type", b"text/plain")], reason_of(status))
+        self.answer(status, [(b"Content-Type", b"text/plain")], reason_phrase(status))
 
     def close_if_idle(self) -> None:
         """Close a connection on which no request is being read or served."""
@@ -306,7 +306,7 @@
 
     def _time_out(self) -> None:
         """Answer 408 to a caller that sends too slowly, or close an idle connection."""
-        if self._answering or self.left:
+        if self._answering or self.disconnected:
             return
         if self._target or self._headers:
             self._reject(408)
@@ -338,7 +338,7 @@
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no new connections; open ones continue."""
         if self._server is not None:
             self._server.close()
--- a/packages/rookspring/src/rookspring/stage.py
+++ b/packages/rookspring/src/rookspring/local_cluster.py
@@ -1,14 +1,13 @@
 """Fakes and nodes on loopback in one process, for the demo, tests and experiments."""
 
-import aiohttp
 import asyncio
 import hashlib
+import typing as t
+
+import aiohttp
 import orjson
 import typer
-import typing as t
-from . import web
-from .node import Node
-from .settings import Settings
+
 from rookspring_core import InvariantBroken
 from rookspring_fakes import Engine
 from rookspring_fakes import Ledger
@@ -21,14 +20,15 @@
 from rookspring_fakes.users import UserSize
 from rookspring_fakes.users import declare
 
-
-
+from . import web
+from .node import Node
+from .settings import Settings
 
 KEY = "demo"
 RESIDENT_WAIT_S = 120.0
 
 
-class StagePlan(t.NamedTuple):
+class LocalClusterPlan(t.NamedTuple):
     """What to start.
 
     :param token_rate: tokens per second of each runner.
@@ -47,10 +47,10 @@
     quiet: bool = False
 
 
-class Stage:
+class LocalCluster:
     """All fakes and nodes; they run in the current event loop."""
 
-    def __init__(self, plan: StagePlan) -> None:
+    def __init__(self, plan: LocalClusterPlan) -> None:
         self.plan = plan
         self.size = plan.size
         self.platform = Platform()
@@ -61,21 +61,21 @@
         self.ledger = Ledger()
         self.served: dict[str, Served] = {}
         self.nodes: dict[str, Node] = {}
-        self.broken: list[str] = []
-        self.ends: list[asyncio.Task[None]] = []
-        self.ended_runners: list[str] = []
+        self.violations: list[str] = []
+        self.shutdowns: list[asyncio.Task[None]] = []
+        self.crashed_runners: list[str] = []
         self.platform_address = ""
 
-    def say(self, text: str) -> None:
+    def print_progress(self, text: str) -> None:
         """Print progress to standard error, so that standard output has the JSON alone."""
         if not self.plan.quiet:
             typer.echo(text, err=True)
 
-    async def rise(self) -> None:
+    async def start(self) -> None:
         """Start the fakes, then the nodes."""
         await self._start_fakes()
         for number in range(self.plan.nodes):
-            await self.raise_node(number + 1)
+            await self.start_node(number + 1)
 
     async def _start_fakes(self) -> None:
         places = self.size.data_centres
@@ -83,7 +83,7 @@
         self.served["platform"] = platform
         self.platform_address = platform.address
         for number in range(self.size.runners):
-            await self.raise_runner(number)
+            await self.start_runner(number)
         for number in range(self.size.service_endpoints):
             service = PlainService(f"{self.size.service}-{number}", self.ledger, seed=number)
             self.services[service.name] = service
@@ -91,7 +91,7 @@
             place = places[number % 3]
             self._list_box(service.name, served, place, "service", self.size.service)
 
-    async def raise_runner(self, number: int, fatal_text: str = "") -> None:
+    async def start_runner(self, number: int, fatal_text: str = "") -> None:
         """Start a runner.
 
         :param fatal_text: a prompt that contains it crashes the runner when it starts to run.
@@ -115,10 +115,10 @@
 
     def _end_runner(self, name: str, served: Served) -> None:
         """Stop a runner as a crash would; its box stays listed."""
-        self.ended_runners.append(name)
+        self.crashed_runners.append(name)
         self.engines.pop(name, None)
         self.served.pop(name, None)
-        self.ends.append(asyncio.create_task(served.close()))
+        self.shutdowns.append(asyncio.create_task(served.close()))
 
     def _list_box(self, name: str, served: Served, place: str, role: str, service: str) -> None:
         self.served[name] = served
@@ -131,7 +131,7 @@
             "service": service,
         }
 
-    def settings_of(self, number: int) -> Settings:
+    def make_settings(self, number: int) -> Settings:
         """Give the settings of the node with a number."""
         places = self.size.data_centres
         return Settings(
@@ -158,9 +158,9 @@
             "service": "",
         }
 
-    async def raise_node(self, number: int) -> Node:
+    async def start_node(self, number: int) -> Node:
         """Start a node; a second start with the same number is a new incarnation."""
-        settings = self.settings_of(number)
+        settings = self.make_settings(number)
         node = Node(settings, on_broken=self._record_violation)
         await node.start()
         self.nodes[settings.name] = node
@@ -168,7 +168,7 @@
         return node
 
     def _record_violation(self, error: InvariantBroken) -> None:
-        self.broken.append(str(error))
+        self.violations.append(str(error))
 
     def addresses(self) -> list[str]:
         """List the caller addresses of all nodes."""
@@ -194,7 +194,9 @@
                 async with session.put(url, data=body) as response:
                     if response.status != 200:
                         raise RuntimeError(await response.text())
-            self.say(f"applied {len(documents)} resources; waiting until every model is resident")
+            self.print_progress(
+                f"applied {len(documents)} resources; waiting until every model is resident"
+            )
             async with asyncio.timeout(RESIDENT_WAIT_S):
                 for address in addresses:
                     await self._wait_resident(session, address, len(addresses))
@@ -209,7 +211,7 @@
             missing = len(status["models_not_resident"])
             placed = status["models"] - missing
             if placed != shown:
-                self.say(f"  {address}: {placed} of {self.size.models} models resident")
+                self.print_progress(f"  {address}: {placed} of {self.size.models} models resident")
                 shown = placed
             linked = len(status["nodes"]) >= nodes
             if status["models"] == self.size.models and not missing and linked:
@@ -240,12 +242,12 @@
         node = self.nodes.pop(name)
         node.drain()
         task = asyncio.create_task(node.run_until_stopped())
-        self.ends.append(task)
+        self.shutdowns.append(task)
         return task
 
     async def close(self) -> None:
         """Wait for the shutdowns under way, then close all nodes and fakes."""
-        for task in self.ends:
+        for task in self.shutdowns:
             await asyncio.wait_for(task, 60.0)
         for node in self.nodes.values():
             await node.close()
--- a/packages/rookspring/src/rookspring/logs.py
+++ b/packages/rookspring/src/rookspring/logs.py
@@ -3,10 +3,10 @@
 import os
 import sys
 import typing as t
-from . import clock
-from loguru import logger
 
+from loguru import logger
 
+from . import clock
 
 EVENTS: dict[str, str] = {
     "node_started": "the node listens; it is ready once it has a revision",
--- a/packages/rookspring/src/rookspring/metrics.py
+++ b/packages/rookspring/src/rookspring/metrics.py
@@ -1,13 +1,13 @@
 """Metrics of a node, all declared here and served at ``/metrics``."""
 
 import typing as t
+
 from aioprometheus.collectors import Counter
 from aioprometheus.collectors import Gauge
 from aioprometheus.collectors import Histogram
 from aioprometheus.collectors import Registry
 from aioprometheus.renderer import render
 
-
 _BUCKETS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0]
 
 
@@ -56,17 +56,17 @@
             "Requests found to end the endpoints that run them",
             labels,
         )
-        self.malformed = make(
+        self.malformed_entries = make(
             Gauge, "rookspring_entries_malformed", "Entries that name no endpoint", labels
         )
-        self.wants = make(
+        self.load_requests = make(
             Histogram,
             "rookspring_want_seconds",
             "Time from the first request for an adapter to its attachment, or to the last try",
             labels,
             buckets=_BUCKETS,
         )
-        self.adapter_stays = make(
+        self.attachments = make(
             Histogram,
             "rookspring_adapter_stay_seconds",
             "How long adapters stayed attached, by whether a request used them",
--- a/packages/rookspring/src/rookspring/node.py
+++ b/packages/rookspring/src/rookspring/node.py
@@ -31,7 +31,7 @@
 from . import platform_loops
 from . import web
 from .dialling import Dialler
-from .dialling import want_links
+from .dialling import plan_links
 from .effect_handlers import EFFECT_HANDLERS
 from .endpoints import ENDPOINT_CLIENTS
 from .endpoints import EndpointClient
@@ -97,7 +97,7 @@
         membership = self.state.membership
         self.dialler = Dialler(
             membership.name,
-            lambda: want_links(membership),
+            lambda: plan_links(membership),
             self.peers,
             settings.peers,
             self.spawn,
--- a/packages/rookspring/src/rookspring/peers.py
+++ b/packages/rookspring/src/rookspring/peers.py
@@ -8,10 +8,12 @@
 import asyncio
 import hashlib
 import hmac
-import msgpack
 import secrets
 import ssl
 import typing as t
+
+import msgpack
+
 from . import defaults
 from .exceptions import PeerError
 from .logs import log
@@ -21,8 +23,6 @@
 from .messages import encode
 
 
-
-
 class Link:
     """One authenticated stream to another node."""
 
@@ -38,7 +38,7 @@
         self.sent_bytes = 0
         self.closed = False
 
-    async def greet(self, name: str, incarnation: str, key: str) -> None:
+    async def handshake(self, name: str, incarnation: str, key: str) -> None:
         """Exchange hellos, and proofs of the shared key.
 
         :raises PeerError: if the other side has another version or lacks the key.
@@ -167,7 +167,7 @@
     async def _run(self, link: Link) -> None:
         try:
             async with asyncio.timeout(defaults.HEADER_READ_S):
-                await link.greet(self._name, self._incarnation, self._key)
+                await link.handshake(self._name, self._incarnation, self._key)
         except (PeerError, TimeoutError) as error:
             log("peer_refused", "WARNING", reason=error)
             link.close()
--- a/packages/rookspring/src/rookspring/relay.py
+++ b/packages/rookspring/src/rookspring/relay.py
@@ -22,7 +22,7 @@
 
 from . import clock
 from . import defaults
-from .dialect import Ask
+from .dialect import RequestFields
 from .exceptions import CallerError
 from .http_messages import HttpRequest
 from .http_server import ServerConnection
@@ -49,7 +49,7 @@
         self,
         connection: ServerConnection,
         request: HttpRequest,
-        ask: Ask,
+        ask: RequestFields,
         route: Route,
         arrived_at: float,
         organisation: Organisation | None = None,
@@ -87,7 +87,7 @@
             self.attempt_timeout.reschedule(asyncio.get_running_loop().time() + left_s)
 
 
-def request_timeout_s(ask: Ask, route: Route) -> float:
+def request_timeout_s(ask: RequestFields, route: Route) -> float:
     """Return the lesser of the caller's and the route's time limit, in seconds."""
     if ask.deadline_s is None:
         return route.timeout_s
@@ -100,7 +100,7 @@
     """Serve one request of a caller until it is answered or refused, or its caller left."""
     arrived_at = clock.now()
     try:
-        ask = context.dialect.read_ask(request)
+        ask = context.dialect.read_request(request)
     except CallerError as error:
         log("request_malformed", "WARNING", field=error.field, expected=error.expected)
         connection.answer(error.status, context.dialect.refusal_headers("", 0.0), b"")
@@ -121,7 +121,9 @@
     await _run_exchange(context, exchange, table)
 
 
-def _find_route(context: "RelayContext", connection: ServerConnection, ask: Ask) -> Route | None:
+def _find_route(
+    context: "RelayContext", connection: ServerConnection, ask: RequestFields
+) -> Route | None:
     """Return a request's route in the configuration in force; without one, answer an error."""
     table = context.state.table
     route = table.match(ask.host, ask.path) if table else None
@@ -139,7 +141,7 @@
     context: "RelayContext",
     connection: ServerConnection,
     route: Route,
-    ask: Ask,
+    ask: RequestFields,
     arrived_at: float,
 ) -> KeyVerdict:
     """Check a request's key; if it is unknown, wait for a configuration that may have it."""
@@ -149,7 +151,7 @@
     context.requests_awaiting_key += 1
     context.ask_proof()
     try:
-        while verdict.may_wait and not connection.left:
+        while verdict.may_wait and not connection.disconnected:
             now = clock.now()
             if now - arrived_at > defaults.KEY_WAIT_S:
                 break
@@ -163,7 +165,7 @@
 def _refuse_key(
     context: "RelayContext",
     connection: ServerConnection,
-    ask: Ask,
+    ask: RequestFields,
     route: Route,
     verdict: KeyVerdict,
 ) -> None:
@@ -197,7 +199,7 @@
         _log_end(exchange, "left", "caller closed the connection")
         remove_exchange(context, exchange)
 
-    exchange.connection.on_left = on_left
+    exchange.connection.on_disconnect = on_left
     context.submit(make_arrival_event(exchange, table))
     await exchange.done
 
@@ -232,7 +234,7 @@
             route.objective_s,
         ),
         key=ask.key if exchange.organisation else "",
-        declared_tokens=ask.told_tokens,
+        declared_tokens=ask.declared_tokens,
         fingerprint=exchange.fingerprint,
     )
 
--- a/packages/rookspring/src/rookspring/relay_attempts.py
+++ b/packages/rookspring/src/rookspring/relay_attempts.py
@@ -17,14 +17,14 @@
 
 from . import clock
 from . import defaults
-from .dialect import Errand
-from .dialect import Verdict
+from .dialect import AnswerMatch
+from .dialect import ForwardFields
 from .event_streams import EventSplitter
 from .exceptions import CallerGone
 from .exceptions import EndpointError
 from .http_client import Reply
 from .http_messages import HttpHead
-from .http_messages import end_to_end
+from .http_messages import end_to_end_headers
 from .http_messages import write_head
 from .logs import log
 from .relay import HeldAnswer
@@ -93,7 +93,7 @@
 
 
 def _submit_failure(context: RelayContext, effect: Dispatch, error: EndpointError) -> None:
-    context.metrics.attempts.inc({"end": "not_run" if error.said_not_run else "failed"})
+    context.metrics.attempts.inc({"end": "not_run" if error.reported_not_run else "failed"})
     exchange = context.exchanges.get(effect.request_id)
     log(
         "attempt_failed",
@@ -105,7 +105,7 @@
         events=exchange.events if exchange else 0,
         reason=error.reason,
         sent=error.sent,
-        said_not_run=error.said_not_run,
+        said_not_run=error.reported_not_run,
         broken=error.broken,
         down=error.down,
         withheld=error.withheld,
@@ -116,7 +116,7 @@
             effect.request_id,
             effect.attempt,
             error.sent,
-            error.said_not_run,
+            error.reported_not_run,
             error.reason,
             error.down,
             error.broken,
@@ -129,23 +129,23 @@
     context: RelayContext, effect: Dispatch, exchange: RelayExchange, view: EndpointView
 ) -> None:
     unrepeatable = not exchange.route.repeatable
-    connection = await context.pool.take(view.address, unrepeatable)
+    connection = await context.pool.acquire(view.address, unrepeatable)
     why = notice_handlers.find_withheld(
         context.state, view.name
     ) or slot_requests.find_missing_permit(context.state, exchange.key, view.name)
     if why:
         # The reason arose while connecting, which takes up to a second.
-        context.pool.give_back(view.address, connection)
+        context.pool.release(view.address, connection)
         raise EndpointError(why, sent=False, withheld=True)
     data = _write_request(context, exchange, view)
     context.submit(AttemptStarted(clock.now(), exchange.key, effect.attempt))
-    verdicts: list[Verdict] = []
+    verdicts: list[AnswerMatch] = []
 
     def accept(head: HttpHead) -> bool:
-        verdict = context.dialect.judge(head, exchange.ask.request_id)
-        if verdict.mine:
+        verdict = context.dialect.match_answer(head, exchange.ask.request_id)
+        if verdict.matches:
             verdicts.append(verdict)
-        return verdict.mine
+        return verdict.matches
 
     try:
         arrived = context.state.requests[exchange.key].arrived
@@ -153,20 +153,20 @@
             exchange.ask.request_id, arrived.target, arrived.adapter, is_request=True
         )
         hear = make_notice_handler(context, view.name, call)
-        reply = connection.ask(data, accept, hear, exchange.request.method == b"HEAD")
+        reply = connection.send_request(data, accept, hear, exchange.request.method == b"HEAD")
         head = await reply.wait_head()
         await _relay_answer(context, effect, exchange, reply, head, verdicts[-1])
     finally:
         # Closes the connection if the answer was not read to its end, which also shows the
         # endpoint that no caller waits for it.
-        context.pool.settle(view.address, connection)
+        context.pool.release_or_close(view.address, connection)
 
 
 def _write_request(context: RelayContext, exchange: RelayExchange, view: EndpointView) -> bytes:
     request = exchange.request
     left_s = exchange.deadline_at - clock.now()
     table = context.state.table
-    errand = Errand(
+    fields = ForwardFields(
         left_s,
         view.name,
         exchange.rank,
@@ -174,7 +174,7 @@
         exchange.organisation,
         keyed=table is not None and table.directory is not None,
     )
-    headers = context.dialect.errand_headers(request.headers, errand)
+    headers = context.dialect.forward_headers(request.headers, fields)
     if request.body or request.method not in (b"GET", b"HEAD", b"DELETE"):
         headers.append((b"Content-Length", str(len(request.body)).encode()))
     return write_head(request.method + b" " + request.target + b" HTTP/1.1", headers) + request.body
@@ -186,13 +186,13 @@
     exchange: RelayExchange,
     reply: Reply,
     head: HttpHead,
-    verdict: Verdict,
+    verdict: AnswerMatch,
 ) -> None:
     if verdict.not_run:
         raise EndpointError(
             f"refused with {head.status}",
             sent=True,
-            said_not_run=True,
+            reported_not_run=True,
         )
     success = 200 <= head.status < 300
     if success and exchange.route.kind == "stream":
@@ -200,9 +200,9 @@
         return
     body = await reply.read_rest(defaults.ANSWER_BYTES_MAX)
     if head.status >= 500 and exchange.route.repeatable:
-        exchange.held_answer = HeldAnswer(head.status, end_to_end(head.headers), body)
+        exchange.held_answer = HeldAnswer(head.status, end_to_end_headers(head.headers), body)
         raise EndpointError(f"answered {head.status}", sent=True)
-    _send_answer(exchange, HeldAnswer(head.status, end_to_end(head.headers), body))
+    _send_answer(exchange, HeldAnswer(head.status, end_to_end_headers(head.headers), body))
     context.submit(AttemptSucceeded(clock.now(), exchange.key, effect.attempt, head.status))
     end_exchange(context, exchange, "answered", f"endpoint {effect.endpoint} gave {head.status}")
 
@@ -231,7 +231,7 @@
         _record_pause(exchange)
         context.submit(AttemptProgressed(clock.now(), exchange.key, effect.attempt, events.number))
         await exchange.connection.send(events.data)
-    if splitter.rest():
+    if splitter.incomplete():
         raise EndpointError("broke off within an event", sent=True)
     _begin_stream(exchange, head)
     exchange.connection.end()
@@ -253,7 +253,7 @@
         return
     exchange.started = True
     exchange.first_event_at = clock.now()
-    exchange.connection.begin(head.status, end_to_end(head.headers), None)
+    exchange.connection.begin(head.status, end_to_end_headers(head.headers), None)
 
 
 @relay_performs(Refuse)
@@ -265,7 +265,7 @@
     context.metrics.refusals.inc({"reason": effect.reason, "outcome": effect.outcome})
     if exchange.started:
         # The head was sent already, so only a cut connection shows that the answer is incomplete.
-        exchange.connection.cut()
+        exchange.connection.abort()
     elif exchange.held_answer is not None:
         _send_answer(exchange, exchange.held_answer)
     else:
--- a/packages/rookspring/src/rookspring/relay_context.py
+++ b/packages/rookspring/src/rookspring/relay_context.py
@@ -107,7 +107,7 @@
 
     def set_malformed_entries(self, number: int) -> None:
         """Set the metric of endpoint entries that can't be read."""
-        self.metrics.malformed.set({}, number)
+        self.metrics.malformed_entries.set({}, number)
 
     def submit(self, event: Event) -> None:
         """Reduce an event, log the decisions, and perform the effects."""
--- a/packages/rookspring/src/rookspring/relay_endpoint_list.py
+++ b/packages/rookspring/src/rookspring/relay_endpoint_list.py
@@ -13,10 +13,10 @@
 from .messages import Listed
 from .peers import Link
 from .platform import StoredObject
-from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from .store_reachability import StoreReachability
 
 
 class MissingEntry(t.NamedTuple):
@@ -72,7 +72,7 @@
     this one, which apply them as they are.
     """
 
-    def __init__(self, context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
+    def __init__(self, context: RelayContext, peers: RelayPeers, reach: StoreReachability) -> None:
         self._context = context
         self._peers = peers
         self._reach = reach
@@ -273,10 +273,10 @@
 
         None is dropped during an outage of the store.
         """
-        grace_end = self._reach.back_at + defaults.LAPSE_GRACE_S
+        grace_end = self._reach.recovered_at + defaults.LAPSE_GRACE_S
         for name, missing in list(self._missing.items()):
             until = max(missing.kept_until, grace_end)
-            if now >= until and self._reach.lost_at is None:
+            if now >= until and self._reach.unreachable_since is None:
                 self._drop(name)
                 log("endpoint_gone", endpoint=name, late_s=now - until)
         self._context.submit(BoxListReceived(now, tuple(self._rows.values())))
--- a/packages/rookspring/src/rookspring/relay_heartbeats.py
+++ b/packages/rookspring/src/rookspring/relay_heartbeats.py
@@ -121,7 +121,8 @@
         capacity=state.capacity,
         relay=state.topology.relay,
         relay_s=round(state.topology.collecting_s(now), 1),
-        watches=state.topology.watching and now - state.topology.read_at < defaults.READ_LATELY_S,
+        watches=state.topology.watching
+        and now - state.topology.read_at < defaults.STORE_READ_RECENT_S,
         aggregated=True,
         # Ages of more than an hour need not be told apart.
         store_age_s=round(min(3600.0, state.topology.age_s(now)), 3),
--- a/packages/rookspring/src/rookspring/relay_merged.py
+++ b/packages/rookspring/src/rookspring/relay_merged.py
@@ -65,6 +65,6 @@
         peers.differs_since.pop(link, None)
         return
     since = peers.differs_since.setdefault(link, now)
-    if now - since >= defaults.MERGED_DIFFERS_S:
-        peers.differs_since[link] = now + defaults.MERGED_AGAIN_S
+    if now - since >= defaults.MERGED_MISMATCH_S:
+        peers.differs_since[link] = now + defaults.MERGED_RESEND_S
         send_merged_sets(peers, link)
--- a/packages/rookspring/src/rookspring/relay_node.py
+++ b/packages/rookspring/src/rookspring/relay_node.py
@@ -56,7 +56,6 @@
 from .metrics import Metrics
 from .platform import StoredObject
 from .platform import open_platform
-from .reach import Reach
 from .relay_context import RelayContext
 from .relay_context import relay_performs
 from .relay_endpoint_list import EndpointList
@@ -64,6 +63,7 @@
 from .relay_proofs import ProofRefresher
 from .relay_settings import RelaySettings
 from .store_eras import StoreEras
+from .store_reachability import StoreReachability
 
 Reload = t.Callable[[], RelaySettings]
 
@@ -116,7 +116,7 @@
         state = NodeState(identity, clock.now())
         state.relaying = True
         state.slots_by_owner = True
-        state.capacity = min(settings.cores, settings.link_mbps / defaults.LINK_MBPS_A_CORE)
+        state.capacity = min(settings.cores, settings.link_mbps / defaults.LINK_MBPS_PER_CORE)
         state.control.lease.terms = RELAY_TERMS
         pace = demand.SmoothingTimes(
             core_defaults.RELAY_DEMAND_RISE_S,
@@ -134,7 +134,7 @@
         platform = open_platform(address, _counter(metrics))
         self.context = RelayContext(settings, dialect, state, platform, metrics)
         self.peers = RelayPeers(self.context)
-        self.reach = Reach(self.context)
+        self.reach = StoreReachability(self.context)
         self.context.eras = StoreEras(self.context, self.reach)
         self.context.eras.attach_client(platform)
         self.endpoints = EndpointList(self.context, self.peers, self.reach)
@@ -191,7 +191,7 @@
         if state.allotments.tolerance != settings.allotments:
             state.allotments = Allotments(settings.allotments, state.started_at)
         state.drain_serve_s = min(
-            defaults.LOOKUP_LIVES * settings.lookup_ttl_s,
+            defaults.LOOKUP_TTL_FACTOR * settings.lookup_ttl_s,
             settings.grace_s * defaults.STOP_SERVE_SHARE,
         )
 
@@ -261,7 +261,7 @@
             headers, body = dialect.write_lookup(addresses, self.settings.lookup_ttl_s)
             connection.answer(200 if addresses else 503, headers, body)
             return
-        if dialect.is_ready_check(request):
+        if dialect.is_readiness_check(request):
             connection.answer(200 if self.context.ready() else 503, [], b"")
             return
         connection.answer(404, [], b"")
@@ -282,7 +282,7 @@
         ticked_at = clock.now()
         while True:
             now = clock.now()
-            if now - ticked_at > defaults.STOOD_STILL_S:
+            if now - ticked_at > defaults.STALLED_S:
                 self._resume(now - ticked_at)
             ticked_at = now
             self.context.submit(Ticked(now))
@@ -347,10 +347,10 @@
         """Wait until a planned stop is complete, then close all connections."""
         await self.stopping.wait()
         for listener in self.listeners.values():
-            listener.stop_taking()
+            listener.stop_accepting()
             listener.close_idle()
         # Complete answers may still be in the send buffers.
-        await asyncio.sleep(defaults.LAST_BYTES_S)
+        await asyncio.sleep(defaults.STOP_FLUSH_S)
         log("node_stopped", node=self.settings.name, cut=len(self.context.exchanges))
         for task in list(self.context.tasks):
             task.cancel()
--- a/packages/rookspring/src/rookspring/relay_notices.py
+++ b/packages/rookspring/src/rookspring/relay_notices.py
@@ -18,7 +18,7 @@
 from rookspring_core.request_rates import RateRecord
 
 from . import clock
-from .http_client import Hear
+from .http_client import OnHead
 from .http_messages import HttpHead
 from .leaving_rows import decode_leaving
 from .leaving_rows import encode_leaving
@@ -49,7 +49,7 @@
     is_request: bool = False
 
 
-def make_notice_handler(context: RelayContext, endpoint: str, call: EndpointCall) -> Hear:
+def make_notice_handler(context: RelayContext, endpoint: str, call: EndpointCall) -> OnHead:
     """Return a handler for the heads of an endpoint's responses to one call.
 
     A notice is attributed to the process that is known now, when the call begins: a response that
@@ -66,7 +66,7 @@
             return
         # Only a response to this very request dates the notice: one to another request may be
         # old, and the responses to orders and reads of reports do not apply to requests.
-        own_response = call.is_request and context.dialect.judge(head, call.call_id).mine
+        own_response = call.is_request and context.dialect.match_answer(head, call.call_id).matches
         log(
             "endpoint_said",
             endpoint=endpoint,
--- a/packages/rookspring/src/rookspring/relay_orders.py
+++ b/packages/rookspring/src/rookspring/relay_orders.py
@@ -26,8 +26,8 @@
 from . import clock
 from . import defaults
 from . import http_client
-from .dialect import OrderAsked
 from .dialect import OrderReply
+from .dialect import OrderRequest
 from .exceptions import EndpointError
 from .logs import log
 from .relay_context import RelayContext
@@ -45,7 +45,7 @@
 async def _send_and_submit(context: RelayContext, effect: SendOrder) -> None:
     fence, count = effect.token
     adapter = effect.model_version.rpartition("/")[2]
-    order = OrderAsked(
+    order = OrderRequest(
         effect.action,
         effect.model,
         adapter,
@@ -174,7 +174,7 @@
 @relay_performs(LoadRequestEnded)
 def log_load_request_ended(context: RelayContext, effect: LoadRequestEnded) -> None:
     """Log and count the outcome for an adapter that requests waited for."""
-    context.metrics.wants.observe({"end": effect.outcome}, effect.age_s)
+    context.metrics.load_requests.observe({"end": effect.outcome}, effect.age_s)
     log(
         "want_ended",
         adapter=effect.adapter,
@@ -188,7 +188,7 @@
 def log_adapter_left(context: RelayContext, effect: AdapterLeft) -> None:
     """Log and count how long a detached adapter was attached."""
     used = "yes" if effect.used else "no"
-    context.metrics.adapter_stays.observe({"used": used}, effect.stay_s)
+    context.metrics.attachments.observe({"used": used}, effect.stay_s)
     log(
         "adapter_left",
         endpoint=effect.endpoint,
--- a/packages/rookspring/src/rookspring/relay_peers.py
+++ b/packages/rookspring/src/rookspring/relay_peers.py
@@ -16,7 +16,7 @@
 from . import clock
 from . import defaults
 from .dialling import Dialler
-from .dialling import Wanted
+from .dialling import LinkPlan
 from .logs import log
 from .messages import Nodes
 from .messages import TableMessage
@@ -133,7 +133,7 @@
         if added:
             self.context.state.membership.take_list(self.known_nodes.values())
 
-    def _wanted(self) -> Wanted:
+    def _wanted(self) -> LinkPlan:
         state = self.context.state
         topology = state.topology
         addresses = topology.addresses_to_dial()
@@ -143,7 +143,7 @@
             for name, peer in state.membership.peers.items()
             if name in self.server.links
         }
-        return Wanted(addresses, waits, linked, topology.needs_seeds())
+        return LinkPlan(addresses, waits, linked, topology.needs_seeds())
 
     def _handle_unreached(self, name: str) -> None:
         self.context.submit(PeerUnreached(clock.now(), name))
--- a/packages/rookspring/src/rookspring/relay_proofs.py
+++ b/packages/rookspring/src/rookspring/relay_proofs.py
@@ -28,10 +28,10 @@
 from .messages import Proof
 from .peers import Link
 from .platform import StoredObject
-from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from .store_reachability import StoreReachability
 
 if t.TYPE_CHECKING:
     from rookspring_core.state import NodeState
@@ -43,7 +43,7 @@
     :param reach: records whether the store answers.
     """
 
-    def __init__(self, context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
+    def __init__(self, context: RelayContext, peers: RelayPeers, reach: StoreReachability) -> None:
         self._context = context
         self._peers = peers
         self._reach = reach
@@ -66,9 +66,11 @@
                 self.ask(now, hurried)
                 if self.due(now):
                     self._context.spawn(self._read(now))
-            await asyncio.sleep(defaults.PROOF_LEAST_S)
+            await asyncio.sleep(defaults.PROOF_REQUEST_MIN_S)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(defaults.PROOF_ASK_S - defaults.PROOF_LEAST_S):
+                async with asyncio.timeout(
+                    defaults.PROOF_REQUEST_INTERVAL_S - defaults.PROOF_REQUEST_MIN_S
+                ):
                     await self._requested.wait()
 
     def ask(self, now: float, hurried: bool = False) -> None:
@@ -77,7 +79,7 @@
         :param hurried: a request waits for it.
         """
         state = self._context.state
-        proved_lately = state.freshness.age_s(now) < defaults.PROOF_READ_S
+        proved_lately = state.freshness.age_s(now) < defaults.PROOF_READ_INTERVAL_S
         if state.topology.reads_configuration() and proved_lately and not hurried:
             return
         for name in state.topology.proof_sources():
@@ -87,7 +89,10 @@
 
     def due(self, now: float) -> bool:
         """Return whether to read the configuration from the store now, and mark the read begun."""
-        if self._reading or now - self._read_at < defaults.PROOF_READ_S - defaults.PROOF_LEAST_S:
+        if (
+            self._reading
+            or now - self._read_at < defaults.PROOF_READ_INTERVAL_S - defaults.PROOF_REQUEST_MIN_S
+        ):
             return False
         state = self._context.state
         if not state.topology.reads_configuration() and state.freshness.age_s(now) <= _read_after_s(
@@ -121,12 +126,12 @@
             match answer:
                 case Success(found):
                     stored = found
-                    self._reach.answered()
+                    self._reach.note_answer()
                 case Failure(error):
-                    self._reach.failed("read configuration", error)
+                    self._reach.note_failure("read configuration", error)
         except TimeoutError:
             timeout = PlatformUnreachable("read configuration: no answer in time")
-            self._reach.failed("read configuration", timeout)
+            self._reach.note_failure("read configuration", timeout)
         finally:
             self.finish_read(asked_at, stored)
         if stored is None:
@@ -168,7 +173,7 @@
     """Process another node's proof; its stamp is this node's clock when it sent the request."""
     now = clock.now()
     stamp = float(proof.stamp)
-    if not 0.0 <= now - stamp < defaults.PROOF_ANSWER_S:
+    if not 0.0 <= now - stamp < defaults.PROOF_AGE_MAX_S:
         log("proof_late", "WARNING", peer=link.name, age_s=now - stamp)
         return
     version = int(proof.version)
--- a/packages/rookspring/src/rookspring/relay_slots.py
+++ b/packages/rookspring/src/rookspring/relay_slots.py
@@ -36,7 +36,7 @@
 async def process_queues_loop(peers: RelayPeers) -> None:
     """Grant free slots and refuse overdue requests every ``SLOT_SETTLE_S``."""
     while True:
-        await asyncio.sleep(defaults.SLOT_SETTLE_S)
+        await asyncio.sleep(defaults.SLOT_QUEUES_INTERVAL_S)
         process_queues(peers)
 
 
--- a/packages/rookspring/src/rookspring/relay_store_loops.py
+++ b/packages/rookspring/src/rookspring/relay_store_loops.py
@@ -29,9 +29,9 @@
 from .logs import log
 from .platform import Listing
 from .platform import StoredObject
-from .reach import Reach
 from .relay_context import RelayContext
 from .relay_peers import RelayPeers
+from .store_reachability import StoreReachability
 
 # Kinds of objects that relay nodes themselves write to the store.
 NODE_KIND = "rookspring-nodes"
@@ -62,17 +62,17 @@
     :param endpoints: the kind is that of the endpoints' entries.
     """
     if not context.state.topology.mesh:
-        wait_s = defaults.FEW_WATCH_S if endpoints else defaults.FEW_WATCH_TABLE_S
+        wait_s = defaults.SHARED_WATCH_S if endpoints else defaults.SHARED_WATCH_TABLE_S
         holding = context.state.control.holding(clock.now())
-        batch_s = defaults.ENDPOINT_FOLD_S if holding else defaults.FEW_FOLD_S
+        batch_s = defaults.ENDPOINT_BATCH_S if holding else defaults.SHARED_WATCH_BATCH_S
     else:
-        wait_s, batch_s = defaults.RELAY_WATCH_S, defaults.ENDPOINT_FOLD_S
+        wait_s, batch_s = defaults.RELAY_WATCH_S, defaults.ENDPOINT_BATCH_S
     return WatchTerms(wait_s, batch_s if endpoints else 0.0, endpoints)
 
 
 async def watch_kind(
     context: RelayContext,
-    reach: Reach,
+    reach: StoreReachability,
     kind: str,
     take: TakeRows,
     endpoints: bool = False,
@@ -93,7 +93,7 @@
             asked_at = clock.now()
             listing = await context.eras.call_in_era(context.platform.list_kind(kind))
             if isinstance(listing, Failure):
-                reach.failed(f"list {kind}", listing.failure())
+                reach.note_failure(f"list {kind}", listing.failure())
                 await _pause(context, back_off)
                 continue
             _note_answer(context, reach, endpoints)
@@ -108,7 +108,7 @@
         changes = await context.eras.call_in_era(context.platform.watch(kind, since, terms.wait_s))
         if isinstance(changes, Failure):
             since = -1
-            reach.failed(f"watch {kind}", changes.failure())
+            reach.note_failure(f"watch {kind}", changes.failure())
             if not isinstance(changes.failure(), PlatformTooOld):
                 await _pause(context, back_off)
             continue
@@ -125,16 +125,16 @@
     """Wait before the next call, longer if another node sends this one current data."""
     await back_off.pause()
     if context.state.topology.has_fresh_source(clock.now()):
-        await asyncio.sleep(defaults.FED_PAUSE_S)
+        await asyncio.sleep(defaults.FRESH_SOURCE_PAUSE_S)
 
 
-def _note_answer(context: RelayContext, reach: Reach, endpoints: bool) -> None:
-    reach.answered()
+def _note_answer(context: RelayContext, reach: StoreReachability, endpoints: bool) -> None:
+    reach.note_answer()
     if endpoints:
         context.submit(StoreRead(clock.now()))
 
 
-async def watch_table(context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
+async def watch_table(context: RelayContext, peers: RelayPeers, reach: StoreReachability) -> None:
     """Watch the configuration and apply it."""
     version = 0
 
@@ -150,7 +150,7 @@
     await watch_kind(context, reach, context.dialect.table_kind(), take, on_listed=listed)
 
 
-async def poll_lease(context: RelayContext, reach: Reach) -> None:
+async def poll_lease(context: RelayContext, reach: StoreReachability) -> None:
     """Read the lease object repeatedly while this node may take or hold the lease."""
     back_off = BackOff(defaults.RELAY_BACKOFF_MAX_S)
     # The first read shows a restarted node whether it still holds the lease.
@@ -162,7 +162,7 @@
             and not control_jobs.should_read_lease(context.state)
             and not _needs_restore(context)
         ):
-            await _wait_lease_check(context, defaults.RELAY_LEASE_LOOK_S)
+            await _wait_lease_check(context, defaults.RELAY_LEASE_CHECK_S)
             continue
         era = context.state.store_era
         answer = await context.eras.call_in_era(context.platform.get(LEASE_KIND, lease_name(era)))
@@ -183,14 +183,14 @@
                 await _restore_from_earlier_era(context, era, has_read)
                 context.submit(LeaseSeen(now, 0, "", 0, "", era=era))
             case Failure(error):
-                reach.failed("read lease", error)
+                reach.note_failure("read lease", error)
                 await back_off.pause()
                 continue
         has_read = True
-        reach.answered()
+        reach.note_answer()
         back_off.reset()
         freed_soon = control_jobs.awaits_release(context.state)
-        wait_s = defaults.RELAY_LEASE_FREED_S if freed_soon else defaults.RELAY_LEASE_READ_S
+        wait_s = defaults.RELAY_LEASE_RELEASED_READ_S if freed_soon else defaults.RELAY_LEASE_READ_S
         await _wait_lease_check(context, wait_s)
 
 
@@ -245,7 +245,7 @@
             await context.lease_check_due.wait()
 
 
-async def poll_nodes(context: RelayContext, peers: RelayPeers, reach: Reach) -> None:
+async def poll_nodes(context: RelayContext, peers: RelayPeers, reach: StoreReachability) -> None:
     """Write this node's row to the store, and learn the other nodes from theirs.
 
     Nodes that join later are learnt from other nodes, so the list is read again only while this
@@ -256,10 +256,10 @@
     while True:
         listing = await context.platform.list_kind(NODE_KIND)
         if isinstance(listing, Failure):
-            reach.failed(f"list {NODE_KIND}", listing.failure())
+            reach.note_failure(f"list {NODE_KIND}", listing.failure())
             await back_off.pause()
             continue
-        reach.answered()
+        reach.note_answer()
         rows = {one.name: one.value for one in listing.unwrap().items if one.value}
         peers.add_nodes(
             (name, str(row["address"]), str(row["zone"]), float(row.get("strength", 0.0)))
@@ -311,7 +311,7 @@
     All nodes check theirs, so a hash of the name spreads them out, to limit the store's call rate.
     """
     share = stable_hash("row", state.identity.name) % 1000 / 1000.0
-    return defaults.ROW_AGAIN_PER_NODE_S * state.membership.count() * share
+    return defaults.ROW_CHECK_PER_NODE_S * state.membership.count() * share
 
 
 async def _restore_row(context: RelayContext) -> bool:
--- a/packages/rookspring/src/rookspring/relay_updates.py
+++ b/packages/rookspring/src/rookspring/relay_updates.py
@@ -52,7 +52,7 @@
         if not self._scheduled:
             self._scheduled = True
             loop = self._peers.context.loop
-            loop.call_later(defaults.PROMPTS_FOLD_S, self._send)
+            loop.call_later(defaults.PROMPTS_BATCH_S, self._send)
 
     def _send(self) -> None:
         self._scheduled = False
--- a/packages/rookspring/src/rookspring/reports.py
+++ b/packages/rookspring/src/rookspring/reports.py
@@ -17,7 +17,7 @@
 class ReportLog:
     """The reports shared last, so that one with nothing but a new load is sent as a short row.
 
-    A full row is sent every ``REPORT_WHOLE_S``, and after a node has linked.
+    A full row is sent every ``FULL_REPORT_INTERVAL_S``, and after a node has linked.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         """Return the row to share: short if nothing but load and age has changed."""
         digest = digest_without_load(report)
         known, at = self._sent.get(report.endpoint, (0, -1e9))
-        if known == digest and now - at < defaults.REPORT_WHOLE_S:
+        if known == digest and now - at < defaults.FULL_REPORT_INTERVAL_S:
             return [report.endpoint, digest, report.age_s, report.running, report.queued]
         self._sent[report.endpoint] = (digest, now)
         return encode_report(report, now)
--- a/packages/rookspring/src/rookspring/settings.py
+++ b/packages/rookspring/src/rookspring/settings.py
@@ -7,8 +7,8 @@
 import pathlib
 import re
 import typing as t
-from .exceptions import SettingsError
 
+from .exceptions import SettingsError
 
 _NAME = re.compile(r"^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$")
 
--- a/packages/rookspring/src/rookspring/store_eras.py
+++ b/packages/rookspring/src/rookspring/store_eras.py
@@ -19,7 +19,7 @@
 from .exceptions import PlatformTooOld
 from .logs import log
 from .platform import PlatformClient
-from .reach import Reach
+from .store_reachability import StoreReachability
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
@@ -30,7 +30,7 @@
 class StoreEras:
     """The newest era that this node knows of."""
 
-    def __init__(self, context: "RelayContext", reach: Reach) -> None:
+    def __init__(self, context: "RelayContext", reach: StoreReachability) -> None:
         self._context = context
         self._reach = reach
         self._restored = asyncio.Event()
@@ -57,7 +57,7 @@
         state = self._context.state
         log("store_era", era=era, before=state.store_era, source=source, risen=self._answered)
         now = clock.now()
-        self._reach.note_return(now)
+        self._reach.note_restore(now)
         self._context.submit(StoreEraBegan(now, era))
         if self._answered:
             self.restores += 1
--- a/packages/rookspring/src/rookspring/telemetry.py
+++ b/packages/rookspring/src/rookspring/telemetry.py
@@ -1,9 +1,10 @@
 """Trace spans for each hop, exported to a file or by OTLP, depending on the settings."""
 
-import orjson
 import pathlib
 import threading
 import typing as t
+
+import orjson
 from opentelemetry import context as otel_context
 from opentelemetry import trace
 from opentelemetry.exporter.otlp.proto.http.trace_exporter import OTLPSpanExporter
@@ -11,13 +12,12 @@
 from opentelemetry.sdk.trace import ReadableSpan
 from opentelemetry.sdk.trace import TracerProvider
 from opentelemetry.sdk.trace.export import BatchSpanProcessor
-from opentelemetry.sdk.trace.export import SpanExportResult
 from opentelemetry.sdk.trace.export import SpanExporter
+from opentelemetry.sdk.trace.export import SpanExportResult
 from opentelemetry.sdk.trace.sampling import ParentBased
 from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 from opentelemetry.trace.propagation.tracecontext import TraceContextTextMapPropagator
 
-
 _PROPAGATOR = TraceContextTextMapPropagator()
 
 
@@ -63,7 +63,7 @@
             self._provider.add_span_processor(BatchSpanProcessor(FileExporter(file)))
         if otlp:
             self._provider.add_span_processor(BatchSpanProcessor(OTLPSpanExporter(otlp)))
-        self.on = bool(file or otlp)
+        self.enabled = bool(file or otlp)
         self._tracer = self._provider.get_tracer("rookspring")
 
     def begin(self, name: str, parent: str = "", **attributes: t.Any) -> trace.Span:
@@ -71,23 +71,23 @@
 
         :param parent: a ``traceparent`` header, or empty for a new trace.
         """
-        if not self.on:
+        if not self.enabled:
             return trace.INVALID_SPAN
         context: otel_context.Context | None = None
         if parent:
             context = _PROPAGATOR.extract({"traceparent": parent})
         return self._tracer.start_span(name, context=context, attributes=attributes)
 
-    def header(self, span: trace.Span, otherwise: str = "") -> str:
+    def header(self, span: trace.Span, default: str = "") -> str:
         """Give the ``traceparent`` header for calls that belong to a span.
 
         :param default: given if no span is recorded.
         """
-        if not self.on:
-            return otherwise
+        if not self.enabled:
+            return default
         carrier: dict[str, str] = {}
         _PROPAGATOR.inject(carrier, context=trace.set_span_in_context(span))
-        return carrier.get("traceparent", otherwise)
+        return carrier.get("traceparent", default)
 
     def flush(self) -> None:
         """Export the spans recorded so far."""
--- a/packages/rookspring/src/rookspring/web.py
+++ b/packages/rookspring/src/rookspring/web.py
@@ -1,6 +1,12 @@
 """The HTTP server of a node: routes, limits, and errors in one format."""
 
 import typing as t
+
+from sanic import Request
+from sanic import Sanic
+from sanic.exceptions import SanicException
+from sanic.response import HTTPResponse
+
 from . import callers
 from . import defaults
 from . import operators
@@ -8,12 +14,6 @@
 from .exceptions import CallerGone
 from .logs import log
 from .node_context import NodeContext
-from sanic import Request
-from sanic import Sanic
-from sanic.exceptions import SanicException
-from sanic.response import HTTPResponse
-
-
 
 _patched_apps: list[str] = []
 
