--- a/features/processes.feature
+++ b/features/processes.feature
@@ -1,13 +1,13 @@
 @relay
-Feature: Real processes keep their promises under signals, changes and what endpoints say
+Feature: Real node processes keep their guarantees under signals, changes and endpoints' notices
 
   Scenario Outline: a short soak of real processes
-    Given <nodes> nodes as processes, <callers> callers on kept connections, and seed <seed>
-    When troubles come for <seconds> s, in series and overlapping
-    Then no promise is broken
+    Given <nodes> nodes as processes, <callers> callers on persistent connections, and seed <seed>
+    When troubles are drawn for <seconds> s, one after another and overlapping
+    Then no guarantee is violated
     And most requests were answered
 
-    Examples: longer ones are played by hand
+    Examples: longer runs are started by hand
       | nodes | callers | seed | seconds |
       | 3     | 8       | 1    | 20      |
       | 4     | 6       | 2    | 15      |
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -1,24 +1,26 @@
 import os
-
 from behave import given
 from behave import then
 from behave import when
-
 from rookspring_fakes.process_soak import ProcessSoak
 
 
-@given("{nodes:d} nodes as processes, {callers:d} callers on kept connections, and seed {seed:d}")
+
+
+@given(
+    "{nodes:d} nodes as processes, {callers:d} callers on persistent connections, and seed {seed:d}"
+)
 def nodes_as_processes(context, nodes, callers, seed):
     context.soak = ProcessSoak(seed, nodes, callers, os.getpid())
 
 
-@when("troubles come for {seconds:d} s, in series and overlapping")
-def troubles_come(context, seconds):
+@when("troubles are drawn for {seconds:d} s, one after another and overlapping")
+def troubles_drawn(context, seconds):
     context.outcome = context.loop.run(context.soak.run(seconds), seconds + 60.0)
 
 
-@then("no promise is broken")
-def none_broken(context):
+@then("no guarantee is violated")
+def none_violated(context):
     assert not context.outcome.broken, context.outcome.broken
 
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -1,9 +1,9 @@
-"""Relay nodes of a whole deployment in one process, on a virtual clock, without sockets.
+"""Simulation of a deployment's relay nodes in one process, on a virtual clock, without sockets.
 
-Tests and experiments use it to see who knows what, and when, at sizes of hundreds of
-nodes. The reducer and what passes between nodes are the real ones; links, the store's
-list of endpoints and time are stand-ins. Faults are those of nodes and of ways between
-them: a node is killed, frozen, cut off from others or from the store.
+Tests and experiments use it to check which node has which information, and when, with up to
+hundreds of nodes. The reducer and the messages between nodes are the real ones; links, the
+platform's store and the clock are fakes. A node may be killed, frozen, or partitioned from other
+nodes or from the store.
 """
 
 import collections
@@ -11,11 +11,17 @@
 import functools
 import heapq
 import itertools
-import typing as t
-from unittest import mock
-
 import msgpack
-
+import typing as t
+from .fleet_node import FleetLink
+from .fleet_node import FleetNode
+from .fleet_node import write_table
+from .fleet_runners import FleetRunners
+from .fleet_store import ENDPOINTS
+from .fleet_store import FleetCopy
+from .fleet_store import FleetStore
+from .fleet_store import NODES
+from .fleet_store import TABLE
 from rookspring import clock
 from rookspring import defaults
 from rookspring import relay_heartbeats
@@ -36,39 +42,34 @@
 from rookspring_core.events import Ticked
 from rookspring_core.freshness import NEVER
 from rookspring_core.organisations import Directory
+from unittest import mock
+
+
 
-from .fleet_node import FleetLink
-from .fleet_node import FleetNode
-from .fleet_node import write_table
-from .fleet_runners import FleetRunners
-from .fleet_store import ENDPOINTS
-from .fleet_store import NODES
-from .fleet_store import TABLE
-from .fleet_store import FleetCopy
-from .fleet_store import FleetStore
 
-# The way between two nodes, in seconds.
+# The one-way delay of a message between two nodes, in seconds.
 WAY_S = 0.001
-# The first nodes are told to all as seeds.
+# The number of nodes, the first ones, that all nodes know as seeds.
 SEEDS = 3
-# Ticks from one look at how new the configuration is to the next.
+# The number of ticks between two renewals of the proof that the configuration is the newest.
 PROOF_TICKS = round(defaults.PROOF_REQUEST_INTERVAL_S / core_defaults.TICK_S)
-# The node that holds the lease, and ticks from one renewal to the next.
+# The node that records organisations' usage and verdicts as the lease holder does, and the number
+# of ticks between two lease renewals.
 HOLDER = "n0"
 RENEW_TICKS = round(core_defaults.RELAY_LEASE_RENEW_S / core_defaults.TICK_S)
-# Endpoints and the operator write again what a copy lacks, spread over so long; the entry of an
-# endpoint that is gone lapses after so long, in seconds.
+# After a restore from a backup, endpoints and the operator rewrite what the backup lacks, spread
+# over REWRITE_S; entries of endpoints that have ended lapse after LAPSE_S. Both in seconds.
 AGAIN_S = 1.2
 LAPSE_S = 3.6
-# The start of the virtual clock: a node that has just started is to be told from time 0.
+# The start of the virtual clock; not 0, so that the start of a node differs from time 0.
 EPOCH_S = 1000.0
 
 
 class FleetPlan(t.NamedTuple):
-    """How many nodes and endpoints there are, over how many data centres.
+    """The size and the settings of a simulated deployment.
 
-    :param directory: organisations from the start on; None where requests need no keys.
-    :param elects: nodes contend for the lease; without, nobody holds it.
+    :param directory: the organisations in the first configuration; None if requests need no keys.
+    :param elects: whether nodes compete for the lease; otherwise no node holds it.
     """
 
     nodes: int
@@ -82,7 +83,7 @@
 
 
 class Act(t.NamedTuple):
-    """A moment at which a node might give orders, with its fence."""
+    """A tick at which a node may send orders, with its fencing token."""
 
     at: float
     node: str
@@ -90,7 +91,7 @@
 
 
 class Fleet:
-    """All nodes, the ways between them, the store's list of endpoints, and the clock."""
+    """The nodes, the links between them, the store, the endpoints and the virtual clock."""
 
     def __init__(self, plan: FleetPlan) -> None:
         self.plan = plan
@@ -98,26 +99,26 @@
         self.nodes: dict[str, FleetNode] = {}
         self.cut: set[tuple[str, str]] = set()
         self.cut_from_store: set[str] = set()
-        # Time to an answer of the store, and whether watches of it hear nothing.
+        # The latency of the store's answers in seconds; whether its watches deliver no changes.
         self.store_s = 0.004
         self.deaf = False
-        # Time on the way between two nodes, where it is not the usual.
+        # The one-way delays, in seconds, of pairs (sender, receiver) that differ from the default.
         self.ways: dict[tuple[str, str], float] = {}
-        # What the lease holder wrote last of organisations' use; node 0 holds the lease.
+        # The usage of organisations and the verdicts that HOLDER recorded last.
         self.used: dict[str, float] = {}
         self.verdicts: list[t.Any] = []
-        # Each moment at which a node might give orders.
+        # The ticks at which some node might send orders.
         self.acts: list[Act] = []
         self.store = FleetStore()
-        # What endpoints and the operator would write again.
+        # The entries and the configuration that endpoints and the operator rewrite after a restore.
         self._entries: dict[str, list[t.Any]] = {}
         self._table_value = write_table(1, plan.directory)
         self.store.put(TABLE, "main", self._table_value)
-        # Requests that ran, with when they were sent and when they began; and refusals.
+        # Dispatched requests, with the times of arrival and dispatch; refusals, with their time.
         self.runs: list[tuple[float, float, RequestArrived]] = []
         self.refusals: list[tuple[float, Refuse]] = []
         self._queue: list[tuple[float, int, t.Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._starts: collections.Counter[int] = collections.Counter()
         self.runners = FleetRunners(self)
         for number in range(plan.endpoints):
@@ -128,7 +129,7 @@
 
     @contextlib.contextmanager
     def running(self) -> t.Iterator[None]:
-        """Have the parts of the nodes read the virtual clock."""
+        """Make the code of the nodes read the virtual clock."""
         with mock.patch.object(clock, "now", lambda: self.now):
             yield
 
@@ -136,62 +137,68 @@
 
     @property
     def table(self) -> StoredObject:
-        """The configuration as the store holds it."""
+        """The configuration that the store holds."""
         found = self.store.get(TABLE, "main")
         assert found is not None
         return found
 
     def write_entry(self, name: str, state: str, model: str, born: int = 0) -> None:
-        """Write an endpoint's entry; ``born`` tells its start, if it is told."""
+        """Write an endpoint's entry.
+
+        :param started_ms: when its process started, in milliseconds; 0 if the entry does not say.
+        """
         self._entries[name] = [state, model, born]
         if not self.store.away:
             self.store.put(ENDPOINTS, name, self._entries[name])
 
     def entry(self, name: str) -> list[t.Any]:
-        """Give what a live endpoint writes of itself."""
+        """Return the entry that a live endpoint writes about itself."""
         return self._entries[name]
 
     def remove_entry(self, name: str) -> None:
-        """Take an endpoint's entry away."""
+        """Delete an endpoint's entry."""
         self._entries.pop(name, None)
         self.store.put(ENDPOINTS, name, None)
 
     def write_table(self, directory: Directory | None) -> int:
-        """Write a configuration; gives its version."""
+        """Write a configuration and return its version."""
         version = int(self._table_value[0]) + 1
         self._table_value = write_table(version, directory)
         self.store.put(TABLE, "main", self._table_value)
         return version
 
     def come_back(self, copy: FleetCopy) -> None:
-        """Have the store come back from a copy; endpoints and the operator write theirs again."""
+        """Restore the store from a backup; afterwards, endpoints and operator rewrite theirs."""
         self.store.come_back(copy)
         names = sorted({*self._entries, *(row.name for row in self.store.rows(ENDPOINTS))})
-        for place, name in enumerate(names):
-            again_s = AGAIN_S * (place + 1) / len(names) if name in self._entries else LAPSE_S
-            self.at(self.now + again_s, functools.partial(self._write_again, name))
-        self.at(self.now + AGAIN_S, self._write_table_again)
+        for index, name in enumerate(names):
+            delay_s = AGAIN_S * (index + 1) / len(names) if name in self._entries else LAPSE_S
+            self.at(self.now + delay_s, functools.partial(self._rewrite_entry, name))
+        self.at(self.now + AGAIN_S, self._rewrite_table)
 
-    def _write_again(self, name: str) -> None:
-        """Have an endpoint write its entry where it is not so, or one that is gone lapse."""
+    def _rewrite_entry(self, name: str) -> None:
+        """Rewrite an entry that differs in the store, or delete that of an ended endpoint."""
         found = self.store.get(ENDPOINTS, name)
         value = self._entries.get(name)
         if (found.value if found else None) != value:
             self.store.put(ENDPOINTS, name, value)
 
-    def _write_table_again(self) -> None:
+    def _rewrite_table(self) -> None:
         if self.table.value != self._table_value:
             self.store.put(TABLE, "main", self._table_value)
 
     def watch_table(self, node: FleetNode) -> None:
-        """Have a node hear of the configuration, unless watches are deaf."""
+        """Pass the configuration to a node, unless watches are silent and it has one already."""
         if not self.deaf or node.state.table is None:
             node.peers.take_stored(self.table)
 
     def store_rows(self, since: int) -> tuple[tuple[StoredObject, ...], int, bool]:
-        """Give what changed since a revision, the revision now, and whether that is all.
+        """Return the entries of endpoints that changed after a revision.
+
+        All entries are returned if the revision is negative or newer than the store's, as after a
+        restore from a backup.
 
-        Where the store has no such revision it says so, and is asked for all.
+        :return: the entries, the current revision, and whether these are all entries.
         """
         rows = self.store.changes(ENDPOINTS, since) if since >= 0 else None
         whole = rows is None
@@ -199,7 +206,7 @@
         return found, self.store.revision, whole
 
     def list_nodes(self, node: "FleetNode") -> None:
-        """Have a node read the store's list of nodes, in which those that ended stand yet."""
+        """Have a node read the list of nodes, which keeps ended ones, and add itself once."""
         listed = (self.nodes[row.name] for row in self.store.rows(NODES))
         node.peers.add_nodes(
             (one.name, f"at-{one.name}", one.place, one.state.capacity) for one in listed
@@ -209,30 +216,30 @@
             self.store.put(NODES, node.name, node.place)
 
     def reaches_store(self, name: str) -> bool:
-        """Say whether a node reaches the store."""
+        """Return whether a node can reach the store."""
         return not self.store.away and name not in self.cut_from_store
 
     # Nodes and links.
 
     def start(self, number: int) -> FleetNode:
-        """Start a node, or start it again in another process."""
+        """Start a node, or restart it as a new process."""
         self._starts[number] += 1
-        place = f"z{number % self.plan.data_centres}"
-        node = FleetNode(self, number, place, self._starts[number])
+        data_centre = f"z{number % self.plan.data_centres}"
+        node = FleetNode(self, number, data_centre, self._starts[number])
         self.nodes[node.name] = node
         self.at(self.now, lambda: self._tick(node))
         self.at(self.now + number % 7 * 0.03, lambda: self._beat(node))
         return node
 
     def kill(self, name: str) -> None:
-        """End a node's process; its links end as well."""
+        """End a node's process and its links."""
         node = self.nodes[name]
         node.alive = False
         for other in list(node.peers.server.links):
             self.unlink(name, other)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen node go on, with what came in the meantime first."""
+        """Resume a frozen node; it first handles what arrived in the meantime."""
         node = self.nodes[name]
         node.frozen = False
         inbox, node.inbox = node.inbox, []
@@ -241,22 +248,22 @@
                 take()
 
     def hand(self, node: FleetNode, take: t.Callable[[], None]) -> None:
-        """Have a node take something, now or once it goes on."""
+        """Run a callback at a node: now, or once it resumes if it is frozen; never if it ended."""
         if node.frozen:
             node.inbox.append(take)
         elif node.alive:
             take()
 
     def drain(self, name: str) -> None:
-        """Have a node leave as planned."""
+        """Start a node's planned shutdown."""
         node = self.nodes[name]
         node.state.draining_since = self.now
         relay_heartbeats.send_heartbeats(node.peers)
 
     def link(self, name: str, other: str) -> None:
-        """Link two nodes, if each can reach the other."""
+        """Connect two nodes, if each can reach the other."""
         first, second = self.nodes[name], self.nodes[other]
-        if not self._open(name, other) or not self._open(other, name):
+        if not self._is_reachable(name, other) or not self._is_reachable(other, name):
             first.submit(PeerUnreached(self.now, other))
             return
         for one, end in ((first, second), (second, first)):
@@ -265,12 +272,12 @@
         for one, end in ((first, second), (second, first)):
             one.peers.send_first_messages(one.peers.server.links[end.name])
 
-    def _open(self, name: str, other: str) -> bool:
+    def _is_reachable(self, name: str, other: str) -> bool:
         there = self.nodes[other]
         return there.alive and not there.frozen and (name, other) not in self.cut
 
     def unlink(self, name: str, other: str) -> None:
-        """End the link of two nodes; each is told."""
+        """Close the link of two nodes; each that is alive gets a ``PeerLost`` event."""
         for one, end in ((name, other), (other, name)):
             node = self.nodes[one]
             link = node.peers.server.links.pop(end, None)
@@ -284,11 +291,11 @@
                 node.submit(PeerLost(self.now, end))
 
     def deliver(self, name: str, other: str, data: bytes) -> None:
-        """Bring a message to the other end of a link."""
+        """Deliver a message to the other end of a link, after the link's delay."""
 
         node = self.nodes[other]
 
-        def take() -> None:
+        def handle() -> None:
             link = node.peers.server.links.get(name)
             if link is None:
                 return
@@ -297,20 +304,20 @@
             if receiver is not None:
                 receiver(node.peers, link, item)
 
-        def come() -> None:
+        def arrive() -> None:
             if node.alive and (name, other) not in self.cut:
-                self.hand(node, take)
+                self.hand(node, handle)
 
-        self.at(self.now + self.ways.get((name, other), WAY_S), come)
+        self.at(self.now + self.ways.get((name, other), WAY_S), arrive)
 
     # Time.
 
     def at(self, moment: float, call: t.Callable[[], None]) -> None:
-        """Have something happen at a moment."""
-        heapq.heappush(self._queue, (moment, next(self._order), call))
+        """Schedule a callback."""
+        heapq.heappush(self._queue, (moment, next(self._sequence), call))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual clock and run what is due."""
         end = self.now + seconds
         with self.running():
             while self._queue and self._queue[0][0] <= end:
@@ -363,12 +370,12 @@
             if name != node.name and name not in node.peers.server.links:
                 self.link(node.name, name)
 
-    # What is asked of it.
+    # Records and queries.
 
     def note_act(self, node: str, fence: int) -> None:
-        """Note that a node might give orders now."""
+        """Record that a node may send orders now."""
         self.acts.append(Act(self.now, node, fence))
 
     def live(self) -> list[FleetNode]:
-        """Give the nodes that run."""
+        """Return the nodes that are neither ended nor frozen."""
         return [node for node in self.nodes.values() if node.alive and not node.frozen]
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_callers.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_callers.py
@@ -1,35 +1,36 @@
-"""Callers of a fleet, whose requests end endpoints or are broken off when these end.
+"""Callers of a simulated fleet, whose requests crash endpoints or are interrupted by crashes.
 
-Tests and experiments use it: one request may end each endpoint that runs it, endpoints may end
-for no request's sake, and whoever was broken off comes again, with the same request.
+For tests and experiments: a fatal request may crash each endpoint that runs it, endpoints may
+crash without such a request, and a caller whose request was interrupted may retry it.
 """
 
 import functools
 import itertools
 import random
 import typing as t
-
+from .fleet import Fleet
+from .fleet import FleetPlan
+from .fleet_runners import FleetRunners
 from rookspring_core.effects import Refuse
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTerms
 
-from .fleet import Fleet
-from .fleet import FleetPlan
-from .fleet_runners import FleetRunners
 
-# A caller of what has failed comes again after so long, in seconds.
+
+# The time after which a caller retries a failed request, in seconds.
 AGAIN_S = 0.7
-# How long nodes have run before the first request comes, in seconds.
+# How long the nodes run before the first request, in seconds.
 SETTLED_S = 8.0
-# A caller whose request was not heard of for so long has its answer, in seconds.
+# The time after which a request that was not interrupted counts as answered, in seconds.
 ANSWERED_S = 5.0
-# The request that ends what runs it, and how long its caller waits between two times, in seconds.
+# The fingerprint of the fatal request, and the shortest and longest time between two sends of it,
+# in seconds.
 FATAL = "fatal"
 FATAL_EVERY_S = (0.3, 4.0)
 
 
 class FleetCallers:
-    """Requests to a fleet's nodes, and what became of each."""
+    """Sends requests to a fleet's nodes, and looks up their outcomes."""
 
     def __init__(self, nodes: int, endpoints: int = 12) -> None:
         self.fleet = Fleet(FleetPlan(nodes, data_centres=3, endpoints=endpoints))
@@ -42,11 +43,11 @@
         return self.fleet.runners
 
     def names(self) -> list[str]:
-        """Name the nodes that run."""
+        """Return the names of the nodes that are neither ended nor frozen."""
         return [node.name for node in self.fleet.live()]
 
     def send(self, name: str, fingerprint: str, repeatable: bool = False, attempts: int = 1) -> str:
-        """Have a request come to a node; gives its key."""
+        """Send a request to a node and return its id."""
         key = f"q{next(self._numbers)}"
         node = self.fleet.nodes[name]
         now = self.fleet.now
@@ -67,17 +68,21 @@
         return key
 
     def refusal(self, key: str) -> Refuse | None:
-        """Give how a request was refused, if it was."""
+        """Return the refusal of a request, or None."""
         found = [one for _, one in self.fleet.refusals if one.request_id == key]
         return found[0] if found else None
 
     def third_end(self, fingerprint: str) -> float:
-        """Give when the third process ended under a request."""
+        """Return when the third process ended that was running a request."""
         return [one.at for one in self.runners.ended if fingerprint in one.fingerprints][2]
 
 
 class Coming(t.NamedTuple):
-    """A caller who comes again at a moment, should its request have been broken off."""
+    """A sent request that its caller retries if it was interrupted.
+
+    :param at: the earliest time of the retry.
+    :param retries_left: how many retries remain.
+    """
 
     at: float
     key: str
@@ -86,14 +91,14 @@
 
 
 class EndsDay(t.NamedTuple):
-    """What happens on a day of ends.
-
-    :param ends: processes that end for no request's sake.
-    :param seconds: how long requests come.
-    :param rate: requests a second.
-    :param again: how often a caller comes again whose request was broken off.
-    :param lasts_s: how long requests run, from least to most, in seconds.
-    :param fatal: one request comes again and again that ends what runs it.
+    """A scenario in which endpoints crash.
+
+    :param crashes: how many processes crash without a fatal request.
+    :param seconds: how long requests are sent.
+    :param rate: the number of requests per second.
+    :param retries: how often a caller retries an interrupted request.
+    :param durations_s: the shortest and the longest run of a request, in seconds.
+    :param fatal: whether a request that crashes each process that runs it is sent repeatedly.
     """
 
     ends: int = 40
@@ -105,27 +110,30 @@
 
 
 class EndsPlayed:
-    """A played day of ends."""
+    """One seeded run of a crash scenario, which is over when the constructor returns.
+
+    :param weigh: the name of the function that weighs crash records; the default if empty.
+    """
 
-    def __init__(self, day: EndsDay, seed: int = 1, nodes: int = 8, weigh: str = "") -> None:
-        self._day = day
+    def __init__(self, scenario: EndsDay, seed: int = 1, nodes: int = 8, weigh: str = "") -> None:
+        self._scenario = scenario
         self._random = random.Random(seed)
-        self._waiting: list[Coming] = []
+        self._pending: list[Coming] = []
         self.came_again = 0
         self.callers = FleetCallers(nodes)
         if weigh:
             for node in self.callers.fleet.nodes.values():
                 node.state.suspects.use(weigh)
-        self._plan_ends()
+        self._schedule_crashes()
         self._play()
 
-    def _plan_ends(self) -> None:
+    def _schedule_crashes(self) -> None:
         fleet = self.callers.fleet
-        for _ in range(self._day.ends):
-            at = fleet.now + self._random.uniform(0.0, self._day.seconds)
+        for _ in range(self._scenario.ends):
+            at = fleet.now + self._random.uniform(0.0, self._scenario.seconds)
             name = f"e{self._random.randrange(fleet.plan.endpoints)}"
             fleet.at(at, functools.partial(self.callers.runners.end, name))
-        if self._day.fatal:
+        if self._scenario.fatal:
             self.callers.runners.fatal.add(FATAL)
             fleet.at(fleet.now + 1.0, self._send_fatal)
 
@@ -135,35 +143,35 @@
         fleet.at(fleet.now + self._random.uniform(*FATAL_EVERY_S), self._send_fatal)
 
     def _play(self) -> None:
-        day = self._day
+        scenario = self._scenario
         fleet = self.callers.fleet
-        for number in range(day.seconds * day.rate):
+        for number in range(scenario.seconds * scenario.rate):
             fingerprint = f"f{number}"
-            self.callers.runners.lasts[fingerprint] = self._random.uniform(*day.lasts_s)
-            self._send(fingerprint, day.again)
-            fleet.run(1.0 / day.rate)
-            self._come_again()
+            self.callers.runners.lasts[fingerprint] = self._random.uniform(*scenario.lasts_s)
+            self._send(fingerprint, scenario.again)
+            fleet.run(1.0 / scenario.rate)
+            self._retry_interrupted()
 
     def _send(self, fingerprint: str, again: int) -> None:
         key = self.callers.send(self._random.choice(self.callers.names()), fingerprint)
         at = self.callers.fleet.now + AGAIN_S
-        self._waiting.append(Coming(at, key, fingerprint, again))
+        self._pending.append(Coming(at, key, fingerprint, again))
 
-    def _come_again(self) -> None:
-        """Have those come again whose request was broken off, once their time has come."""
+    def _retry_interrupted(self) -> None:
+        """Retry the interrupted requests whose retry is due."""
         now = self.callers.fleet.now
-        broken = {one for ended in self.callers.runners.ended for one in ended.fingerprints}
-        waiting, self._waiting = self._waiting, []
-        for one in waiting:
-            failed = one.fingerprint in broken and self.callers.refusal(one.key) is not None
+        interrupted = {one for ended in self.callers.runners.ended for one in ended.fingerprints}
+        pending, self._pending = self._pending, []
+        for one in pending:
+            failed = one.fingerprint in interrupted and self.callers.refusal(one.key) is not None
             if one.at <= now and failed and one.again:
                 self.came_again += 1
                 self._send(one.fingerprint, one.again - 1)
             elif one.at + ANSWERED_S > now:
-                self._waiting.append(one)
+                self._pending.append(one)
 
     def condemned(self) -> set[str]:
-        """Name the innocent requests on which there was a verdict at any node."""
+        """Return the fingerprints other than the fatal one that any node has a verdict on."""
         found: set[str] = set()
         for node in self.callers.fleet.live():
             verdicts = node.state.suspects.verdicts(self.callers.fleet.now)
@@ -171,6 +179,6 @@
         return found - {FATAL}
 
     def broken_off(self) -> int:
-        """Count the innocent requests that were broken off by ends under the fatal one."""
+        """Count the other requests that were interrupted by crashes of the fatal one."""
         ended = [one for one in self.callers.runners.ended if FATAL in one.fingerprints]
         return sum(len(one.fingerprints) - 1 for one in ended)
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -1,8 +1,9 @@
-"""One relay node of a fleet: the real reducer and messages, on stand-ins of the rest."""
+"""One simulated relay node: the real reducer and messages, with fake links, store and clock."""
 
 import asyncio
 import typing as t
-
+from .fleet_lease import FleetLease
+from .fleet_store import NODES
 from rookspring import defaults
 from rookspring import relay_allotments
 from rookspring import relay_heartbeats
@@ -53,15 +54,14 @@
 from rookspring_core.routes import CallerLimits
 from rookspring_core.routes import RouteTable
 
-from .fleet_lease import FleetLease
-from .fleet_store import NODES
+
 
 if t.TYPE_CHECKING:
     from .fleet import Fleet
 
 
 class FleetLink:
-    """One end of a link; what it sends comes to the other end a moment later."""
+    """One end of a link between two nodes; messages arrive at the other end after a delay."""
 
     def __init__(self, fleet: "Fleet", owner: "FleetNode", name: str) -> None:
         self._fleet = fleet
@@ -75,7 +75,7 @@
         self.send_encoded(encode(item))
 
     def send_encoded(self, data: bytes) -> None:
-        """Send a message that is encoded already."""
+        """Send an encoded message."""
         if self.closed:
             return
         self._owner.sent_bytes += len(data)
@@ -85,27 +85,27 @@
         self._fleet.deliver(self._owner.name, self.name, data)
 
     def close(self) -> None:
-        """End the link at both ends."""
+        """Close the link at both ends."""
         self._fleet.unlink(self._owner.name, self.name)
 
 
 class FleetLoop:
-    """What parts of a node use of an event loop: a call after a while."""
+    """The methods of an event loop that the parts of a node use, on the virtual clock."""
 
     def __init__(self, fleet: "Fleet") -> None:
         self._fleet = fleet
 
     def call_later(self, delay_s: float, call: t.Callable[[], None]) -> None:
-        """Call something after a while of the virtual clock."""
+        """Schedule a callback after a delay."""
         self._fleet.at(self._fleet.now + delay_s, call)
 
     def call_soon(self, call: t.Callable[..., None], *arguments: t.Any) -> None:
-        """Call something after what happens now."""
+        """Schedule a callback after those that are due now."""
         self._fleet.at(self._fleet.now, lambda: call(*arguments))
 
 
 def write_table(version: int, directory: Directory | None) -> list[t.Any]:
-    """Write a configuration as the fleet's store holds it."""
+    """Encode a configuration as the fleet's store holds it."""
     if directory is None:
         return [version, None]
     rows = directory.by_name.values()
@@ -113,18 +113,18 @@
 
 
 class FleetDialect:
-    """Reads entries of endpoints and the configuration as the fleet's store writes them."""
+    """Decodes endpoints' entries and the configuration, as the fleet's store holds them."""
 
     def table_kind(self) -> str:
-        """Name the kind in which the configuration lies."""
+        """Return the kind of the configuration object."""
         return "config"
 
     def table_name(self) -> str:
-        """Name the configuration."""
+        """Return the name of the configuration object."""
         return "main"
 
     def read_table(self, row: StoredObject) -> RouteTable | None:
-        """Read a configuration: a version, and organisations where there are any."""
+        """Decode a configuration: a version and, unless requests need no keys, organisations."""
         version, rows = row.value
         directory = None
         if rows is not None:
@@ -135,10 +135,10 @@
         return RouteTable(version, {}, {}, CallerLimits(0, 0, 0.0, 0.0), directory)
 
     def read_endpoint(self, row: StoredObject, now: float) -> tuple[BoxListed, EndpointReported]:
-        """Read an endpoint's entry."""
-        state, model, born = row.value
+        """Decode an endpoint's entry."""
+        state, model, started_ms = row.value
         listed = BoxListed(
-            row.name, f"at-{row.name}", "z0", "runner", state, "llm", started_ms=born
+            row.name, f"at-{row.name}", "z0", "runner", state, "llm", started_ms=started_ms
         )
         report = EndpointReported(
             now,
@@ -154,18 +154,18 @@
             resident=((model, "1"),),
             leaving=state == "leaving",
             order_token=(0, -1),
-            started_ms=born,
+            started_ms=started_ms,
         )
         return listed, report
 
 
 class FleetNode:
-    """One node: its reducer, its links and the parts that speak over them."""
+    """One node: its state, its links, and the parts that send and receive over them."""
 
-    def __init__(self, fleet: "Fleet", number: int, place: str, start: int) -> None:
+    def __init__(self, fleet: "Fleet", number: int, data_centre: str, start: int) -> None:
         self.fleet = fleet
         self.name = f"n{number}"
-        self.place = place
+        self.place = data_centre
         self.alive = True
         self.frozen = False
         self.sent = 0
@@ -174,10 +174,10 @@
         self.store_calls = 0
         self.ticks = 0
         self.missing_since: dict[str, float] = {}
-        identity = Identity(self.name, f"{self.name}#{start}", place, f"at-{self.name}", "c")
+        identity = Identity(self.name, f"{self.name}#{start}", data_centre, f"at-{self.name}", "c")
         self.state = NodeState(identity, fleet.now)
         self.state.relaying = True
-        # One in ten is strong, so that relays are chosen by strength.
+        # One node in ten has a high capacity, so that relays are chosen by it.
         self.state.capacity = 2.0 if number % 10 == 0 else 0.5
         self.state.control.lease.terms = RELAY_TERMS
         self.state.proof_terms = ProofTerms(fleet.plan.proof_s)
@@ -185,7 +185,7 @@
         self.state.retry_window_terms = WindowTerms(
             0.2, fleet.plan.retry_slack, 10.0, defaults.RELAY_NODES_MIN
         )
-        self.settings = _settings(self.name, place)
+        self.settings = _settings(self.name, data_centre)
         self.dialect = FleetDialect()
         self.loop = FleetLoop(fleet)
         self.endpoints_listed = False
@@ -198,7 +198,7 @@
         self.list = EndpointList(context, self.peers, self.reach)
         self.proofs = ProofRefresher(context, self.peers, self.reach)
         self.lease = FleetLease(fleet, self)
-        # What came while it was frozen.
+        # Callbacks that arrived while it was frozen.
         self.inbox: list[t.Callable[[], None]] = []
         self.peers.link_callbacks += (
             relay_heartbeats.send_first_heartbeat,
@@ -207,9 +207,9 @@
         self.share_report = lambda report: relay_updates.share_report(self.peers, report)
         self.share_prompts = relay_updates.PromptUpdates(self.peers).note
         self.send_endpoint_list = self.list.send_all_rows
-        # Whether its row stands in the store's list of nodes.
+        # Whether it has written its row to the store's list of nodes.
         self.written = False
-        self._looked = False
+        self._verdicts_read = False
         self._next_read = -1e9
         self._listed_at = -1e9
         self._version = -1
@@ -217,10 +217,10 @@
         self._row_era = 0
 
     def set_malformed_entries(self, number: int) -> None:
-        """The fleet writes no malformed entries."""
+        """Do nothing: the fleet writes no malformed entries."""
 
     def submit(self, event: Event) -> None:
-        """Take an event, and perform what concerns other nodes and the fleet's endpoints."""
+        """Reduce an event and perform the effects on other nodes, the lease and endpoints."""
         for effect in reduce(self.state, event):
             match effect:
                 case Announce(topic):
@@ -249,14 +249,17 @@
                     self._run(effect)
 
     def _run(self, effect: Dispatch) -> None:
-        """Have an endpoint run a request."""
+        """Dispatch a request to an endpoint."""
         fleet = self.fleet
         arrived = self.state.requests[effect.request_id].arrived
         fleet.runs.append((arrived.at, fleet.now, arrived))
         fleet.runners.run(self, effect, arrived.fingerprint)
 
     def keep_proved(self) -> None:
-        """Do what is due to keep the configuration proved."""
+        """Request a proof that the configuration is the newest, if one is due.
+
+        Other nodes are asked first; the store is read once the proof keeper says that it is due.
+        """
         fleet = self.fleet
         if not needs_proofs(self.state):
             return
@@ -265,64 +268,64 @@
             self.read_table()
 
     def hear_store(self) -> None:
-        """Take that the store answered; what was watched in an earlier era is listed anew."""
+        """Note the era of the store's answer; in a new era, endpoints are listed again."""
         self.eras.note_era(self.fleet.store.era, "store")
         if self._listed_era != self.state.store_era:
             self._listed_era = self.state.store_era
             self._version = -1
 
-    def _look_after_row(self) -> None:
-        """Have this node's row written again once an era began, whoever told of it."""
+    def _schedule_row_check(self) -> None:
+        """Schedule a check of this node's row in the store when a new era has begun."""
         if self._row_era == self.state.store_era:
             return
         self._row_era = self.state.store_era
-        again_at = self.fleet.now + row_check_delay_s(self.state)
-        self.fleet.at(again_at, lambda: self.fleet.hand(self, self._restore_row))
+        check_at = self.fleet.now + row_check_delay_s(self.state)
+        self.fleet.at(check_at, lambda: self.fleet.hand(self, self._restore_row))
 
     def _restore_row(self) -> None:
-        """Write this node's row where the store lacks it."""
+        """Write this node's row if the store lacks it."""
         if self.fleet.store.get(NODES, self.name) is None:
             self.fleet.store.put(NODES, self.name, self.place)
 
     def read_table(self) -> None:
-        """Read the configuration; the answer takes a while."""
+        """Read the configuration; the answer arrives after the store's latency, or a timeout."""
         fleet = self.fleet
         asked_at = fleet.now
         self.store_calls += 1
         if fleet.reaches_store(self.name):
-            # What it gives is as it was when the question came there.
+            # The answer holds the configuration as it was when the read was sent.
             stored, takes_s = fleet.table, fleet.store_s
         else:
             stored, takes_s = None, defaults.PROOF_CALL_S
-        heard = fleet.store.era
+        answer_era = fleet.store.era
 
-        def come() -> None:
+        def arrive() -> None:
             if stored is not None:
-                self.eras.note_era(heard, "store")
-            # What was asked in one era and answered in another tells nothing.
-            same = self.state.store_era == asked_in
+                self.eras.note_era(answer_era, "store")
+            # An answer to a read that was sent in an earlier era proves nothing.
+            same = self.state.store_era == request_era
             self.proofs.finish_read(asked_at, stored if same else None)
 
-        asked_in = self.state.store_era
-        fleet.at(fleet.now + takes_s, lambda: fleet.hand(self, come))
+        request_era = self.state.store_era
+        fleet.at(fleet.now + takes_s, lambda: fleet.hand(self, arrive))
 
     def take_endpoint_rows(self, rows: tuple[StoredObject, ...], whole: bool, source: str) -> None:
-        """Take a list from another node."""
+        """Apply a list of endpoints that another node sent."""
         self.list.apply_peer_rows(rows, whole and source == self.state.topology.followed)
 
     def read_lease(self) -> None:
-        """Read what the lease tells: verdicts at the start, organisations' use where unknown."""
+        """Read the lease's records: verdicts at the start, and organisations' usage if unknown."""
         now = self.fleet.now
-        if not self._looked and self.fleet.reaches_store(self.name):
-            self._looked = True
-            kept = relay_suspects.read_verdicts(self.fleet.verdicts, now)
-            self.submit(EvidenceReceived(now, kept, "the lease"))
+        if not self._verdicts_read and self.fleet.reaches_store(self.name):
+            self._verdicts_read = True
+            restored = relay_suspects.read_verdicts(self.fleet.verdicts, now)
+            self.submit(EvidenceReceived(now, restored, "the lease"))
         if self.state.allotments.needs_recall(now) and self.fleet.reaches_store(self.name):
             self.submit(UsageRestored(now, tuple(self.fleet.used.items())))
 
     def read_store(self) -> None:
-        """Read the store where this node watches it and is due."""
-        self._look_after_row()
+        """Read the store if this node watches it and a read is due."""
+        self._schedule_row_check()
         self.list.apply_due_rows(self.fleet.now)
         watches = self.state.topology.watching or self._version < 0
         if not watches or self.fleet.now < self._next_read:
@@ -344,7 +347,7 @@
             self.list.apply_store_rows(rows, whole)
 
 
-def _settings(name: str, place: str) -> RelaySettings:
+def _settings(name: str, data_centre: str) -> RelaySettings:
     return RelaySettings(
-        name, place, "c", "r", f"at-{name}", "", 0, (), "store", 0.2, 430.0, 10.0, 8.0, 1.0
+        name, data_centre, "c", "r", f"at-{name}", "", 0, (), "store", 0.2, 430.0, 10.0, 8.0, 1.0
     )
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
@@ -1,12 +1,11 @@
-"""Endpoints of a fleet: what runs on each, and which requests end the process that runs them.
+"""Simulated endpoints of a fleet: the requests that each runs, and the crashes that they cause.
 
-A process that ends closes its connections, so every node's attempts there break off and new
-connections are refused. Its entry stands in the store's list for a while yet; then another
-process starts at its place, with a later time of start.
+When a process ends, its connections close: the attempts of all nodes there fail, and new
+connections are refused. Its entry stays in the store for a while; then another process starts in
+its place, with a later start time.
 """
 
 import typing as t
-
 from rookspring_core import notice_handlers
 from rookspring_core.effects import Dispatch
 from rookspring_core.events import AttemptFailed
@@ -17,25 +16,27 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
+
 if t.TYPE_CHECKING:
     from .fleet import Fleet
     from .fleet_node import FleetNode
 
-# How long a request runs, unless it tells otherwise, in seconds.
+# How long a request runs by default, in seconds.
 RUN_S = 0.1
-# When the first event of an answer comes, in seconds from its begin.
+# The time from the start of a run to the first event of its answer, in seconds.
 FIRST_S = 0.05
-# A request that is turned away is told so after so long, in seconds.
+# The time after which a request that an endpoint turns away is answered, in seconds.
 REFUSE_S = 0.003
-# From the begin of a run to the end of the process that it ends, in seconds.
+# The time from the start of a fatal request's run to the crash that it causes, in seconds.
 FATAL_S = 0.04
-# How long an entry outlasts its process, and when another one is there, in seconds.
+# The times from the end of a process to the deletion of its entry, and to the start of the next
+# process, in seconds.
 LAPSE_S = 3.5
 BACK_S = 4.0
 
 
 class Run(t.NamedTuple):
-    """A request that runs at an endpoint, from the node that sent it."""
+    """A request that is running at an endpoint, and the node that sent it."""
 
     node: "FleetNode"
     effect: Dispatch
@@ -44,7 +45,7 @@
 
 
 class Ended(t.NamedTuple):
-    """A process that ended, when, and what ran there."""
+    """A process that ended, when, and the fingerprints of the requests that it was running."""
 
     at: float
     endpoint: str
@@ -52,7 +53,10 @@
 
 
 class Arrived(t.NamedTuple):
-    """A request that reached an endpoint, from which node, and when its node sent it."""
+    """A request that reached an endpoint: when, from which node, and at which process.
+
+    :param start: how often the endpoint's process had been restarted.
+    """
 
     at: float
     fingerprint: str
@@ -62,7 +66,10 @@
 
 
 class Word(t.NamedTuple):
-    """What a node heard an endpoint say of itself, and which of its processes said it."""
+    """A notice that a node received from an endpoint, and the process that sent it.
+
+    :param start: how often the endpoint's process had been restarted.
+    """
 
     at: float
     node: "FleetNode"
@@ -72,7 +79,12 @@
 
 
 class Shedding(t.NamedTuple):
-    """Until when an endpoint turns requests away, of which nodes, and the rest it asks for."""
+    """How an endpoint sheds load.
+
+    :param until: the time until which it turns requests away.
+    :param backoff_s: the back-off that it requests, in seconds; None if it gives none.
+    :param nodes: the nodes whose requests it turns away; empty for all nodes.
+    """
 
     until: float
     rest_s: float | None
@@ -83,9 +95,9 @@
 
 
 class FleetRunners:
-    """What runs at the endpoints, and the processes that have ended.
+    """The requests that run at the endpoints, and the processes that ended.
 
-    :param fleet: gives the clock and the store.
+    :param fleet: provides the clock and the store.
     """
 
     def __init__(self, fleet: "Fleet") -> None:
@@ -93,33 +105,33 @@
         self._running: dict[str, list[Run]] = {}
         self._down: set[str] = set()
         self._starts: dict[str, int] = {}
-        # Fingerprints of requests that end each process that runs them.
+        # Fingerprints of requests that crash each process that runs them.
         self.fatal: set[str] = set()
-        # How long requests run, by fingerprint, in seconds.
+        # How long requests run, in seconds, by fingerprint.
         self.lasts: dict[str, float] = {}
         self.ended: list[Ended] = []
-        # Each request that reached a process.
+        # The requests that reached a process.
         self.arrived: list[Arrived] = []
-        # Endpoints whose answers say that they leave, and those that turn requests away.
+        # Endpoints whose answers state that they are leaving; and those that turn requests away.
         self.leaving: set[str] = set()
         self.shedding: dict[str, Shedding] = {}
-        # Requests a second that endpoints take from all nodes, named in each of their answers.
+        # The requests per second, from all nodes together, that endpoints state in their answers.
         self.rates: dict[str, float] = {}
-        # The most that runs at once, where that is bounded, and how long runs take.
+        # The concurrency limits of endpoints that have one, and how long a request runs by default.
         self.limits: dict[str, int] = {}
         self.default_run_s = RUN_S
-        # What nodes heard endpoints say of themselves.
+        # The notices that nodes received from endpoints.
         self.words: list[Word] = []
-        # Requests that were turned away.
+        # The requests that were turned away.
         self.turned_away: list[Arrived] = []
 
     def run(self, node: "FleetNode", effect: Dispatch, fingerprint: str) -> None:
-        """Have an endpoint run a request; the node hears how it went."""
+        """Have an endpoint run a request; the node receives the events of the attempt."""
         fleet = self._fleet
         key = (effect.request_id, effect.attempt)
         if effect.endpoint in self._down:
             refused = AttemptFailed(fleet.now, *key, False, False, "refused", down=True)
-            self._tell(node, refused, 0.0)
+            self._submit_later(node, refused, 0.0)
             return
         start = self._starts.get(effect.endpoint, 0)
         arrived = Arrived(fleet.now, fingerprint, effect.endpoint, node.name, start)
@@ -129,29 +141,31 @@
         running = len(self._running.get(effect.endpoint, ()))
         if sheds or running >= self.limits.get(effect.endpoint, running + 1):
             self.turned_away.append(arrived)
-            self._tell(node, AttemptStarted(fleet.now, *key), 0.0)
-            rest_s = shedding.rest_s if sheds else None
-            self._say(node, effect, fleet.now, turned_away=True, rest_s=rest_s)
-            self._tell(node, AttemptFailed(0.0, *key, True, True, "refused with 503"), REFUSE_S)
+            self._submit_later(node, AttemptStarted(fleet.now, *key), 0.0)
+            backoff_s = shedding.rest_s if sheds else None
+            self._deliver_notice(node, effect, fleet.now, turned_away=True, backoff_s=backoff_s)
+            self._submit_later(
+                node, AttemptFailed(0.0, *key, True, True, "refused with 503"), REFUSE_S
+            )
             return
         one = Run(node, effect, fingerprint, fleet.now)
         self._running.setdefault(effect.endpoint, []).append(one)
-        self._tell(node, AttemptStarted(fleet.now, *key), 0.0)
+        self._submit_later(node, AttemptStarted(fleet.now, *key), 0.0)
         if fingerprint in self.fatal:
-            fleet.at(fleet.now + FATAL_S, lambda: self._end_by(one))
+            fleet.at(fleet.now + FATAL_S, lambda: self._crash(one))
             return
-        lasts_s = self.lasts.get(fingerprint, self.default_run_s)
-        if lasts_s > FIRST_S:
+        duration_s = self.lasts.get(fingerprint, self.default_run_s)
+        if duration_s > FIRST_S:
             fleet.at(fleet.now + FIRST_S, lambda: self._progress(one))
-        fleet.at(fleet.now + lasts_s, lambda: self._finish(one))
+        fleet.at(fleet.now + duration_s, lambda: self._finish(one))
 
-    def _tell(self, node: "FleetNode", event: Event, after_s: float) -> None:
+    def _submit_later(self, node: "FleetNode", event: Event, after_s: float) -> None:
         fleet = self._fleet
 
-        def come() -> None:
+        def deliver() -> None:
             fleet.hand(node, lambda: node.submit(event._replace(at=fleet.now)))
 
-        fleet.at(fleet.now + after_s, come)
+        fleet.at(fleet.now + after_s, deliver)
 
     def shed(
         self,
@@ -160,64 +174,76 @@
         rest_s: float | None,
         nodes: frozenset[str] = frozenset(),
     ) -> None:
-        """Have an endpoint turn requests away until a moment, and ask for rest.
+        """Have an endpoint turn requests away.
 
-        :param nodes: those that it turns away; all where none is named.
+        :param until: the time until which it does so.
+        :param backoff_s: the back-off that it requests, in seconds; None to give none.
+        :param nodes: the nodes whose requests it turns away; empty for all nodes.
         """
         self.shedding[endpoint] = Shedding(until, rest_s, nodes)
 
-    def _say(
+    def _deliver_notice(
         self,
         node: "FleetNode",
         effect: Dispatch,
         asked_at: float,
         turned_away: bool = False,
-        rest_s: float | None = None,
+        backoff_s: float | None = None,
     ) -> None:
-        """Have the head of an answer say what its endpoint says of itself."""
+        """Deliver the notice in an answer's headers, if it tells the node something new.
+
+        :param asked_at: when the node sent the request.
+        :param backoff_s: the back-off that is requested, in seconds; None if none is given.
+        """
         leaving = effect.endpoint in self.leaving
         rate = self.rates.get(effect.endpoint)
         notice = Notice(
             leaving=leaving,
             turned_away=turned_away,
-            backoff_s=rest_s,
+            backoff_s=backoff_s,
             rate=rate,
             names_rate=rate is not None,
         )
         view = node.state.endpoints.get(effect.endpoint)
         if view is None or not notice_handlers.has_news(node.state, effect.endpoint, notice):
             return
-        born = notice_handlers.known_start(view)
-        said = NoticeReceived(0.0, effect.endpoint, born, notice, view.address, asked_at=asked_at)
+        started_ms = notice_handlers.known_start(view)
+        received = NoticeReceived(
+            0.0, effect.endpoint, started_ms, notice, view.address, asked_at=asked_at
+        )
         start = self._starts.get(effect.endpoint, 0)
         fleet = self._fleet
 
-        def hear() -> None:
-            node.submit(said._replace(at=fleet.now))
+        def receive() -> None:
+            node.submit(received._replace(at=fleet.now))
             self.words.append(Word(fleet.now, node, effect.endpoint, start, notice))
 
         after_s = REFUSE_S if turned_away else 0.0
-        fleet.at(fleet.now + after_s, lambda: fleet.hand(node, hear))
+        fleet.at(fleet.now + after_s, lambda: fleet.hand(node, receive))
 
     def _progress(self, one: Run) -> None:
         if one in self._running.get(one.effect.endpoint, ()):
             effect = one.effect
-            self._say(one.node, effect, one.at)
-            self._tell(one.node, AttemptProgressed(0.0, effect.request_id, effect.attempt, 1), 0.0)
+            self._deliver_notice(one.node, effect, one.at)
+            self._submit_later(
+                one.node, AttemptProgressed(0.0, effect.request_id, effect.attempt, 1), 0.0
+            )
 
     def _finish(self, one: Run) -> None:
         if one in self._running.get(one.effect.endpoint, ()):
             self._running[one.effect.endpoint].remove(one)
             effect = one.effect
-            self._say(one.node, effect, one.at)
-            self._tell(one.node, AttemptSucceeded(0.0, effect.request_id, effect.attempt), 0.0)
+            self._deliver_notice(one.node, effect, one.at)
+            self._submit_later(
+                one.node, AttemptSucceeded(0.0, effect.request_id, effect.attempt), 0.0
+            )
 
-    def _end_by(self, one: Run) -> None:
+    def _crash(self, one: Run) -> None:
         if one in self._running.get(one.effect.endpoint, ()):
             self.end(one.effect.endpoint)
 
     def end(self, endpoint: str) -> None:
-        """End an endpoint's process, for whatever reason."""
+        """End an endpoint's process, which fails its running requests, and schedule a restart."""
         if endpoint in self._down:
             return
         fleet = self._fleet
@@ -236,7 +262,7 @@
                 down=True,
                 broken=True,
             )
-            self._tell(one.node, failed, 0.001)
+            self._submit_later(one.node, failed, 0.001)
         fleet.at(fleet.now + LAPSE_S, lambda: fleet.remove_entry(endpoint))
         fleet.at(fleet.now + BACK_S, lambda: self._start(endpoint))
 
@@ -249,9 +275,9 @@
         self._fleet.write_entry(endpoint, "live", "m", 1 + self._starts[endpoint])
 
     def start_of(self, endpoint: str) -> int:
-        """Give how often an endpoint's process was started anew."""
+        """Return how often an endpoint's process was restarted."""
         return self._starts.get(endpoint, 0)
 
     def ends_under(self, fingerprint: str) -> int:
-        """Count the processes that ended while a request ran there."""
+        """Return how many processes ended while they were running a request."""
         return sum(1 for one in self.ended if fingerprint in one.fingerprints)
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_store.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_store.py
@@ -1,14 +1,14 @@
-"""The store of a fleet: objects by kind and name, with one counter of revisions over all.
+"""The store of a fleet: objects by kind and name, with one revision counter for all.
 
-It may be away, and come back from an older copy: then its counter goes back, what was
-written since is gone, and the era rises by one.
+It may be unavailable, and be restored from an older backup: its counter then goes back to the
+backup's, later writes are lost, and the era increases by one.
 """
 
 import typing as t
-
 from rookspring.platform import StoredObject
 
-# Kinds of the fleet's objects.
+
+# Kinds of objects.
 ENDPOINTS = "endpoints"
 TABLE = "table"
 LEASE = "lease"
@@ -16,14 +16,14 @@
 
 
 class FleetCopy(t.NamedTuple):
-    """All that the store held at a moment."""
+    """A backup of the store."""
 
     revision: int
     objects: dict[tuple[str, str], StoredObject]
 
 
 class FleetStore:
-    """What nodes, endpoints and the operator have written; a value None stands for a deletion."""
+    """The objects that nodes, endpoints and the operator write; None marks a deleted one."""
 
     def __init__(self) -> None:
         self.era = 0
@@ -32,15 +32,15 @@
         self._objects: dict[tuple[str, str], StoredObject] = {}
 
     def put(self, kind: str, name: str, value: t.Any) -> int:
-        """Write an object, whatever is there."""
+        """Write an object unconditionally and return its revision."""
         self.revision += 1
         self._objects[(kind, name)] = StoredObject(name, self.revision, value, self.era)
         return self.revision
 
     def put_if(self, kind: str, name: str, value: t.Any, expected: int) -> int | None:
-        """Write an object if its revision is as expected, 0 for one that is not there.
+        """Write an object if its revision is the expected one; 0 if it must not exist.
 
-        :return: the new revision, or None where it is another one.
+        :return: the new revision, or None if the revision differs.
         """
         found = self.get(kind, name)
         if (found.version if found else 0) != expected:
@@ -60,18 +60,18 @@
         return tuple(one._replace(era=self.era) for one in rows if one.value is not None)
 
     def changes(self, kind: str, since: int) -> tuple[StoredObject, ...] | None:
-        """Read what changed after a revision; None where the store has no such revision."""
+        """Return what changed after a revision, or None if the store has not reached it."""
         if since > self.revision:
             return None
         rows = (one for (its_kind, _), one in self._objects.items() if its_kind == kind)
         return tuple(one._replace(era=self.era) for one in rows if one.version > since)
 
     def copy(self) -> FleetCopy:
-        """Keep all that it holds."""
+        """Return a backup of all objects."""
         return FleetCopy(self.revision, dict(self._objects))
 
     def come_back(self, copy: FleetCopy) -> None:
-        """Come back as it was when the copy was made."""
+        """Restore the state of a backup, begin the next era and become available."""
         self.revision = copy.revision
         self._objects = dict(copy.objects)
         self.era += 1
--- a/packages/rookspring-fakes/src/rookspring_fakes/model_server.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/model_server.py
@@ -1,16 +1,16 @@
-"""A server of the users' platform on bare sockets, which misbehaves by script.
+"""Fake model server of the users' platform, on bare sockets, with scripted faults.
 
-Each request takes the next step of the script; after its end every step is
-``answer``. What was run and what came in is kept for checks.
+Each request is handled by the next step of the script, and by ``answer`` once the script is used
+up. The server keeps the requests that it received and those that it ran, for checks.
 """
 
 import asyncio
+import orjson
 import socket
 import struct
 import time
 import typing as t
 
-import orjson
 
 STEPS: dict[str, t.Callable[["ModelServer", "Asked", asyncio.StreamWriter], t.Awaitable[None]]] = {}
 S = t.TypeVar("S", bound=t.Callable[..., t.Awaitable[None]])
@@ -18,7 +18,7 @@
 
 
 def step(name: str) -> t.Callable[[S], S]:
-    """Register what a step of a script does."""
+    """Register the function that handles a step of a script."""
 
     def register(function: S) -> S:
         STEPS[name] = function
@@ -28,7 +28,7 @@
 
 
 class Asked(t.NamedTuple):
-    """One request as it came in."""
+    """One request as it was received, and when."""
 
     line: str
     headers: dict[str, str]
@@ -38,12 +38,16 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's id of the request."""
+        """The request's id, as its caller set it."""
         return self.headers.get("x-rookspring-request-id", "")
 
 
 class ModelServer:
-    """One endpoint with an incarnation, models, adapters and a script."""
+    """One endpoint, with its models, adapters and script.
+
+    :param name: also its instance id, which a request may expect.
+    :param script: the steps that handle the first requests.
+    """
 
     def __init__(self, name: str, script: t.Sequence[str] = ()) -> None:
         self.name = name
@@ -60,23 +64,24 @@
         self.address = ""
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        # The body of a request that ends the process which begins to run it, and whether one did.
+        # The body of a request that crashes the process as it begins to run; and whether the
+        # process has ended, by that or by ``end``.
         self.fatal_body: bytes | None = None
         self.ended = False
-        # Lines that the heads of all its answers have besides.
+        # Header lines that it adds to all its answers.
         self.says: list[str] = []
-        # Whether it turns away whatever it is asked; and how often its report was asked for.
+        # Whether it answers everything with 503, reports and orders included.
         self.refuses_all = False
-        # Whether a request on a path of streams gets one without a script.
+        # Whether a POST below /stream/ is answered with a stream if the script is used up.
         self.streams = False
-        # Until when it turns requests away, and the rest that it asks for, in seconds; and each
-        # such refusal: when, of which request, and for how long.
+        # Until when it sheds load, and the back-off that it requests then, in seconds; and these
+        # refusals: when, of which request, and the back-off.
         self.sheds_until = -1e9
         self.rest_s = 1.0
         self.rests: list[tuple[float, str, float]] = []
-        # For how long it named how many requests a second it takes: begin, end and rate.
+        # The periods in which its answers stated a rate: begin, end, and requests per second.
         self.spells: list[tuple[float, float, float]] = []
-        # What its report tells of its state; empty where it tells none.
+        # The state in its report, left out if empty; and the number of reports that were read.
         self.state = ""
         self.reports = 0
 
@@ -92,7 +97,7 @@
             self._server.close()
 
     def end(self) -> None:
-        """End as a process does that crashes: nothing listens, and all connections close."""
+        """End as a crashed process does: it stops listening and aborts all connections."""
         self.ended = True
         if self._server is not None:
             self._server.close()
@@ -100,7 +105,7 @@
             writer.transport.abort()
 
     def entry(self, service: str, state: str = "ready", slots: int = 8) -> dict[str, t.Any]:
-        """Give the entry that it writes of itself."""
+        """Return the entry that it writes about itself in the store."""
         row: dict[str, t.Any] = {
             "service": service,
             "address": self.address,
@@ -109,14 +114,14 @@
             "slots": slots,
             "state": state,
             "cold-left-ms": 0,
-            # Heartbeats, not orders: a trap of the platform.
+            # In an entry it counts heartbeats; in a report, under the same name, orders.
             "sequence": 40,
         }
         if self.models:
-            row["models"] = self._held()
+            row["models"] = self._list_models()
         return row
 
-    def _held(self) -> list[dict[str, t.Any]]:
+    def _list_models(self) -> list[dict[str, t.Any]]:
         return [
             {"name": name, "version": 1, "adapters": [f"{one}@1" for one in adapters]}
             for name, adapters in self.models.items()
@@ -150,7 +155,7 @@
             self._shed(asked, writer)
             return True
         if self.fatal_body is not None and asked.body == self.fatal_body:
-            _stamped(self, asked)
+            _record_run(self, asked)
             self.end()
             return False
         usual = "stream" if asked.line.startswith("POST /stream/") and self.streams else "answer"
@@ -172,7 +177,10 @@
         _send(self, writer, 503, b"", headers)
 
     def name_rate(self, rate: float) -> t.Callable[[], None]:
-        """Name a rate in all answers from now on; gives what ends that."""
+        """State a rate in all answers from now on; return a function that ends this.
+
+        :param rate: the requests per second that it accepts.
+        """
         line = f"Server-Limit: {rate:g}"
         began = time.monotonic()
         self.says.append(line)
@@ -184,14 +192,14 @@
         return end
 
     def reached_by(self) -> set[str]:
-        """Name the requests that reached it."""
+        """Return the ids of the requests that reached it."""
         return {one.request_id for one in self.asked}
 
     def _report(self) -> dict[str, t.Any]:
-        told = {"state": self.state} if self.state else {}
-        return told | {
+        state = {"state": self.state} if self.state else {}
+        return state | {
             "stage": "both",
-            "models": self._held(),
+            "models": self._list_models(),
             "utilization": False,
             "sequence": self.taken,
             "queued": 0,
@@ -208,22 +216,22 @@
         if how == "lose":
             writer.transport.abort()
             return False
-        status = self._judge(order) if how in ("take", "take and lose") else int(how)
+        status = self._check_order(order) if how in ("take", "take and lose") else int(how)
         if status == 202:
-            self._carry_out(order)
+            self._apply_order(order)
         if how == "take and lose":
             writer.transport.abort()
             return False
         _send(self, writer, status, b"", {})
         return True
 
-    def _judge(self, order: dict[str, t.Any]) -> int:
+    def _check_order(self, order: dict[str, t.Any]) -> int:
         if order["fencing-token"] < self.fence:
             return 412
         self.fence = order["fencing-token"]
         return 202 if order.get("expected-count", self.taken) == self.taken else 409
 
-    def _carry_out(self, order: dict[str, t.Any]) -> None:
+    def _apply_order(self, order: dict[str, t.Any]) -> None:
         self.taken += 1
         model = order["model"]
         if "adapter" in order:
@@ -264,7 +272,7 @@
     writer.write(head.encode() + b"\r\n" + body)
 
 
-def _stamped(server: ModelServer, asked: Asked) -> dict[str, str]:
+def _record_run(server: ModelServer, asked: Asked) -> dict[str, str]:
     server.runs.append(asked.request_id)
     stamp = f"{server.name}.{len(server.runs)}"
     return {"X-Rookspring-Request-Id": asked.request_id, "X-Rookspring-Server-Stamp": stamp}
@@ -276,12 +284,12 @@
 
 @step("answer")
 async def _answer(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    _send(server, writer, 200, _body(asked), _stamped(server, asked))
+    _send(server, writer, 200, _body(asked), _record_run(server, asked))
 
 
 @step("fail")
 async def _fail(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    _send(server, writer, 500, b"failed", _stamped(server, asked))
+    _send(server, writer, 500, b"failed", _record_run(server, asked))
 
 
 @step("refuse")
@@ -292,8 +300,8 @@
 
 @step("refuse quietly")
 async def _refuse_quietly(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    """A 503 without the header promises nothing."""
-    _send(server, writer, 503, b"", _stamped(server, asked))
+    """Answer 503 without the header that states that the request was not run, after running it."""
+    _send(server, writer, 503, b"", _record_run(server, asked))
 
 
 @step("absent")
@@ -316,33 +324,33 @@
 
 @step("surplus")
 async def _surplus(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    """A whole answer, and a second one nobody asked for."""
+    """Send a whole answer, and a second one that belongs to no request."""
     await _answer(server, asked, writer)
     _send(server, writer, 200, b"of nobody", {"X-Rookspring-Request-Id": "nobody"})
 
 
 @step("foreign first")
 async def _foreign(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    """A late answer to another request comes in this one's place."""
+    """Send an answer to another request first, as if it were late."""
     _send(server, writer, 200, b"of another", {"X-Rookspring-Request-Id": "another"})
     await _answer(server, asked, writer)
 
 
 @step("reset")
 async def _reset(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    _stamped(server, asked)
-    _break(writer)
+    _record_run(server, asked)
+    _reset_connection(writer)
 
 
 @step("close")
 async def _close(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    _stamped(server, asked)
+    _record_run(server, asked)
     writer.close()
 
 
 @step("half")
 async def _half(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    headers = _stamped(server, asked)
+    headers = _record_run(server, asked)
     headers["Content-Length"] = "100"
     _send(server, writer, 200, b"only half", headers)
     await writer.drain()
@@ -351,13 +359,13 @@
 
 @step("nonsense")
 async def _nonsense(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    _stamped(server, asked)
+    _record_run(server, asked)
     writer.write(b"\x00\x01 no answer at all\r\n\r\n")
 
 
 @step("unframed")
 async def _unframed(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    """An answer without a length, which ends with its connection."""
+    """Send an answer without a length, which ends when the connection closes."""
     _unframed_head(server, asked, writer)
     await writer.drain()
     writer.close()
@@ -368,11 +376,11 @@
     _unframed_head(server, asked, writer)
     await writer.drain()
     await asyncio.sleep(0.02)
-    _break(writer)
+    _reset_connection(writer)
 
 
 def _unframed_head(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    lines = [f"{key}: {value}" for key, value in _stamped(server, asked).items()]
+    lines = [f"{key}: {value}" for key, value in _record_run(server, asked).items()]
     rows = "".join(f"{line}\r\n" for line in (*lines, *server.says))
     writer.write(f"HTTP/1.1 200 OK\r\n{rows}\r\n".encode() + _body(asked))
 
@@ -392,7 +400,7 @@
 
 @step("tear the 4th")
 async def _tear_4(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    """Break off inside an event."""
+    """Close the connection in the middle of an event."""
     await _events(server, asked, writer, 3)
     writer.write(b"8\r\nid: 4\nda\r\n")
     await writer.drain()
@@ -401,14 +409,14 @@
 
 @step("hang")
 async def _hang(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    _stamped(server, asked)
+    _record_run(server, asked)
     await asyncio.sleep(30.0)
 
 
 async def _events(
     server: ModelServer, asked: Asked, writer: asyncio.StreamWriter, last: int
 ) -> None:
-    headers = _stamped(server, asked)
+    headers = _record_run(server, asked)
     headers |= {
         "Content-Length": "",
         "Transfer-Encoding": "chunked",
@@ -423,8 +431,8 @@
         await asyncio.sleep(0.002)
 
 
-def _break(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset rather than a close."""
+def _reset_connection(writer: asyncio.StreamWriter) -> None:
+    """Abort a connection with a TCP reset instead of a regular close."""
     raw: t.Any = writer.get_extra_info("socket")
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
--- a/packages/rookspring-fakes/src/rookspring_fakes/object_platform.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/object_platform.py
@@ -1,22 +1,22 @@
-"""The users' platform's store on HTTP: objects with metadata, revisions and watches."""
+"""HTTP fake of the users' platform's store: objects with metadata, revisions and watches."""
 
 import asyncio
+import orjson
 import time
 import typing as t
-
-import orjson
-from aiohttp import web
-
 from .platform import Platform
 from .store import StoreCopy
 from .store import Stored
+from aiohttp import web
+
+
 
 
 class ObjectPlatform(Platform):
-    """Serves the same objects as :class:`Platform`, as the users' platform speaks.
+    """Serves the objects of a :class:`Platform` in the users' platform's protocol.
 
-    While it is out, it cuts connections; ``turned_away`` answers 503 instead. Each answer names
-    the era, unless it is told to name none.
+    During an outage it aborts connections. If ``answers_503`` is set, it answers each request
+    with 503. Each answer has the store's era in a header, unless ``names_era`` is False.
     """
 
     turned_away = False
@@ -24,7 +24,7 @@
 
     def app(self) -> web.Application:
         """Build the web application."""
-        app = web.Application(client_max_size=4 << 20, middlewares=[self._watchful])
+        app = web.Application(client_max_size=4 << 20, middlewares=[self._handle])
         app.router.add_get("/objects/{kind}", self._list_or_watch)
         app.router.add_get("/objects/{kind}/{name}", self._get)
         app.router.add_post("/objects/{kind}", self._post)
@@ -33,7 +33,7 @@
         return app
 
     @web.middleware
-    async def _watchful(
+    async def _handle(
         self,
         request: web.Request,
         handler: t.Callable[[web.Request], t.Awaitable[web.StreamResponse]],
@@ -61,18 +61,18 @@
         return await self._guard(request, handler)
 
     async def come_back(self, copy: StoreCopy) -> None:
-        """Come back from a copy; waiting watches learn that what they wait from is gone."""
+        """Restore the store from a backup and wake its watches, whose version may be gone."""
         self.store.come_back(copy)
         await self._tell()
 
     async def write(self, kind: str, name: str, spec: t.Any) -> int:
-        """Write as the operator or a server does, over whatever is there."""
+        """Write an object unconditionally, as the operator or a model server does."""
         stored = self.store.put(kind, name, orjson.dumps(spec), None)
         await self._tell()
         return stored.version
 
     async def remove(self, kind: str, name: str) -> None:
-        """Take an object away."""
+        """Delete an object."""
         self.store.delete(kind, name, None)
         await self._tell()
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/process_callers.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/process_callers.py
@@ -1,27 +1,31 @@
-"""Callers of real processes, who keep their connections, and what is judged of what they saw."""
+"""Callers of real node processes on persistent connections, and checks of what they observed."""
 
 import asyncio
 import itertools
 import random
 import time
 import typing as t
-
 from .model_server import EVENTS
 from .processes import NodeProcess
 from .processes import ProcessStage
 
-# A caller waits so long for an answer, in seconds, past its route's two.
+
+# How long a caller waits for an answer, in seconds: longer than the routes' timeout of 2 s.
 PATIENCE_S = 3.5
-# Statuses that promise that a request has not run, unless an endpoint gave them.
+# Statuses by which a node states that a request was not run; those of an endpoint don't count.
 NOT_RUN = (408, 421, 429, 503)
 STAMP = "x-rookspring-server-stamp"
-# A request may be sent to an endpoint so long after its node heard that it leaves.
+# How long after a node passed on that an endpoint is leaving it may still send requests there, in
+# seconds.
 LEFT_S = 2.0
-# Of a rest, when it begins to count, and the requests that may come in it; in seconds.
+# After a refusal with a back-off: when the check begins, in seconds, and the number of requests
+# that may still arrive from the node before the back-off ends.
 REST_BEGINS_S = 0.5
 RESTING_MOST = 2
-# A rate that an endpoint names bounds what comes in any so many seconds, from so long after it
-# was named first, from nodes that passed it on so long before: by so much of it, and so many.
+# The check of a rate that an endpoint states, times in seconds. It begins RATE_BEGINS_S after the
+# first node passed the rate on, and counts a node's requests from RATE_KNOWN_S after that node did.
+# Each window of RATE_WINDOW_S may hold RATE_SHARE times the requests of the rate, and RATE_SLACK
+# more.
 RATE_WINDOW_S = 4.0
 RATE_BEGINS_S = 3.0
 RATE_TOLD_S = 0.5
@@ -30,7 +34,11 @@
 
 
 class Seen(t.NamedTuple):
-    """One request and its end, as its caller saw it; status 0 where the connection ended."""
+    """One request and its outcome, as its caller saw it.
+
+    :param status: 0 if the connection ended before a status arrived.
+    :param whole: whether the answer arrived completely.
+    """
 
     key: str
     kind: str
@@ -44,23 +52,23 @@
 
 
 class ProcessCallers:
-    """Some callers, each of whom sends one request after another."""
+    """Concurrent callers, each of which sends one request after another to random nodes."""
 
     def __init__(self, stage: ProcessStage, callers: int, seed: int) -> None:
         self._stage = stage
         self._random = random.Random(seed)
         self._numbers = itertools.count()
         self.seen: list[Seen] = []
-        self._going = True
+        self._running = True
         self._tasks = [asyncio.ensure_future(self._call(one)) for one in range(callers)]
 
     async def stop(self) -> None:
-        """Have each caller end with the request that it waits for."""
-        self._going = False
+        """Stop all callers once their current requests have ended."""
+        self._running = False
         await asyncio.gather(*self._tasks)
 
     async def _call(self, number: int) -> None:
-        while self._going:
+        while self._running:
             node = self._random.choice(self._stage.nodes)
             try:
                 reader, writer = await asyncio.open_connection(*node.address)
@@ -68,7 +76,7 @@
                 await asyncio.sleep(0.05)
                 continue
             try:
-                while self._going and await self._send(node, reader, writer):
+                while self._running and await self._send(node, reader, writer):
                     await asyncio.sleep(self._random.uniform(0.0, 0.04))
             finally:
                 writer.close()
@@ -76,7 +84,7 @@
     async def _send(
         self, node: NodeProcess, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Send one request; says whether the connection can be used again."""
+        """Send one request; return whether the connection can be reused."""
         key = f"q{next(self._numbers)}"
         kind = self._random.choice(("safe", "unsafe", "stream"))
         method = "GET" if kind == "safe" else "POST"
@@ -120,26 +128,28 @@
 JUDGES: dict[str, Judge] = {}
 
 
-def judges(promise: str) -> t.Callable[[Judge], Judge]:
-    """Register a check of a promise; it gives what broke it."""
+def judges(guarantee: str) -> t.Callable[[Judge], Judge]:
+    """Register the check of a guarantee, which returns the violations."""
 
     def register(check: Judge) -> Judge:
-        JUDGES[promise] = check
+        JUDGES[guarantee] = check
         return check
 
     return register
 
 
 def judge(stage: ProcessStage, seen: list[Seen]) -> list[str]:
-    """Give all that broke a promise."""
+    """Run all checks and return the violations, each with its guarantee."""
     return [
-        f"{promise}: {fault}" for promise, check in JUDGES.items() for fault in check(stage, seen)
+        f"{guarantee}: {fault}"
+        for guarantee, check in JUDGES.items()
+        for fault in check(stage, seen)
     ]
 
 
 @judges("whole answers, each its own")
 def check_whole(stage: ProcessStage, seen: list[Seen]) -> list[str]:
-    """A success is the endpoint's whole answer to this request."""
+    """A successful answer is the endpoint's complete answer to this request."""
     found = []
     for one in seen:
         if one.status != 200 or not one.whole:
@@ -160,7 +170,7 @@
 
 @judges("at most once")
 def check_once(stage: ProcessStage, seen: list[Seen]) -> list[str]:
-    """What may not be repeated runs once at most."""
+    """A request that may not be repeated runs at most once."""
     kinds = {one.key: one.kind for one in seen}
     runs = _runs(stage)
     return [key for key in set(runs) if runs.count(key) > 1 and kinds.get(key) != "safe"]
@@ -168,7 +178,7 @@
 
 @judges("not run means not run")
 def check_not_run(stage: ProcessStage, seen: list[Seen]) -> list[str]:
-    """What a node refused has run nowhere."""
+    """A request that a node refused has not run at any endpoint."""
     ran = set(_runs(stage))
     return [
         f"{one.key} got {one.status}"
@@ -179,7 +189,11 @@
 
 @judges("a planned stop cuts nothing")
 def check_uncut(stage: ProcessStage, seen: list[Seen]) -> list[str]:
-    """What was passed on by a node that only stopped as planned has its answer."""
+    """A request that reached an endpoint is answered, unless the endpoint ended.
+
+    Requests around a start or a signal of their node are excepted; the SIGTERM of a planned stop
+    is not recorded as one.
+    """
     asked = {one.request_id for server in stage.servers for one in server.asked}
     ended = {server.name for server in stage.servers if server.ended}
     whose = {one.request_id: server.name for server in stage.servers for one in server.asked}
@@ -195,16 +209,16 @@
 
 @judges("one that leaves gets nothing")
 def check_leaving(stage: ProcessStage, seen: list[Seen]) -> list[str]:
-    """No node sends to an endpoint long after it passed on that the endpoint leaves."""
-    told: dict[tuple[str, str], float] = {}
+    """No node sends to an endpoint long after it passed on that the endpoint is leaving."""
+    known_at: dict[tuple[str, str], float] = {}
     for one in sorted(seen, key=lambda row: row.ended_at):
         name = one.headers.get(STAMP, "").partition(".")[0]
         if "server-leaving" in one.headers and name:
-            told.setdefault((one.node.name, name), one.ended_at)
+            known_at.setdefault((one.node.name, name), one.ended_at)
     found = []
     for one in seen:
         for server in stage.servers:
-            at = told.get((one.node.name, server.name))
+            at = known_at.get((one.node.name, server.name))
             if at is None or one.sent_at < at + LEFT_S or one.key not in server.reached_by():
                 continue
             if not any(at <= excuse <= one.ended_at for excuse in one.node.excused):
@@ -214,7 +228,7 @@
 
 @judges("rest is rest")
 def check_rest(stage: ProcessStage, seen: list[Seen]) -> list[str]:
-    """An endpoint gets two requests at most from a node that it asked for rest."""
+    """During a back-off, a node sends at most two requests to the endpoint that requested it."""
     nodes = {one.key: one.node for one in seen}
     found = []
     for server in stage.servers:
@@ -235,42 +249,43 @@
 
 @judges("a rate is a rate")
 def check_rates(stage: ProcessStage, seen: list[Seen]) -> list[str]:
-    """All nodes together send an endpoint no more requests a second than it names."""
+    """All nodes together keep to the rate that an endpoint states, within a tolerance."""
     nodes = {one.key: one.node for one in seen}
     found = []
     for server in stage.servers:
         for began, ended, rate in server.spells:
-            told = _told_rates(seen, server.name, began, ended)
-            begins = min(told.values(), default=ended) + RATE_BEGINS_S
+            known_at = _rates_known_at(seen, server.name, began, ended)
+            begins = min(known_at.values(), default=ended) + RATE_BEGINS_S
             moments = [
                 one.at
                 for one in server.asked
-                if begins <= one.at <= ended and _counts(nodes.get(one.request_id), one.at, told)
+                if begins <= one.at <= ended
+                and _counts(nodes.get(one.request_id), one.at, known_at)
             ]
             most = max(
                 (sum(at <= one <= at + RATE_WINDOW_S for one in moments) for at in moments),
                 default=0,
             )
             if most > RATE_SHARE * rate * RATE_WINDOW_S + RATE_MORE:
-                found.append(f"{most} to {server.name}, which names {rate:g}")
+                found.append(f"{most} to {server.name}, which states a rate of {rate:g}")
     return found
 
 
-def _told_rates(
+def _rates_known_at(
     seen: list[Seen], name: str, began: float, ended: float
 ) -> dict[NodeProcess, float]:
-    """Give when each node first passed on that an endpoint names a rate."""
-    told: dict[NodeProcess, float] = {}
+    """Return when each node first passed on an answer that states the endpoint's rate."""
+    known_at: dict[NodeProcess, float] = {}
     for one in seen:
         stamp = one.headers.get(STAMP, "").partition(".")[0]
         if stamp == name and "server-limit" in one.headers and began <= one.ended_at <= ended:
-            told[one.node] = min(told.get(one.node, ended), one.ended_at)
-    return told
+            known_at[one.node] = min(known_at.get(one.node, ended), one.ended_at)
+    return known_at
 
 
-def _counts(node: NodeProcess | None, at: float, told: dict[NodeProcess, float]) -> bool:
-    """Say whether a request counts: its node had been told, and has not failed since."""
-    heard_at = told.get(node) if node is not None else None
-    if node is None or heard_at is None or at < heard_at + RATE_TOLD_S:
+def _counts(node: NodeProcess | None, at: float, known_at: dict[NodeProcess, float]) -> bool:
+    """Return whether a request counts: its node knew the rate, and had no signal or start since."""
+    node_known_at = known_at.get(node) if node is not None else None
+    if node is None or node_known_at is None or at < node_known_at + RATE_TOLD_S:
         return False
-    return not any(heard_at <= excuse <= at for excuse in node.excused)
+    return not any(node_known_at <= excuse <= at for excuse in node.excused)
--- a/packages/rookspring-fakes/src/rookspring_fakes/process_soak.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/process_soak.py
@@ -1,8 +1,9 @@
-"""Seeded troubles of real processes, in series and overlapping, while callers go on.
+"""Soak test of real node processes under load: a seed draws troubles, which may overlap.
 
-Signals that stop, freeze, kill and tell of changes; a store that is away, or comes back from an
-older copy; configuration that changes; endpoints that leave, want rest or take so many requests
-a second and say so with their answers alone.
+Nodes are stopped, frozen, killed, and sent SIGHUP to reload their settings. The store is
+unavailable, or restored from an older backup. The configuration changes. Endpoints state in their
+answers alone that they are leaving, request a back-off, or accept only so many requests per
+second.
 """
 
 import asyncio
@@ -11,14 +12,14 @@
 import signal
 import time
 import typing as t
-
 from .process_callers import ProcessCallers
 from .process_callers import judge
 from .processes import GONE_S
 from .processes import GRACE_S
 from .processes import ProcessStage
 
-# From one trouble to the next, in seconds.
+
+# The shortest and the longest time from the start of one trouble to that of the next, in seconds.
 NEXT_S = (0.2, 0.9)
 SERVERS = 3
 
@@ -27,7 +28,7 @@
 
 
 def trouble(name: str) -> t.Callable[[Trouble], Trouble]:
-    """Register a trouble; it ends by itself."""
+    """Register a trouble: a coroutine that begins it and returns once it is over."""
 
     def register(begin: Trouble) -> Trouble:
         TROUBLES[name] = begin
@@ -37,7 +38,7 @@
 
 
 class Outcome(t.NamedTuple):
-    """What a soak gave: requests, those answered, troubles by name, and broken promises."""
+    """The result of a soak: counts of requests, of answers and of troubles, and the violations."""
 
     requests: int
     answered: int
@@ -46,7 +47,7 @@
 
 
 class ProcessSoak:
-    """One soak. The same seed draws the same troubles at the same moments."""
+    """One soak test, whose troubles and their times are drawn by the seed."""
 
     def __init__(self, seed: int, nodes: int, callers: int, block: int) -> None:
         self.drawn = random.Random(seed)
@@ -58,21 +59,24 @@
         self.troubles: dict[str, int] = {}
 
     async def run(self, seconds: float) -> Outcome:
-        """Let troubles come for so long, and judge."""
+        """Draw troubles for a time, stop everything, and check the guarantees."""
         await self.stage.rise()
         callers = ProcessCallers(self.stage, self._count, self._seed)
-        going = [asyncio.ensure_future(self._draw(seconds))]
+        draws = [asyncio.ensure_future(self._draw(seconds))]
         try:
-            await going[0]
+            await draws[0]
         finally:
             await callers.stop()
             self.late += await self.stage.fall()
         broken = judge(self.stage, callers.seen)
-        broken += [f"a process outlives its grace: {name}" for name in self.late]
+        broken += [f"process did not exit within its grace period: {name}" for name in self.late]
         for node in self.stage.nodes:
             if "event=effect_failed" in node.text or "InvariantBroken" in node.text:
-                broken.append(f"a fault of ours in the log of {node.name}")
-        broken += [f"two nodes took fence {fence}" for fence in _shared_fences(self.stage)]
+                broken.append(f"internal error in the log of {node.name}")
+        broken += [
+            f"two nodes acquired the lease with fence {fence}"
+            for fence in _shared_fences(self.stage)
+        ]
         answered = sum(one.status == 200 for one in callers.seen)
         return Outcome(len(callers.seen), answered, self.troubles, broken)
 
@@ -88,13 +92,13 @@
         await asyncio.gather(*tasks)
 
     def pick(self) -> t.Any:
-        """Give a node that nothing happens to now, with one left beside it; None for none."""
+        """Return a random node that no trouble affects now; None unless at least two are free."""
         free = [one for one in self.stage.nodes if one.name not in self.busy]
         return self.drawn.choice(free) if len(free) > 1 else None
 
 
 def _shared_fences(stage: ProcessStage) -> list[str]:
-    """Give the fences that more than one node has taken, by the nodes' logs."""
+    """Return the fences with which, by their logs, more than one node acquired the lease."""
     takers: dict[str, set[str]] = {}
     for node in stage.nodes:
         for fence in re.findall(r"event=lease_acquired .*epoch=(\d+)", node.text):
@@ -104,7 +108,7 @@
 
 @trouble("a node is stopped as planned and started again")
 async def stop_node(soak: ProcessSoak) -> None:
-    """Its callers find it gone, and nothing is cut."""
+    """Stop a node with SIGTERM and restart it; none of its requests may be cut off."""
     node = soak.pick()
     if node is None:
         return
@@ -119,7 +123,7 @@
 
 @trouble("a node is killed and started again")
 async def kill_node(soak: ProcessSoak) -> None:
-    """It has nothing of before."""
+    """Kill a node and restart it, without the state that it had."""
     node = soak.pick()
     if node is None:
         return
@@ -134,7 +138,7 @@
 
 @trouble("a node freezes")
 async def freeze_node(soak: ProcessSoak) -> None:
-    """Longer than its lease, now and then."""
+    """Pause a node with SIGSTOP, in some cases for longer than its lease lasts."""
     node = soak.pick()
     if node is None:
         return
@@ -147,7 +151,7 @@
 
 @trouble("a node is told of changes")
 async def tell_node(soak: ProcessSoak) -> None:
-    """Its settings are the same, so nothing may change."""
+    """Have a node reload its settings, which are unchanged, so that nothing may change."""
     node = soak.pick()
     if node is not None:
         node.process.send_signal(signal.SIGHUP)
@@ -155,7 +159,7 @@
 
 @trouble("the store is away")
 async def lose_store(soak: ProcessSoak) -> None:
-    """All calls are cut."""
+    """Abort all calls of the store for a while."""
     soak.stage.store.faults.outage = True
     await asyncio.sleep(soak.drawn.uniform(0.3, 3.0))
     soak.stage.store.faults.outage = False
@@ -163,7 +167,7 @@
 
 @trouble("the store comes back from an older copy")
 async def return_store(soak: ProcessSoak) -> None:
-    """What was written since is gone, and written again within a second."""
+    """Restore the store after an outage; lost objects are rewritten within a second."""
     copy = soak.stage.store.store.copy()
     await asyncio.sleep(soak.drawn.uniform(0.5, 6.0))
     soak.stage.store.faults.outage = True
@@ -176,17 +180,17 @@
 
 @trouble("the configuration changes")
 async def change_table(soak: ProcessSoak) -> None:
-    """The same routes under another version."""
+    """Write the same routes under another version."""
     await soak.stage.write_version()
 
 
 @trouble("an endpoint leaves, as its answers alone tell")
 async def leave(soak: ProcessSoak) -> None:
-    """Another one comes first; the one that leaves serves for a while and ends."""
-    there = [one for one in soak.stage.servers if not one.ended and not one.says]
-    if len(there) < 2:
+    """Start a replacement, then have an endpoint leave: it serves for some seconds and ends."""
+    candidates = [one for one in soak.stage.servers if not one.ended and not one.says]
+    if len(candidates) < 2:
         return
-    server = soak.drawn.choice(there)
+    server = soak.drawn.choice(candidates)
     await soak.stage.add_server()
     server.says.append("Server-Leaving: 1")
     await asyncio.sleep(soak.drawn.uniform(3.0, 5.0))
@@ -195,19 +199,19 @@
 
 @trouble("an endpoint sheds and asks for rest")
 async def shed(soak: ProcessSoak) -> None:
-    """It turns all away for a while."""
-    there = [one for one in soak.stage.servers if not one.ended]
-    server = soak.drawn.choice(there)
+    """Have an endpoint refuse all requests for a while."""
+    candidates = [one for one in soak.stage.servers if not one.ended]
+    server = soak.drawn.choice(candidates)
     server.rest_s = soak.drawn.choice((0.8, 1.5, 3.0))
     server.sheds_until = time.monotonic() + soak.drawn.uniform(0.3, 3.0)
 
 
 @trouble("an endpoint names the requests a second that it takes")
 async def name_rate(soak: ProcessSoak) -> None:
-    """Long enough for four seconds in which it counts."""
-    there = [one for one in soak.stage.servers if not one.ended and not one.says]
-    if not there:
+    """Have an endpoint state a rate, as a rule long enough to check a window of four seconds."""
+    candidates = [one for one in soak.stage.servers if not one.ended and not one.says]
+    if not candidates:
         return
-    end = soak.drawn.choice(there).name_rate(soak.drawn.choice((0.5, 2.0, 5.0)))
+    end = soak.drawn.choice(candidates).name_rate(soak.drawn.choice((0.5, 2.0, 5.0)))
     await asyncio.sleep(soak.drawn.uniform(5.0, 9.0))
     end()
--- a/packages/rookspring-fakes/src/rookspring_fakes/processes.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/processes.py
@@ -1,7 +1,7 @@
-"""Real nodes as processes of their own, between stand-ins of the users' platform on loopback.
+"""Real nodes in processes of their own, with fakes of the users' platform on loopback.
 
-Each node has a loopback host of its own, so that stages stand beside each other. What a stage
-has started it ends, by its process.
+Each node has its own loopback address, so that several stages can run at once. A stage ends the
+processes that it started, through their handles.
 """
 
 import asyncio
@@ -13,17 +13,18 @@
 import tempfile
 import time
 import typing as t
-
 from .model_server import ModelServer
 from .object_platform import ObjectPlatform
 from .serving import Served
 from .serving import serve
 
+
 SERVICE = "svc"
-# How long a process has from its SIGTERM, in seconds, and then to be gone.
+# The grace period of a node after SIGTERM, and the time after it until the process must have
+# exited, in seconds.
 GRACE_S = 4.0
 GONE_S = 1.5
-# How long a node may take to be ready, in seconds.
+# The time within which a node must become ready, in seconds.
 READY_S = 15.0
 ROUTES = {
     "safe": ("safe", False, 2),
@@ -33,7 +34,7 @@
 
 
 def write_table(version: int) -> dict[str, t.Any]:
-    """Write a configuration of a plain service and three routes to it."""
+    """Return a configuration of one service with three routes to it."""
     routes = [
         {
             "name": f"r-{name}",
@@ -60,7 +61,7 @@
 
 
 class NodeProcess:
-    """One node's process, which may be stopped, frozen, killed and started again."""
+    """One node and its process, which may be stopped, frozen, killed and restarted."""
 
     def __init__(self, number: int, host: str, folder: pathlib.Path, store: str) -> None:
         self.name = f"n{number}"
@@ -70,19 +71,23 @@
         self._log = folder / f"{self.name}.log"
         self._store = store
         self.process: asyncio.subprocess.Process | None = None
-        # What it has logged, once the stage has fallen.
+        # Its log, once the stage has stopped.
         self.text = ""
         self.stopping = False
-        # When it was killed, started or let go on, which excuse it for what it knew before.
+        # When it was started or sent a signal. Checks pass over requests around these times, since
+        # the node may have lost what it had learnt.
         self.excused: list[float] = []
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where callers reach it."""
+        """The host and the port that callers connect to."""
         return self.host, self.ports["frontend"]
 
     def write_settings(self, peers: t.Iterable["NodeProcess"]) -> None:
-        """Write its settings file."""
+        """Write its settings file.
+
+        :param peers: all nodes of the stage, which become its seeds.
+        """
         seeds = ",".join(
             f"{one.host}:{one.ports['control-plane']}" for one in peers if one is not self
         )
@@ -99,7 +104,7 @@
         self.path.write_text("".join(f"{key}={value}\n" for key, value in rows.items()))
 
     async def start(self) -> None:
-        """Start its process."""
+        """Start its process, which appends to the log."""
         with self._log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -113,22 +118,26 @@
         self.excused.append(time.monotonic())
 
     def signal(self, number: signal.Signals) -> None:
-        """Send its process a signal, if it runs."""
+        """Send its process a signal if it is running, and record when."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
             self.excused.append(time.monotonic())
 
     async def wait_ready(self) -> None:
-        """Wait until it says that callers may come.
+        """Wait until its readiness check succeeds.
 
-        :raises TimeoutError: when it does not in time.
+        :raises TimeoutError: if that takes longer than ``READY_S``.
         """
         async with asyncio.timeout(READY_S):
-            while not await _asks_ready(self.host, self.ports["ready"]):
+            while not await _is_ready(self.host, self.ports["ready"]):
                 await asyncio.sleep(0.05)
 
     async def wait_gone(self, within_s: float) -> bool:
-        """Wait for its end; says whether it came in time, and ends it by force where not."""
+        """Wait until its process exits, and kill it after a timeout.
+
+        :param within_s: the timeout, in seconds.
+        :return: whether it exited in time.
+        """
         assert self.process is not None
         try:
             async with asyncio.timeout(within_s):
@@ -140,34 +149,36 @@
         return True
 
     def keep_log(self) -> None:
-        """Keep what it has logged, before its folder goes."""
+        """Read its log into memory before the folder is deleted."""
         self.text = self._log.read_text(errors="replace")
 
 
 class ProcessStage:
-    """Nodes as processes, their store and their endpoints.
+    """Nodes in processes, their store and their endpoints.
 
-    :param block: tells stages of one machine apart; each has hosts of its own.
+    :param nodes: the number of nodes.
+    :param servers: the number of endpoints at the start.
+    :param host_block: selects the loopback addresses, so that stages on one box don't share any.
     """
 
     def __init__(self, nodes: int, servers: int, block: int) -> None:
         self._folder = tempfile.TemporaryDirectory()
         self._block = block
-        self._counts = (nodes, servers)
+        self._sizes = (nodes, servers)
         self.store = ObjectPlatform()
         self._served: Served | None = None
         self.nodes: list[NodeProcess] = []
-        # All that were ever there, and those that serve now.
+        # All endpoints, ended ones included.
         self.servers: list[ModelServer] = []
         self.version = 1
-        # What endpoints would write again.
+        # The entries that endpoints rewrite after a restore of the store.
         self._entries: dict[str, dict[str, t.Any]] = {}
 
     async def rise(self) -> "ProcessStage":
-        """Start all, and wait until callers may come."""
+        """Start the store, the endpoints and the nodes, and wait until all nodes are ready."""
         self._served = await serve(self.store.app())
         await self.write_version()
-        nodes, servers = self._counts
+        nodes, servers = self._sizes
         for _ in range(servers):
             await self.add_server()
         folder = pathlib.Path(self._folder.name)
@@ -182,12 +193,12 @@
         return self
 
     async def write_version(self) -> None:
-        """Write the next version of the configuration."""
+        """Write the configuration under the next version."""
         self.version += 1
         await self.store.write("config", "main", write_table(self.version))
 
     async def add_server(self) -> ModelServer:
-        """Add an endpoint."""
+        """Start another endpoint and write its entry."""
         server = ModelServer(f"i{len(self.servers)}")
         server.streams = True
         self.servers.append(server)
@@ -197,15 +208,15 @@
         return server
 
     async def remove_server(self, server: ModelServer) -> None:
-        """End an endpoint, whose entry goes."""
+        """End an endpoint and delete its entry."""
         del self._entries[server.name]
-        # A copy from before it came lacks it.
+        # The store may have been restored from a backup that lacks the entry.
         if ("servers", server.name) in self.store.store.objects:
             await self.store.remove("servers", server.name)
         server.end()
 
     async def write_again(self) -> None:
-        """Have endpoints and the operator write what a copy lacks, and lapse what is gone."""
+        """Rewrite what a restored store lacks, and delete entries of ended endpoints."""
         objects = self.store.store.objects
         for name, entry in list(self._entries.items()):
             if ("servers", name) not in objects:
@@ -216,7 +227,10 @@
         await self.store.write("config", "main", write_table(self.version))
 
     async def fall(self) -> list[str]:
-        """Stop all as planned; gives the nodes whose process was there past its grace."""
+        """Stop everything, nodes with SIGTERM.
+
+        :return: the nodes that did not exit within their grace period.
+        """
         late = []
         for node in self.nodes:
             node.signal(signal.SIGCONT)
@@ -240,7 +254,7 @@
         return int(one.getsockname()[1])
 
 
-async def _asks_ready(host: str, port: int) -> bool:
+async def _is_ready(host: str, port: int) -> bool:
     try:
         reader, writer = await asyncio.open_connection(host, port)
     except OSError:
--- a/packages/rookspring-fakes/src/rookspring_fakes/store.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/store.py
@@ -1,6 +1,6 @@
-"""Model of the platform's object service: versions, conditional updates, watches.
+"""In-memory model of the platform's object store: versions, conditional writes, a change history.
 
-Pure state; ``platform.py`` puts it on HTTP and tests call it directly.
+It does no I/O; ``platform.py`` serves it over HTTP and tests call it directly.
 """
 
 import typing as t
@@ -10,7 +10,7 @@
 
 
 class StoreError(Exception):
-    """A refused call, with the status it has over HTTP."""
+    """A refused call, with its HTTP status."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -27,7 +27,7 @@
 
 
 class Change(t.NamedTuple):
-    """One step of a kind's history; ``value`` is None for a deletion."""
+    """One change of an object; ``value`` is None for a deletion."""
 
     kind: str
     name: str
@@ -36,7 +36,10 @@
 
 
 class StoreCopy(t.NamedTuple):
-    """All that a store held at a moment."""
+    """A backup of a store.
+
+    :param compacted: the version up to which the history had been discarded.
+    """
 
     version: int
     objects: dict[tuple[str, str], Stored]
@@ -56,7 +59,7 @@
 
 
 class ObjectStore:
-    """Objects by kind and name, with one version counter over all."""
+    """Objects by kind and name, with one version counter for all."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -64,12 +67,12 @@
         self.history: list[Change] = []
         self.boxes: dict[str, BoxRow] = {}
         self.calls: dict[str, int] = {}
-        # How often it has come back from a copy.
+        # How often it was restored from a backup.
         self.era = 0
         self._forgotten = 0
 
     def count(self, call: str) -> None:
-        """Count a call, a waiting watch being one."""
+        """Count a call; a watch counts once, however long it waits."""
         self.calls[call] = self.calls.get(call, 0) + 1
 
     def get(self, kind: str, name: str) -> Stored:
@@ -81,13 +84,17 @@
         return found
 
     def list_kind(self, kind: str) -> tuple[int, list[Stored]]:
-        """Read all objects of a kind, with the version they are as of."""
+        """Read all objects of a kind, and the store's version."""
         self.count("list")
         rows = [one for (its_kind, _), one in sorted(self.objects.items()) if its_kind == kind]
         return self.version, rows
 
     def put(self, kind: str, name: str, value: bytes, expected: int | None) -> Stored:
-        """Write an object if its version is as expected (0: it must not exist)."""
+        """Write an object if its version is the expected one.
+
+        :param expected: the version; 0 if it must not exist, None to write unconditionally.
+        :raises StoreError: 413 if the value is too large, 409 if the version differs.
+        """
         self.count("put")
         if len(value) > VALUE_BYTES_MAX:
             raise StoreError(413, f"value: {len(value)} bytes are above {VALUE_BYTES_MAX}")
@@ -98,11 +105,15 @@
         self.version += 1
         stored = Stored(kind, name, self.version, value)
         self.objects[(kind, name)] = stored
-        self._remember(Change(kind, name, self.version, value))
+        self._append_history(Change(kind, name, self.version, value))
         return stored
 
     def delete(self, kind: str, name: str, expected: int | None) -> int:
-        """Delete an object if its version is as expected."""
+        """Delete an object if its version is the expected one.
+
+        :param expected: the version; None to delete unconditionally.
+        :raises StoreError: 404 if there is no such object, 409 if the version differs.
+        """
         self.count("delete")
         known = self.objects.get((kind, name))
         if known is None:
@@ -111,31 +122,31 @@
             raise StoreError(409, f"{kind}/{name}: version is {known.version}, not {expected}")
         self.version += 1
         del self.objects[(kind, name)]
-        self._remember(Change(kind, name, self.version, None))
+        self._append_history(Change(kind, name, self.version, None))
         return self.version
 
     def changes(self, kind: str, since: int) -> list[Change]:
-        """Give a kind's changes after a version.
+        """Return a kind's changes after a version.
 
-        :raises StoreError: 410 when that far back is no longer kept.
+        :raises StoreError: 410 if the history from there is discarded, or not reached yet.
         """
         if since < self._forgotten or since > self.version:
             raise StoreError(410, f"version {since} is not kept; list again")
         return [one for one in self.history if one.kind == kind and one.version > since]
 
     def copy(self) -> StoreCopy:
-        """Keep all that it holds, so that it can come back to that."""
+        """Return a backup of the objects and the history."""
         return StoreCopy(self.version, dict(self.objects), list(self.history), self._forgotten)
 
     def come_back(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what was written since is gone, and versions go back."""
+        """Restore a backup: later writes are lost, and the version counter goes back."""
         self.version = copy.version
         self.objects = dict(copy.objects)
         self.history = list(copy.history)
         self._forgotten = copy.forgotten
         self.era += 1
 
-    def _remember(self, change: Change) -> None:
+    def _append_history(self, change: Change) -> None:
         self.history.append(change)
         if len(self.history) > HISTORY_MAX:
             half = HISTORY_MAX // 2
