--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -31,7 +31,10 @@
     fleet.run(START_S)
     start_s = time.process_time() - began
     live = fleet.live()
-    before = [(node.sent, node.sent_bytes, node.far_bytes, node.store_calls) for node in live]
+    before = [
+        (node.sent, node.sent_bytes, node.cross_data_centre_bytes, node.store_calls)
+        for node in live
+    ]
     profiler = cProfile.Profile()
     if profile:
         profiler.enable()
@@ -41,7 +44,10 @@
     profiler.disable()
     if profile:
         pstats.Stats(profiler).sort_stats("tottime").print_stats(25)
-    after = [(node.sent, node.sent_bytes, node.far_bytes, node.store_calls) for node in live]
+    after = [
+        (node.sent, node.sent_bytes, node.cross_data_centre_bytes, node.store_calls)
+        for node in live
+    ]
     rows = [
         [(late - early) / seconds for early, late in zip(*pair, strict=True)]
         for pair in zip(before, after, strict=True)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -26,7 +26,7 @@
     for seed in range(given.seed, given.seed + given.seeds):
         soak = ProcessSoak(seed, given.nodes, given.callers, os.getpid())
         found = asyncio.run(soak.run(given.seconds))
-        for fault in found.broken:
+        for fault in found.violations:
             print(f"seed {seed}: {fault}")
         rows.append(
             {
@@ -34,7 +34,7 @@
                 "requests": found.requests,
                 "answered": found.answered,
                 "troubles": sum(found.troubles.values()),
-                "broken": len(found.broken),
+                "broken": len(found.violations),
             }
         )
     report("processes", f"Soaks of {given.nodes} processes, {given.seconds:g} s each", rows)
--- a/bench/request_rates.py
+++ b/bench/request_rates.py
@@ -184,7 +184,7 @@
             sent += 1
             fleet.run(drawn.expovariate(load.asked))
     begins = start + SETTLED_S
-    there = [one.at for one in runners.arrived if one.endpoint == LIMITED and one.at >= begins]
+    there = [one.at for one in runners.arrivals if one.endpoint == LIMITED and one.at >= begins]
     most = max((sum(at <= one <= at + WINDOW_S for one in there) for at in there), default=0)
     spent_s = seconds - SETTLED_S
     return Played(
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -143,7 +143,7 @@
         for _ in range(round(rate * SECONDS)):
             callers.send(drawn.choice(names), "", repeatable=True, attempts=2)
             fleet.run(drawn.expovariate(rate))
-    there = [one.at for one in callers.runners.arrived if one.endpoint == "e0"]
+    there = [one.at for one in callers.runners.arrivals if one.endpoint == "e0"]
     after = [at for at in there if at >= shed[1]]
     peak = max((sum(1 for at in after if one <= at < one + 0.1) for one in after), default=0)
     # Of what its slots could run in the four seconds since.
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -8,19 +8,19 @@
 from rookspring.logs import configure
 from rookspring_core.suspects import WEIGHTS
 from rookspring_fakes.fleet_callers import FATAL
-from rookspring_fakes.fleet_callers import EndsDay
-from rookspring_fakes.fleet_callers import EndsPlayed
+from rookspring_fakes.fleet_callers import CrashRun
+from rookspring_fakes.fleet_callers import CrashScenario
 
 from .registry import experiment
 from .registry import report
 
 DAYS = {
-    "ordinary": EndsDay(),
-    "often, come thrice": EndsDay(ends=120, again=3),
-    "often, long, come thrice": EndsDay(ends=120, again=3, lasts_s=(2.0, 9.0)),
-    "one fatal": EndsDay(ends=0, fatal=True),
-    "one fatal, ends beside": EndsDay(ends=40, fatal=True),
-    "one fatal, come thrice": EndsDay(ends=40, again=3, fatal=True),
+    "ordinary": CrashScenario(),
+    "often, come thrice": CrashScenario(crashes=120, retries=3),
+    "often, long, come thrice": CrashScenario(crashes=120, retries=3, durations_s=(2.0, 9.0)),
+    "one fatal": CrashScenario(crashes=0, fatal=True),
+    "one fatal, ends beside": CrashScenario(crashes=40, fatal=True),
+    "one fatal, come thrice": CrashScenario(crashes=40, retries=3, fatal=True),
 }
 
 
@@ -34,7 +34,7 @@
     rows = []
     for name, day in DAYS.items():
         for way in WEIGHTS:
-            played = [EndsPlayed(day, seed, weigh=way) for seed in range(1, seeds + 1)]
+            played = [CrashRun(day, seed, weigh=way) for seed in range(1, seeds + 1)]
             rows.append(
                 {
                     "day": name,
@@ -43,9 +43,11 @@
                         one.callers.runners.ends_under(FATAL) for one in played
                     )
                     / seeds,
-                    "others broken off by it": sum(one.broken_off() for one in played) / seeds,
-                    "innocents refused": sum(len(one.condemned()) for one in played) / seeds,
-                    "came again": sum(one.came_again for one in played) / seeds,
+                    "others broken off by it": sum(one.interrupted_by_fatal() for one in played)
+                    / seeds,
+                    "innocents refused": sum(len(one.innocent_verdicts()) for one in played)
+                    / seeds,
+                    "came again": sum(one.retried for one in played) / seeds,
                 }
             )
     report("suspects", f"Weights of ends, means of {seeds} seeds", rows)
--- a/features/copy_simulations.py
+++ b/features/copy_simulations.py
@@ -38,9 +38,9 @@
             self.copies.append((fleet.now, fleet.store.copy()))
             fleet.run(self.random.uniform(*INTERVAL_S))
             name = self.random.choice(sorted(DISTURBANCES))
-            with fleet.running():
+            with fleet.virtual_clock():
                 self.history.append((round(fleet.now, 2), name, DISTURBANCES[name](self)))
-        fleet.store.away = False
+        fleet.store.unavailable = False
         fleet.run(12.0)
 
     def pick(self):
@@ -48,7 +48,7 @@
         free = [name for name in sorted(self.fleet.nodes) if name not in self.busy]
         if len(free) <= UNDISTURBED:
             return None
-        last = self.fleet.acts[-1].node
+        last = self.fleet.active_ticks[-1].node
         name = last if last in free and self.random.random() < 0.5 else self.random.choice(free)
         self.busy.add(name)
         return name
@@ -67,8 +67,8 @@
     kept = [(at, copy) for at, copy in simulation.copies if fleet.now - at <= COPY_MAX_S]
     at, copy = simulation.random.choice(kept)
     down = simulation.random.choice((0.0, 0.3, 2.5, 5.0))
-    fleet.store.away = True
-    fleet.at(fleet.now + down, lambda: fleet.come_back(copy))
+    fleet.store.unavailable = True
+    fleet.at(fleet.now + down, lambda: fleet.restore(copy))
     return fleet.now - at, down
 
 
@@ -78,7 +78,7 @@
     fleet = simulation.fleet
     copy = simulation.copies[-1][1]
     fleet.at(
-        fleet.now + first[1] + simulation.random.uniform(0.0, 2.0), lambda: fleet.come_back(copy)
+        fleet.now + first[1] + simulation.random.uniform(0.0, 2.0), lambda: fleet.restore(copy)
     )
     return first
 
--- a/features/entry_copy_simulations.py
+++ b/features/entry_copy_simulations.py
@@ -3,7 +3,7 @@
 import random
 
 from rookspring_core import notice_handlers
-from rookspring_fakes.fleet import AGAIN_S
+from rookspring_fakes.fleet import REWRITE_S
 from rookspring_fakes.fleet import Fleet
 from rookspring_fakes.fleet import FleetPlan
 from rookspring_fakes.fleet_store import ENDPOINTS
@@ -53,10 +53,10 @@
         while fleet.now < end and not self.violations:
             self.copies.append((fleet.now, fleet.store.copy()))
             self.check(self.random.uniform(*INTERVAL_S))
-            if fleet.store.away:
+            if fleet.store.unavailable:
                 continue
             name = self.random.choice(sorted(DISTURBANCES))
-            with fleet.running():
+            with fleet.virtual_clock():
                 self.history.append((round(fleet.now, 2), name, DISTURBANCES[name](self)))
 
     def check(self, seconds):
@@ -70,26 +70,26 @@
         store = self.fleet.store
         for name in self.leaving:
             row = store.get(ENDPOINTS, name)
-            if not store.away and (row is None or row.value[0] == "leaving"):
+            if not store.unavailable and (row is None or row.value[0] == "leaving"):
                 self.acknowledged.setdefault(name, self.fleet.now)
 
     def check_node(self, node):
         now = self.fleet.now
-        known_at = max(self.restored_at + AGAIN_S, -1e9) + KNOWN_S
+        known_at = max(self.restored_at + REWRITE_S, -1e9) + KNOWN_S
         for name in self.leaving:
             used = not notice_handlers.find_withheld(node.state, name)
             if not used:
                 self.withheld.add((node.name, name))
             elif (node.name, name) in self.withheld:
                 self.violations.append((now, node.name, name, "used again"))
-            elif self.fleet.store.away or node.name == CUT_OFF:
+            elif self.fleet.store.unavailable or node.name == CUT_OFF:
                 # The limit holds only for nodes that reach the store while it is up.
                 continue
             elif name in self.acknowledged and now > max(
                 self.acknowledged[name] + KNOWN_S, known_at
             ):
                 self.violations.append((now, node.name, name, "used although it leaves"))
-        if node.name == CUT_OFF or self.fleet.store.away or now < known_at:
+        if node.name == CUT_OFF or self.fleet.store.unavailable or now < known_at:
             return
         for name, since in self.live.items():
             if now > since + KNOWN_S and notice_handlers.find_withheld(node.state, name):
@@ -108,7 +108,7 @@
     fleet.write_entry(name, "leaving", "m", fleet.entry(name)[2])
 
     def end():
-        if fleet.store.away:
+        if fleet.store.unavailable:
             fleet.at(fleet.now + 1.0, end)
         else:
             fleet.remove_entry(name)
@@ -151,10 +151,10 @@
     down = simulation.random.choice((0.0, 0.3, 2.5))
 
     def restore():
-        fleet.come_back(copy)
+        fleet.restore(copy)
         simulation.restored_at = fleet.now
 
-    fleet.store.away = True
+    fleet.store.unavailable = True
     fleet.at(fleet.now + down, restore)
     return round(fleet.now - at, 2), down
 
--- a/features/key_stories.py
+++ b/features/key_stories.py
@@ -203,8 +203,8 @@
 
 @trouble("the relays of a data centre freeze")
 def relays_freeze(fleet):
-    place = fleet.nodes[leaf_of(fleet)].place
-    return freeze(fleet, [one for one in relays_of(fleet) if fleet.nodes[one].place == place])
+    place = fleet.nodes[leaf_of(fleet)].data_centre
+    return freeze(fleet, [one for one in relays_of(fleet) if fleet.nodes[one].data_centre == place])
 
 
 @trouble("a node is cut from the store")
@@ -259,20 +259,20 @@
 
 @trouble("the store is slow")
 def store_slow(fleet):
-    before, fleet.store_s = fleet.store_s, 0.6
+    before, fleet.store_latency_s = fleet.store_latency_s, 0.6
 
     def end():
-        fleet.store_s = before
+        fleet.store_latency_s = before
 
     return end
 
 
 @trouble("watches deliver nothing")
 def watches_silent(fleet):
-    fleet.deaf = True
+    fleet.watches_silent = True
 
     def end():
-        fleet.deaf = False
+        fleet.watches_silent = False
 
     return end
 
@@ -280,8 +280,8 @@
 @trouble("messages of the relays take 4 s")
 def relay_messages_late(fleet):
     delays = {(name, one): 4.0 for name in relays_of(fleet) for one in fleet.nodes}
-    fleet.ways.update(delays)
-    return fleet.ways.clear
+    fleet.link_delays.update(delays)
+    return fleet.link_delays.clear
 
 
 @trouble("all nodes are killed and started")
@@ -290,7 +290,7 @@
     for name in names:
         fleet.kill(name)
     fleet.run(0.3)
-    with fleet.running():
+    with fleet.virtual_clock():
         for name in names:
             fleet.start(int(name[1:]))
     return lambda: None
--- a/features/notice_stories.py
+++ b/features/notice_stories.py
@@ -72,7 +72,7 @@
         """List when requests of the node that got a notice reached the process that gave it."""
         return [
             one.at
-            for one in self.runners.arrived
+            for one in self.runners.arrivals
             if (one.endpoint, one.start, one.node) == (word.endpoint, word.start, word.node.name)
             and one.at > word.at
             # A restarted node has not got the notice, and a node that froze may send late.
@@ -82,7 +82,7 @@
 
     def faults(self):
         found = []
-        for word in self.runners.words:
+        for word in self.runners.received_notices:
             rest_s = word.notice.backoff_s or 0.0
             if not word.notice.leaving and not rest_s:
                 continue
@@ -103,10 +103,10 @@
 def leaves(story):
     name = some(story)
     story.runners.leaving.add(name)
-    start = story.runners.start_of(name)
+    start = story.runners.restart_count(name)
 
     def end():
-        if story.runners.start_of(name) == start:
+        if story.runners.restart_count(name) == start:
             story.runners.end(name)
 
     story.fleet.at(story.fleet.now + story.drawn.uniform(4.0, 9.0), end)
@@ -146,11 +146,11 @@
 @trouble("an entry lapses and is written again, as live")
 def lapses(story):
     name = some(story)
-    born = 1 + story.runners.start_of(name)
+    born = 1 + story.runners.restart_count(name)
     story.fleet.remove_entry(name)
 
     def back():
-        if 1 + story.runners.start_of(name) == born:
+        if 1 + story.runners.restart_count(name) == born:
             story.fleet.write_entry(name, "live", "m", born)
 
     story.fleet.at(story.fleet.now + story.drawn.uniform(0.5, 3.0), back)
--- a/features/rate_counts.py
+++ b/features/rate_counts.py
@@ -40,7 +40,7 @@
     """Return when a node first received the limit of a process."""
     return min(
         word.at
-        for word in runners.words
+        for word in runners.received_notices
         if (word.endpoint, word.start) == (endpoint, start) and word.notice.rate is not None
     )
 
@@ -51,13 +51,13 @@
     :param excused: nodes that are not counted, as they restarted, froze or were cut off.
     """
     told = {}
-    for word in runners.words:
+    for word in runners.received_notices:
         if (word.endpoint, word.start) == (endpoint, start) and word.notice.rate is not None:
             told.setdefault(word.node.name, word.at)
     begins = first_named(runners, endpoint, start) + BEGINS_S
     return [
         one.at
-        for one in runners.arrived
+        for one in runners.arrivals
         if (one.endpoint, one.start) == (endpoint, start)
         and one.at >= begins
         and one.node not in excused
@@ -70,6 +70,6 @@
     begins = first_named(runners, endpoint, start) + BEGINS_S
     return [
         one.at
-        for one in runners.arrived
+        for one in runners.arrivals
         if (one.endpoint, one.start) == (endpoint, start) and one.at >= begins
     ]
--- a/features/rate_stories.py
+++ b/features/rate_stories.py
@@ -32,10 +32,10 @@
 @trouble("an endpoint announces a limit, and it falls and rises")
 def falls_and_rises(story):
     name = some(story)
-    start = story.runners.start_of(name)
+    start = story.runners.restart_count(name)
 
     def change(rate):
-        if story.runners.start_of(name) == start:
+        if story.runners.restart_count(name) == start:
             story.set_rate(name, rate)
 
     story.set_rate(name, 4.0)
@@ -46,10 +46,10 @@
 @trouble("an endpoint announces and ends a limit in turn")
 def alternates(story):
     name = some(story)
-    start = story.runners.start_of(name)
+    start = story.runners.restart_count(name)
 
     def change(rate):
-        if story.runners.start_of(name) == start:
+        if story.runners.restart_count(name) == start:
             story.set_rate(name, rate)
 
     for step in range(4):
@@ -85,7 +85,7 @@
             self.runners.rates.pop(name, None)
         else:
             self.runners.rates[name] = rate
-        rows = self.named.setdefault((name, self.runners.start_of(name)), [])
+        rows = self.named.setdefault((name, self.runners.restart_count(name)), [])
         rows.append((self.fleet.now, rate))
 
     def periods(self):
@@ -105,7 +105,7 @@
         found = []
         for (name, start), began, ended, highest in self.periods():
             told = {}
-            for word in self.runners.words:
+            for word in self.runners.received_notices:
                 if (word.endpoint, word.start) != (name, start) or word.notice.rate is None:
                     continue
                 if began <= word.at:
@@ -113,7 +113,7 @@
             first = min(told.values(), default=ended)
             moments = [
                 one.at
-                for one in self.runners.arrived
+                for one in self.runners.arrivals
                 if (one.endpoint, one.start) == (name, start)
                 and first + BEGINS_S <= one.at <= ended
                 and self._counts(one, told)
--- a/features/relay_fixture.py
+++ b/features/relay_fixture.py
@@ -164,7 +164,7 @@
 
     @property
     def asked(self):
-        return [one for server in self.servers for one in server.asked]
+        return [one for server in self.servers for one in server.received]
 
 
 def request(kind, number=1, deadline_ms=None, key=None, body=b"body"):
--- a/features/steps/allotment_steps.py
+++ b/features/steps/allotment_steps.py
@@ -45,7 +45,7 @@
         self.number += 1
         self.asked.append((self.fleet.now, units))
         terms = RouteTerms("r", "llm", 1, 1, 1, 1.0, 1.0)
-        with self.fleet.running():
+        with self.fleet.virtual_clock():
             node.submit(
                 RequestArrived(
                     self.fleet.now,
@@ -171,7 +171,7 @@
         demand.run(per_s * surge, away)
     else:
         fleet.run(away)
-    with fleet.running():
+    with fleet.virtual_clock():
         for name in names:
             fleet.start(int(name[1:]))
     fleet.run(0.3)
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -87,7 +87,7 @@
             case "too many calls":
                 return await self.exhaust()
             case "discard history":
-                self.fake.store._forgotten = 10
+                self.fake.store._compacted = 10
             case "outage begins":
                 faults.outage = True
             case "outage ends":
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -16,10 +16,10 @@
 from rookspring_core.suspects import EndpointProcess
 from rookspring_core.suspects import Evidence
 from rookspring_core.suspects import SuspectTable
-from rookspring_fakes.fleet_callers import AGAIN_S
 from rookspring_fakes.fleet_callers import FATAL
-from rookspring_fakes.fleet_callers import EndsDay
-from rookspring_fakes.fleet_callers import EndsPlayed
+from rookspring_fakes.fleet_callers import RETRY_DELAY_S
+from rookspring_fakes.fleet_callers import CrashRun
+from rookspring_fakes.fleet_callers import CrashScenario
 from rookspring_fakes.fleet_callers import FleetCallers
 
 
@@ -38,7 +38,7 @@
         # In steps of seven, so that nodes of all data centres, relays among them, get it in turn.
         name = names[0] if where == "the same node" else names[turn * 7 % len(names)]
         context.keys.append((stage.send(name, FATAL), stage.fleet.now))
-        stage.fleet.run(AGAIN_S)
+        stage.fleet.run(RETRY_DELAY_S)
 
 
 @then("it has crashed {number:d} endpoints")
@@ -66,7 +66,7 @@
     """Have the request crash processes, sent by each of some nodes in turn."""
     for turn in range(times):
         stage.send(names[turn % len(names)], FATAL)
-        stage.fleet.run(2.0 + AGAIN_S)
+        stage.fleet.run(2.0 + RETRY_DELAY_S)
     assert stage.runners.ends_under(FATAL) == times, stage.runners.ended
 
 
@@ -126,7 +126,7 @@
         if turn == 2:
             # Just before the third crash.
             stage.fleet.kill(followed)
-        stage.fleet.run(2.0 + AGAIN_S)
+        stage.fleet.run(2.0 + RETRY_DELAY_S)
 
 
 @when("it comes to that node")
@@ -266,20 +266,20 @@
     "8 nodes whose endpoints crash {times:d} times in {seconds:d} s, independently of the requests"
 )
 def ordinary_ends(context, times, seconds):
-    context.day = EndsDay(times, seconds)
+    context.day = CrashScenario(times, seconds)
 
 
 @when("{rate:d} requests a second come, and those that broke off are retried once")
 def come_once(context, rate):
-    context.played = EndsPlayed(context.day._replace(rate=rate))
+    context.played = CrashRun(context.day._replace(rate=rate))
 
 
 @then("no request is found to crash endpoints")
 def none_with_verdict(context):
     played = context.played
     assert len(played.callers.runners.ended) >= 30, len(played.callers.runners.ended)
-    assert played.came_again >= 50, played.came_again
-    assert not played.condemned(), played.condemned()
+    assert played.retried >= 50, played.retried
+    assert not played.innocent_verdicts(), played.innocent_verdicts()
 
 
 # Over sockets.
@@ -347,5 +347,5 @@
 @then("it has crashed {number:d} endpoints, and was sent to {sent:d} in all")
 def ended_and_sent(context, number, sent):
     ended_under(context, number)
-    arrived = [one for one in context.stage.runners.arrived if one.fingerprint == FATAL]
+    arrived = [one for one in context.stage.runners.arrivals if one.fingerprint == FATAL]
     assert len(arrived) == sent, arrived
--- a/features/steps/handover_steps.py
+++ b/features/steps/handover_steps.py
@@ -40,7 +40,7 @@
         while holder is None:
             fleet.run(STEP_S)
             holder = find_holder(fleet)
-        with fleet.running():
+        with fleet.virtual_clock():
             holder.submit(DrainAsked(fleet.now))
         fleet.at(fleet.now + STOP_S, lambda name=holder.name: fleet.kill(name))
         fleet.run(apart)
@@ -50,7 +50,7 @@
 @when("the lease holder is stopped as planned")
 def stop_once(context):
     fleet = context.fleet
-    with fleet.running():
+    with fleet.virtual_clock():
         find_holder(fleet).submit(DrainAsked(fleet.now))
 
 
@@ -66,10 +66,10 @@
 @then("at most {most:g} s passed without orders")
 def orders_resumed(context, most):
     fleet = context.fleet
-    pause_s = longest_pause_s(fleet.acts, context.since, fleet.now)
+    pause_s = longest_pause_s(fleet.active_ticks, context.since, fleet.now)
     assert pause_s <= most, pause_s
 
 
 @then("each fence belongs to one node, fences rise, and orders of two nodes are 3 s apart")
 def one_holder(context):
-    check_holders(context.fleet.acts)
+    check_holders(context.fleet.active_ticks)
--- a/features/steps/notice_socket_steps.py
+++ b/features/steps/notice_socket_steps.py
@@ -13,7 +13,7 @@
 
 @when("the endpoint's answers say {line}")
 def answers_say(context, line):
-    context.relay.servers[0].says.append(line)
+    context.relay.servers[0].extra_header_lines.append(line)
 
 
 @then("the log tells of the endpoint: {told}")
@@ -42,7 +42,7 @@
 
 @then("the first endpoint got {number:d} in all")
 def first_got(context, number):
-    asked = context.relay.servers[0].asked
+    asked = context.relay.servers[0].received
     assert len(asked) == number, [one.request_id for one in asked]
 
 
@@ -57,7 +57,7 @@
 @then("the other endpoint answers each")
 def other_answers(context):
     assert [answer.status for answer in context.answers] == [200] * 6
-    assert len(context.relay.servers[1].asked) == 6
+    assert len(context.relay.servers[1].received) == 6
 
 
 # Calls to an endpoint other than the ones for whole requests.
@@ -124,7 +124,7 @@
         pool.acquire = slow_acquire
         waiting = asyncio.ensure_future(relay.ask(request("unsafe", 1)))
         await relay.until(lambda: held)
-        relay.servers[0].says.append(line)
+        relay.servers[0].extra_header_lines.append(line)
         if line.startswith("Retry"):
             relay.servers[0].script.pop(0)
         await relay.ask(request("unsafe", 2))
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -58,11 +58,11 @@
         stage.fleet.run(0.05)
     late = [
         one
-        for one in stage.runners.arrived
+        for one in stage.runners.arrivals
         if one.endpoint == "e0" and one.node == context.name and one.at > context.heard_at
     ]
     assert not late, late
-    others = [one for one in stage.runners.arrived if one.node == context.name]
+    others = [one for one in stage.runners.arrivals if one.node == context.name]
     assert len(others) >= 60, len(others)
 
 
@@ -74,7 +74,7 @@
         stage.fleet.run(0.01)
     late = [
         one
-        for one in stage.runners.arrived
+        for one in stage.runners.arrivals
         if one.endpoint == "e0" and one.at > context.heard_at + TOLD_S
     ]
     assert not late, late
@@ -185,7 +185,7 @@
 def sent_to(context, endpoint, own):
     return [
         one
-        for one in context.stage.runners.arrived
+        for one in context.stage.runners.arrivals
         if one.endpoint == endpoint
         and (one.node == context.name) == own
         and one.at > context.heard_at
@@ -248,7 +248,7 @@
     def check(acts, seed):
         story = NoticeStory(nodes, seed)
         story.play(acts)
-        heard.extend(word.notice for word in story.runners.words)
+        heard.extend(word.notice for word in story.runners.received_notices)
         faults = story.faults()
         assert not faults, (acts, seed, faults[0])
 
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -1,10 +1,10 @@
 import os
+
 from behave import given
 from behave import then
 from behave import when
-from rookspring_fakes.process_soak import ProcessSoak
-
 
+from rookspring_fakes.process_soak import ProcessSoak
 
 
 @given(
@@ -21,7 +21,7 @@
 
 @then("no guarantee is violated")
 def none_violated(context):
-    assert not context.outcome.broken, context.outcome.broken
+    assert not context.outcome.violations, context.outcome.violations
 
 
 @then("most requests were answered")
--- a/features/steps/rate_limit_socket_steps.py
+++ b/features/steps/rate_limit_socket_steps.py
@@ -32,12 +32,12 @@
 
 @when("its responses contain no rate limit any more")
 def end_rate_limit(context):
-    context.relay.servers[0].says.clear()
+    context.relay.servers[0].extra_header_lines.clear()
 
 
 @then("the first endpoint got {least:d} to {most:d} in all")
 def got_between(context, least, most):
-    got = len(context.relay.servers[0].asked)
+    got = len(context.relay.servers[0].received)
     assert least <= got <= most, got
 
 
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -90,7 +90,7 @@
 
 def used_since(context, moment):
     runners = context.stage.runners
-    there = [one for one in runners.arrived if one.endpoint == LIMITED and one.at >= moment]
+    there = [one for one in runners.arrivals if one.endpoint == LIMITED and one.at >= moment]
     return len(there) / (context.rate * (context.stage.fleet.now - moment))
 
 
@@ -166,7 +166,7 @@
 
 @trouble("its owner shuts down gracefully")
 def _leaves(fleet, owner):
-    with fleet.running():
+    with fleet.virtual_clock():
         fleet.drain(owner)
 
 
@@ -228,7 +228,7 @@
     if was == "is started":
         fleet.kill(name)
         fleet.run(2.0)
-        with fleet.running():
+        with fleet.virtual_clock():
             fleet.start(int(name[1:]))
         fleet.run(2.0)
     elif was.startswith("freezes"):
@@ -250,7 +250,7 @@
 def sends_no_more(context, rate):
     there = [
         one.at
-        for one in context.stage.runners.arrived
+        for one in context.stage.runners.arrivals
         if one.endpoint == LIMITED and one.node == context.name and one.at >= context.since
     ]
     seconds = context.stage.fleet.now - context.since
--- a/features/steps/relay_key_steps.py
+++ b/features/steps/relay_key_steps.py
@@ -62,7 +62,7 @@
         await relay.until(lambda: relay.node.context.state.revision == 6)
         other = await send(context, new)
         assert other.status == 200, other.status
-        relay.servers[0].asked.clear()
+        relay.servers[0].received.clear()
         return await send(context, key)
 
     context.answer = context.loop.run(work())
--- a/features/steps/relay_socket_steps.py
+++ b/features/steps/relay_socket_steps.py
@@ -14,7 +14,7 @@
 from rookspring.exceptions import SettingsError
 from rookspring.messages import TableMessage
 from rookspring.platform import StoredObject
-from rookspring_fakes.model_server import EVENTS
+from rookspring_fakes.model_server import STREAM_EVENTS
 
 SAFE_HEADERS = {"host", "x-rookspring-request-id", "content-length"}
 
@@ -203,8 +203,8 @@
 @then("the first endpoint got {number:d} of them")
 def first_got(context, number):
     first, second = context.relay.servers
-    assert len(first.asked) == number
-    assert len(second.asked) == len(context.answers)
+    assert len(first.received) == number
+    assert len(second.received) == len(context.answers)
 
 
 @when("the store fails, the endpoint's entry expires, and the store recovers")
@@ -291,7 +291,7 @@
 @then("the stream ends complete with Connection: close")
 def ends_whole(context):
     assert context.answer.whole
-    assert context.answer.body.count(b"\n\n") == EVENTS
+    assert context.answer.body.count(b"\n\n") == STREAM_EVENTS
     assert context.answer.headers["connection"] == "close"
 
 
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -131,7 +131,7 @@
     else:
         fleet.kill(node.name)
         fleet.run(0.5)
-        with fleet.running():
+        with fleet.virtual_clock():
             fleet.start(int(node.name[1:]))
 
 
@@ -191,7 +191,7 @@
 
 def apply_fault(fleet, who, fate):
     """Apply a fault to a group of nodes."""
-    place = fleet.live()[-1].place
+    place = fleet.live()[-1].data_centre
     chosen = [
         node
         for node in fleet.live()
@@ -201,7 +201,7 @@
         or (
             who == "the relays of a data centre"
             and node.state.topology.relay
-            and node.place == place
+            and node.data_centre == place
         )
     ]
     assert chosen, who
@@ -211,7 +211,7 @@
         elif fate == "freeze":
             node.frozen = True
         elif fate == "leave as planned":
-            with fleet.running():
+            with fleet.virtual_clock():
                 fleet.drain(node.name)
         else:
             fleet.cut_from_store.add(node.name)
@@ -254,7 +254,7 @@
     fleet.run(0.3)
     if trouble == "an older list comes later":
         fleet.run(3.0)
-        with fleet.running():
+        with fleet.virtual_clock():
             for node in fleet.live():
                 node.list.apply_peer_rows(tuple(older), False)
     elif trouble != "nothing happens":
@@ -334,9 +334,9 @@
 @when("a leaf sends the demand for a missing adapter")
 def leaf_sends_demand(context):
     fleet = context.fleet
-    with fleet.running():
+    with fleet.virtual_clock():
         for node in fleet.live():
-            if not node.state.topology.relay and node.place != context.holder.place:
+            if not node.state.topology.relay and node.data_centre != context.holder.data_centre:
                 send_want(node.peers, RequestLoad("llm", "x", "x/a1"))
                 return
 
--- a/features/steps/socket_steps.py
+++ b/features/steps/socket_steps.py
@@ -400,10 +400,10 @@
 @then("a watch from a version that is no longer kept gets status 410")
 def watch_too_old(context):
     store = context.stage.platform.store
-    store._forgotten = store.version
+    store._compacted = store.version
     path = "/api/v1/resources/Service?watch=1&from=1&timeout_s=1"
     status, body = context.loop.run(send(address(context), "GET", path, b"", AUTH))
-    store._forgotten = 0
+    store._compacted = 0
     assert status == 410, body
 
 
--- a/features/steps/store_copy_socket_steps.py
+++ b/features/steps/store_copy_socket_steps.py
@@ -80,7 +80,7 @@
     stage = context.relay
     stage.store.faults.outage = down_s > 0
     await asyncio.sleep(down_s)
-    await stage.store.come_back(copy)
+    await stage.store.restore(copy)
     stage.store.faults.outage = False
 
 
@@ -166,7 +166,7 @@
         calls = stage.store.store.calls
         context.listed = calls.get("list", 0)
         stage.store.names_era = False
-        stage.store.store.come_back(stage.store.store.copy())
+        stage.store.store.restore(stage.store.store.copy())
         stage.node.context.eras.note_era(1, "another")
 
     context.loop.run(work())
@@ -221,7 +221,7 @@
 
     async def work():
         # Before the node can write anything.
-        stage.store.store.come_back(context.copy)
+        stage.store.store.restore(context.copy)
         await stage.store.write("config", "main", configuration(version))
         assert stage.store.store.objects[("config", "main")].version == context.revision
 
@@ -251,7 +251,7 @@
     stage = context.relay
 
     async def work():
-        await stage.store.come_back(context.copy)
+        await stage.store.restore(context.copy)
         context.started_at = stage.node.context.now()
         await stage.restart()
 
--- a/features/steps/store_copy_steps.py
+++ b/features/steps/store_copy_steps.py
@@ -41,7 +41,7 @@
 
 
 def holder_of(fleet):
-    return fleet.nodes[fleet.acts[-1].node]
+    return fleet.nodes[fleet.active_ticks[-1].node]
 
 
 @disturbance("nothing happens")
@@ -96,7 +96,7 @@
 @disturbance("it is restored from the copy again")
 def _restore_again(context):
     fleet = context.fleet
-    fleet.at(fleet.now + 0.7, lambda: fleet.come_back(context.copy))
+    fleet.at(fleet.now + 0.7, lambda: fleet.restore(context.copy))
 
 
 @disturbance("all nodes are killed and restart")
@@ -125,13 +125,13 @@
 )
 def restore_store(context, lost, meanwhile, down, then):
     fleet = context.fleet
-    with fleet.running():
+    with fleet.virtual_clock():
         DISTURBANCES[meanwhile](context)
     fleet.run(lost)
-    fleet.store.away = True
+    fleet.store.unavailable = True
     fleet.run(down)
-    with fleet.running():
-        fleet.come_back(context.copy)
+    with fleet.virtual_clock():
+        fleet.restore(context.copy)
         DISTURBANCES[then](context)
     context.restored_at = fleet.now
     fleet.run(CHECKED_S)
@@ -141,12 +141,12 @@
     "no two nodes use the same fencing token, none decreases, and orders of two nodes are 3 s apart"
 )
 def one_holder(context):
-    check_holders(context.fleet.acts)
+    check_holders(context.fleet.active_ticks)
 
 
 @then("some node may give orders within {seconds:g} s of the restore")
 def held_again(context, seconds):
-    acts = [act.at for act in context.fleet.acts if act.at > context.restored_at]
+    acts = [act.at for act in context.fleet.active_ticks if act.at > context.restored_at]
     assert acts, "no node gives orders after the restore"
     assert acts[0] - context.restored_at <= seconds, acts[0] - context.restored_at
 
@@ -175,7 +175,7 @@
     announced_s = float(seconds) if order == "after" else -float(seconds)
     # Its entry changes after the copy, so nodes know it by a revision that the restore loses.
     fleet.at(fleet.now + lost / 2, lambda: fleet.write_entry(LEAVING, "live", "n", 1))
-    fleet.at(fleet.now + lost, lambda: fleet.come_back(context.copy))
+    fleet.at(fleet.now + lost, lambda: fleet.restore(context.copy))
     context.announced_at = fleet.now + lost + announced_s
     fleet.at(context.announced_at, lambda: fleet.write_entry(LEAVING, "leaving", "n", 1))
     context.used = []
@@ -200,14 +200,14 @@
 )
 def removed_and_added(context, lost, down):
     fleet = context.fleet
-    with fleet.running():
+    with fleet.virtual_clock():
         fleet.remove_entry(LEAVING)
         fleet.write_entry("new", "live", "m", 1)
     fleet.run(lost)
     assert all(uses(node, "new") and not uses(node, LEAVING) for node in fleet.live())
-    fleet.store.away = True
+    fleet.store.unavailable = True
     context.used = []
-    fleet.at(fleet.now + down, lambda: fleet.come_back(context.copy))
+    fleet.at(fleet.now + down, lambda: fleet.restore(context.copy))
     context.restored_at = fleet.now + down
     record_uses(context, down + CHECKED_S, [LEAVING, "new"])
 
@@ -234,12 +234,12 @@
 @when("a node starts, and {lost:g} s after the copy the store is restored")
 def node_starts(context, lost):
     fleet = context.fleet
-    with fleet.running():
+    with fleet.virtual_clock():
         context.node = fleet.start(fleet.plan.nodes)
     fleet.run(lost)
     assert context.node.name in {row.name for row in fleet.store.rows(NODES)}
-    with fleet.running():
-        fleet.come_back(context.copy)
+    with fleet.virtual_clock():
+        fleet.restore(context.copy)
 
 
 @then("the store lists it within {seconds:g} s of the restore")
@@ -282,7 +282,7 @@
         simulation = CopySimulation(seed, nodes)
         simulation.run()
         try:
-            check_holders(simulation.fleet.acts)
+            check_holders(simulation.fleet.active_ticks)
         except AssertionError as error:
             raise AssertionError(f"seed {seed}: {error}; {simulation.history}") from None
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -11,17 +11,11 @@
 import functools
 import heapq
 import itertools
-import msgpack
 import typing as t
-from .fleet_node import FleetLink
-from .fleet_node import FleetNode
-from .fleet_node import write_table
-from .fleet_runners import FleetRunners
-from .fleet_store import ENDPOINTS
-from .fleet_store import FleetCopy
-from .fleet_store import FleetStore
-from .fleet_store import NODES
-from .fleet_store import TABLE
+from unittest import mock
+
+import msgpack
+
 from rookspring import clock
 from rookspring import defaults
 from rookspring import relay_heartbeats
@@ -42,13 +36,19 @@
 from rookspring_core.events import Ticked
 from rookspring_core.freshness import NEVER
 from rookspring_core.organisations import Directory
-from unittest import mock
-
-
 
+from .fleet_node import FleetLink
+from .fleet_node import FleetNode
+from .fleet_node import write_table
+from .fleet_runners import FleetRunners
+from .fleet_store import ENDPOINTS
+from .fleet_store import NODES
+from .fleet_store import TABLE
+from .fleet_store import FleetBackup
+from .fleet_store import FleetStore
 
 # The one-way delay of a message between two nodes, in seconds.
-WAY_S = 0.001
+LINK_DELAY_S = 0.001
 # The number of nodes, the first ones, that all nodes know as seeds.
 SEEDS = 3
 # The number of ticks between two renewals of the proof that the configuration is the newest.
@@ -59,7 +59,7 @@
 RENEW_TICKS = round(core_defaults.RELAY_LEASE_RENEW_S / core_defaults.TICK_S)
 # After a restore from a backup, endpoints and the operator rewrite what the backup lacks, spread
 # over REWRITE_S; entries of endpoints that have ended lapse after LAPSE_S. Both in seconds.
-AGAIN_S = 1.2
+REWRITE_S = 1.2
 LAPSE_S = 3.6
 # The start of the virtual clock; not 0, so that the start of a node differs from time 0.
 EPOCH_S = 1000.0
@@ -82,7 +82,7 @@
     elects: bool = False
 
 
-class Act(t.NamedTuple):
+class ActiveTick(t.NamedTuple):
     """A tick at which a node may send orders, with its fencing token."""
 
     at: float
@@ -100,15 +100,15 @@
         self.cut: set[tuple[str, str]] = set()
         self.cut_from_store: set[str] = set()
         # The latency of the store's answers in seconds; whether its watches deliver no changes.
-        self.store_s = 0.004
-        self.deaf = False
+        self.store_latency_s = 0.004
+        self.watches_silent = False
         # The one-way delays, in seconds, of pairs (sender, receiver) that differ from the default.
-        self.ways: dict[tuple[str, str], float] = {}
+        self.link_delays: dict[tuple[str, str], float] = {}
         # The usage of organisations and the verdicts that HOLDER recorded last.
         self.used: dict[str, float] = {}
         self.verdicts: list[t.Any] = []
         # The ticks at which some node might send orders.
-        self.acts: list[Act] = []
+        self.active_ticks: list[ActiveTick] = []
         self.store = FleetStore()
         # The entries and the configuration that endpoints and the operator rewrite after a restore.
         self._entries: dict[str, list[t.Any]] = {}
@@ -123,12 +123,12 @@
         self.runners = FleetRunners(self)
         for number in range(plan.endpoints):
             self.write_entry(f"e{number}", "live", "m", 1)
-        with self.running():
+        with self.virtual_clock():
             for number in range(plan.nodes):
                 self.start(number)
 
     @contextlib.contextmanager
-    def running(self) -> t.Iterator[None]:
+    def virtual_clock(self) -> t.Iterator[None]:
         """Make the code of the nodes read the virtual clock."""
         with mock.patch.object(clock, "now", lambda: self.now):
             yield
@@ -142,13 +142,13 @@
         assert found is not None
         return found
 
-    def write_entry(self, name: str, state: str, model: str, born: int = 0) -> None:
+    def write_entry(self, name: str, state: str, model: str, started_ms: int = 0) -> None:
         """Write an endpoint's entry.
 
         :param started_ms: when its process started, in milliseconds; 0 if the entry does not say.
         """
-        self._entries[name] = [state, model, born]
-        if not self.store.away:
+        self._entries[name] = [state, model, started_ms]
+        if not self.store.unavailable:
             self.store.put(ENDPOINTS, name, self._entries[name])
 
     def entry(self, name: str) -> list[t.Any]:
@@ -167,14 +167,14 @@
         self.store.put(TABLE, "main", self._table_value)
         return version
 
-    def come_back(self, copy: FleetCopy) -> None:
+    def restore(self, copy: FleetBackup) -> None:
         """Restore the store from a backup; afterwards, endpoints and operator rewrite theirs."""
-        self.store.come_back(copy)
+        self.store.restore(copy)
         names = sorted({*self._entries, *(row.name for row in self.store.rows(ENDPOINTS))})
         for index, name in enumerate(names):
-            delay_s = AGAIN_S * (index + 1) / len(names) if name in self._entries else LAPSE_S
+            delay_s = REWRITE_S * (index + 1) / len(names) if name in self._entries else LAPSE_S
             self.at(self.now + delay_s, functools.partial(self._rewrite_entry, name))
-        self.at(self.now + AGAIN_S, self._rewrite_table)
+        self.at(self.now + REWRITE_S, self._rewrite_table)
 
     def _rewrite_entry(self, name: str) -> None:
         """Rewrite an entry that differs in the store, or delete that of an ended endpoint."""
@@ -189,7 +189,7 @@
 
     def watch_table(self, node: FleetNode) -> None:
         """Pass the configuration to a node, unless watches are silent and it has one already."""
-        if not self.deaf or node.state.table is None:
+        if not self.watches_silent or node.state.table is None:
             node.peers.take_stored(self.table)
 
     def store_rows(self, since: int) -> tuple[tuple[StoredObject, ...], int, bool]:
@@ -209,15 +209,15 @@
         """Have a node read the list of nodes, which keeps ended ones, and add itself once."""
         listed = (self.nodes[row.name] for row in self.store.rows(NODES))
         node.peers.add_nodes(
-            (one.name, f"at-{one.name}", one.place, one.state.capacity) for one in listed
+            (one.name, f"at-{one.name}", one.data_centre, one.state.capacity) for one in listed
         )
-        if not node.written:
-            node.written = True
-            self.store.put(NODES, node.name, node.place)
+        if not node.row_written:
+            node.row_written = True
+            self.store.put(NODES, node.name, node.data_centre)
 
     def reaches_store(self, name: str) -> bool:
         """Return whether a node can reach the store."""
-        return not self.store.away and name not in self.cut_from_store
+        return not self.store.unavailable and name not in self.cut_from_store
 
     # Nodes and links.
 
@@ -243,11 +243,11 @@
         node = self.nodes[name]
         node.frozen = False
         inbox, node.inbox = node.inbox, []
-        with self.running():
+        with self.virtual_clock():
             for take in inbox:
                 take()
 
-    def hand(self, node: FleetNode, take: t.Callable[[], None]) -> None:
+    def run_on_node(self, node: FleetNode, take: t.Callable[[], None]) -> None:
         """Run a callback at a node: now, or once it resumes if it is frozen; never if it ended."""
         if node.frozen:
             node.inbox.append(take)
@@ -306,9 +306,9 @@
 
         def arrive() -> None:
             if node.alive and (name, other) not in self.cut:
-                self.hand(node, handle)
+                self.run_on_node(node, handle)
 
-        self.at(self.now + self.ways.get((name, other), WAY_S), arrive)
+        self.at(self.now + self.link_delays.get((name, other), LINK_DELAY_S), arrive)
 
     # Time.
 
@@ -319,7 +319,7 @@
     def run(self, seconds: float) -> None:
         """Advance the virtual clock and run what is due."""
         end = self.now + seconds
-        with self.running():
+        with self.virtual_clock():
             while self._queue and self._queue[0][0] <= end:
                 moment, _, call = heapq.heappop(self._queue)
                 self.now = max(self.now, moment)
@@ -342,7 +342,7 @@
             self.verdicts = relay_suspects.write_verdicts(node.state, self.now)
         node.ticks += 1
         if node.ticks % PROOF_TICKS == 0 or node.state.freshness.proved_at == NEVER:
-            node.keep_proved()
+            node.renew_proof()
 
     def _beat(self, node: FleetNode) -> None:
         if not node.alive:
@@ -372,9 +372,9 @@
 
     # Records and queries.
 
-    def note_act(self, node: str, fence: int) -> None:
+    def record_active_tick(self, node: str, fence: int) -> None:
         """Record that a node may send orders now."""
-        self.acts.append(Act(self.now, node, fence))
+        self.active_ticks.append(ActiveTick(self.now, node, fence))
 
     def live(self) -> list[FleetNode]:
         """Return the nodes that are neither ended nor frozen."""
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_callers.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_callers.py
@@ -8,17 +8,17 @@
 import itertools
 import random
 import typing as t
-from .fleet import Fleet
-from .fleet import FleetPlan
-from .fleet_runners import FleetRunners
+
 from rookspring_core.effects import Refuse
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTerms
 
-
+from .fleet import Fleet
+from .fleet import FleetPlan
+from .fleet_runners import FleetRunners
 
 # The time after which a caller retries a failed request, in seconds.
-AGAIN_S = 0.7
+RETRY_DELAY_S = 0.7
 # How long the nodes run before the first request, in seconds.
 SETTLED_S = 8.0
 # The time after which a request that was not interrupted counts as answered, in seconds.
@@ -26,7 +26,7 @@
 # The fingerprint of the fatal request, and the shortest and longest time between two sends of it,
 # in seconds.
 FATAL = "fatal"
-FATAL_EVERY_S = (0.3, 4.0)
+FATAL_INTERVAL_S = (0.3, 4.0)
 
 
 class FleetCallers:
@@ -63,8 +63,8 @@
             route=RouteTerms("r", "llm", 1, 1, attempts, 0.5, 1.0),
             fingerprint=fingerprint,
         )
-        with self.fleet.running():
-            self.fleet.hand(node, lambda: node.submit(arrived))
+        with self.fleet.virtual_clock():
+            self.fleet.run_on_node(node, lambda: node.submit(arrived))
         return key
 
     def refusal(self, key: str) -> Refuse | None:
@@ -77,7 +77,7 @@
         return [one.at for one in self.runners.ended if fingerprint in one.fingerprints][2]
 
 
-class Coming(t.NamedTuple):
+class SentRequest(t.NamedTuple):
     """A sent request that its caller retries if it was interrupted.
 
     :param at: the earliest time of the retry.
@@ -87,10 +87,10 @@
     at: float
     key: str
     fingerprint: str
-    again: int
+    retries_left: int
 
 
-class EndsDay(t.NamedTuple):
+class CrashScenario(t.NamedTuple):
     """A scenario in which endpoints crash.
 
     :param crashes: how many processes crash without a fatal request.
@@ -101,25 +101,27 @@
     :param fatal: whether a request that crashes each process that runs it is sent repeatedly.
     """
 
-    ends: int = 40
+    crashes: int = 40
     seconds: int = 80
     rate: int = 20
-    again: int = 1
-    lasts_s: tuple[float, float] = (0.3, 3.0)
+    retries: int = 1
+    durations_s: tuple[float, float] = (0.3, 3.0)
     fatal: bool = False
 
 
-class EndsPlayed:
+class CrashRun:
     """One seeded run of a crash scenario, which is over when the constructor returns.
 
     :param weigh: the name of the function that weighs crash records; the default if empty.
     """
 
-    def __init__(self, scenario: EndsDay, seed: int = 1, nodes: int = 8, weigh: str = "") -> None:
+    def __init__(
+        self, scenario: CrashScenario, seed: int = 1, nodes: int = 8, weigh: str = ""
+    ) -> None:
         self._scenario = scenario
         self._random = random.Random(seed)
-        self._pending: list[Coming] = []
-        self.came_again = 0
+        self._pending: list[SentRequest] = []
+        self.retried = 0
         self.callers = FleetCallers(nodes)
         if weigh:
             for node in self.callers.fleet.nodes.values():
@@ -129,7 +131,7 @@
 
     def _schedule_crashes(self) -> None:
         fleet = self.callers.fleet
-        for _ in range(self._scenario.ends):
+        for _ in range(self._scenario.crashes):
             at = fleet.now + self._random.uniform(0.0, self._scenario.seconds)
             name = f"e{self._random.randrange(fleet.plan.endpoints)}"
             fleet.at(at, functools.partial(self.callers.runners.end, name))
@@ -140,22 +142,24 @@
     def _send_fatal(self) -> None:
         fleet = self.callers.fleet
         self.callers.send(self._random.choice(self.callers.names()), FATAL)
-        fleet.at(fleet.now + self._random.uniform(*FATAL_EVERY_S), self._send_fatal)
+        fleet.at(fleet.now + self._random.uniform(*FATAL_INTERVAL_S), self._send_fatal)
 
     def _play(self) -> None:
         scenario = self._scenario
         fleet = self.callers.fleet
         for number in range(scenario.seconds * scenario.rate):
             fingerprint = f"f{number}"
-            self.callers.runners.lasts[fingerprint] = self._random.uniform(*scenario.lasts_s)
-            self._send(fingerprint, scenario.again)
+            self.callers.runners.durations_s[fingerprint] = self._random.uniform(
+                *scenario.durations_s
+            )
+            self._send(fingerprint, scenario.retries)
             fleet.run(1.0 / scenario.rate)
             self._retry_interrupted()
 
     def _send(self, fingerprint: str, again: int) -> None:
         key = self.callers.send(self._random.choice(self.callers.names()), fingerprint)
-        at = self.callers.fleet.now + AGAIN_S
-        self._pending.append(Coming(at, key, fingerprint, again))
+        at = self.callers.fleet.now + RETRY_DELAY_S
+        self._pending.append(SentRequest(at, key, fingerprint, again))
 
     def _retry_interrupted(self) -> None:
         """Retry the interrupted requests whose retry is due."""
@@ -164,13 +168,13 @@
         pending, self._pending = self._pending, []
         for one in pending:
             failed = one.fingerprint in interrupted and self.callers.refusal(one.key) is not None
-            if one.at <= now and failed and one.again:
-                self.came_again += 1
-                self._send(one.fingerprint, one.again - 1)
+            if one.at <= now and failed and one.retries_left:
+                self.retried += 1
+                self._send(one.fingerprint, one.retries_left - 1)
             elif one.at + ANSWERED_S > now:
                 self._pending.append(one)
 
-    def condemned(self) -> set[str]:
+    def innocent_verdicts(self) -> set[str]:
         """Return the fingerprints other than the fatal one that any node has a verdict on."""
         found: set[str] = set()
         for node in self.callers.fleet.live():
@@ -178,7 +182,7 @@
             found.update(one.fingerprint for one in verdicts)
         return found - {FATAL}
 
-    def broken_off(self) -> int:
+    def interrupted_by_fatal(self) -> int:
         """Count the other requests that were interrupted by crashes of the fatal one."""
         ended = [one for one in self.callers.runners.ended if FATAL in one.fingerprints]
         return sum(len(one.fingerprints) - 1 for one in ended)
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_lease.py
@@ -2,7 +2,7 @@
 
 import functools
 import typing as t
-from .fleet_store import LEASE
+
 from rookspring import defaults
 from rookspring.relay_store_loops import lease_name
 from rookspring_core import control_jobs
@@ -11,7 +11,7 @@
 from rookspring_core.events import LeaseWritten
 from rookspring_core.orders import handover_gap_passed
 
-
+from .fleet_store import LEASE
 
 if t.TYPE_CHECKING:
     from .fleet import Fleet
@@ -45,7 +45,7 @@
             self._next_read_at = now + defaults.RELAY_LEASE_READ_S
             self._read()
         if control_jobs.holding(state) and handover_gap_passed(state) and not state.leaving:
-            self._fleet.note_act(self._node.name, state.control.acting_epoch)
+            self._fleet.record_active_tick(self._node.name, state.control.acting_epoch)
 
     def _read(self) -> None:
         fleet = self._fleet
@@ -66,14 +66,14 @@
                 self._read_once = True
                 self._node.submit(event._replace(at=fleet.now))
 
-        fleet.at(fleet.now + fleet.store_s, lambda: fleet.hand(self._node, handle))
+        fleet.at(fleet.now + fleet.store_latency_s, lambda: fleet.run_on_node(self._node, handle))
 
     def write(self, effect: WriteLease) -> None:
         """Write the lease; the store applies the write after half of its latency, then answers."""
         fleet = self._fleet
         if fleet.plan.elects and fleet.reaches_store(self._node.name):
             apply = functools.partial(self._apply, effect, fleet.now)
-            fleet.at(fleet.now + fleet.store_s / 2, apply)
+            fleet.at(fleet.now + fleet.store_latency_s / 2, apply)
 
     def _apply(self, effect: WriteLease, asked_at: float) -> None:
         fleet = self._fleet
@@ -90,4 +90,6 @@
             event = LeaseWritten(fleet.now, asked_at, effect.nonce, won, version or 0)
             self._node.submit(event)
 
-        fleet.at(fleet.now + fleet.store_s / 2, lambda: fleet.hand(self._node, handle))
+        fleet.at(
+            fleet.now + fleet.store_latency_s / 2, lambda: fleet.run_on_node(self._node, handle)
+        )
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -2,8 +2,7 @@
 
 import asyncio
 import typing as t
-from .fleet_lease import FleetLease
-from .fleet_store import NODES
+
 from rookspring import defaults
 from rookspring import relay_allotments
 from rookspring import relay_heartbeats
@@ -54,7 +53,8 @@
 from rookspring_core.routes import CallerLimits
 from rookspring_core.routes import RouteTable
 
-
+from .fleet_lease import FleetLease
+from .fleet_store import NODES
 
 if t.TYPE_CHECKING:
     from .fleet import Fleet
@@ -80,8 +80,8 @@
             return
         self._owner.sent_bytes += len(data)
         self._owner.sent += 1
-        if self._fleet.nodes[self.name].place != self._owner.place:
-            self._owner.far_bytes += len(data)
+        if self._fleet.nodes[self.name].data_centre != self._owner.data_centre:
+            self._owner.cross_data_centre_bytes += len(data)
         self._fleet.deliver(self._owner.name, self.name, data)
 
     def close(self) -> None:
@@ -165,12 +165,12 @@
     def __init__(self, fleet: "Fleet", number: int, data_centre: str, start: int) -> None:
         self.fleet = fleet
         self.name = f"n{number}"
-        self.place = data_centre
+        self.data_centre = data_centre
         self.alive = True
         self.frozen = False
         self.sent = 0
         self.sent_bytes = 0
-        self.far_bytes = 0
+        self.cross_data_centre_bytes = 0
         self.store_calls = 0
         self.ticks = 0
         self.missing_since: dict[str, float] = {}
@@ -208,7 +208,7 @@
         self.share_prompts = relay_updates.PromptUpdates(self.peers).note
         self.send_endpoint_list = self.list.send_all_rows
         # Whether it has written its row to the store's list of nodes.
-        self.written = False
+        self.row_written = False
         self._verdicts_read = False
         self._next_read = -1e9
         self._listed_at = -1e9
@@ -255,7 +255,7 @@
         fleet.runs.append((arrived.at, fleet.now, arrived))
         fleet.runners.run(self, effect, arrived.fingerprint)
 
-    def keep_proved(self) -> None:
+    def renew_proof(self) -> None:
         """Request a proof that the configuration is the newest, if one is due.
 
         Other nodes are asked first; the store is read once the proof keeper says that it is due.
@@ -267,7 +267,7 @@
         if self.proofs.due(fleet.now):
             self.read_table()
 
-    def hear_store(self) -> None:
+    def note_store_era(self) -> None:
         """Note the era of the store's answer; in a new era, endpoints are listed again."""
         self.eras.note_era(self.fleet.store.era, "store")
         if self._listed_era != self.state.store_era:
@@ -280,12 +280,12 @@
             return
         self._row_era = self.state.store_era
         check_at = self.fleet.now + row_check_delay_s(self.state)
-        self.fleet.at(check_at, lambda: self.fleet.hand(self, self._restore_row))
+        self.fleet.at(check_at, lambda: self.fleet.run_on_node(self, self._restore_row))
 
     def _restore_row(self) -> None:
         """Write this node's row if the store lacks it."""
         if self.fleet.store.get(NODES, self.name) is None:
-            self.fleet.store.put(NODES, self.name, self.place)
+            self.fleet.store.put(NODES, self.name, self.data_centre)
 
     def read_table(self) -> None:
         """Read the configuration; the answer arrives after the store's latency, or a timeout."""
@@ -294,7 +294,7 @@
         self.store_calls += 1
         if fleet.reaches_store(self.name):
             # The answer holds the configuration as it was when the read was sent.
-            stored, takes_s = fleet.table, fleet.store_s
+            stored, takes_s = fleet.table, fleet.store_latency_s
         else:
             stored, takes_s = None, defaults.PROOF_CALL_S
         answer_era = fleet.store.era
@@ -307,7 +307,7 @@
             self.proofs.finish_read(asked_at, stored if same else None)
 
         request_era = self.state.store_era
-        fleet.at(fleet.now + takes_s, lambda: fleet.hand(self, arrive))
+        fleet.at(fleet.now + takes_s, lambda: fleet.run_on_node(self, arrive))
 
     def take_endpoint_rows(self, rows: tuple[StoredObject, ...], whole: bool, source: str) -> None:
         """Apply a list of endpoints that another node sent."""
@@ -339,7 +339,7 @@
             self._next_read = self.fleet.now + defaults.RELAY_BACKOFF_MAX_S
             return
         self._next_read = self.fleet.now + defaults.SHARED_WATCH_BATCH_S + defaults.SHARED_WATCH_S
-        self.hear_store()
+        self.note_store_era()
         self.submit(StoreRead(self.fleet.now))
         self.fleet.watch_table(self)
         rows, self._version, whole = self.fleet.store_rows(self._version)
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
@@ -6,6 +6,7 @@
 """
 
 import typing as t
+
 from rookspring_core import notice_handlers
 from rookspring_core.effects import Dispatch
 from rookspring_core.events import AttemptFailed
@@ -16,7 +17,6 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-
 if t.TYPE_CHECKING:
     from .fleet import Fleet
     from .fleet_node import FleetNode
@@ -24,15 +24,15 @@
 # How long a request runs by default, in seconds.
 RUN_S = 0.1
 # The time from the start of a run to the first event of its answer, in seconds.
-FIRST_S = 0.05
+FIRST_EVENT_S = 0.05
 # The time after which a request that an endpoint turns away is answered, in seconds.
 REFUSE_S = 0.003
 # The time from the start of a fatal request's run to the crash that it causes, in seconds.
-FATAL_S = 0.04
+CRASH_AFTER_S = 0.04
 # The times from the end of a process to the deletion of its entry, and to the start of the next
 # process, in seconds.
 LAPSE_S = 3.5
-BACK_S = 4.0
+RESTART_S = 4.0
 
 
 class Run(t.NamedTuple):
@@ -44,7 +44,7 @@
     at: float
 
 
-class Ended(t.NamedTuple):
+class EndedProcess(t.NamedTuple):
     """A process that ended, when, and the fingerprints of the requests that it was running."""
 
     at: float
@@ -52,7 +52,7 @@
     fingerprints: tuple[str, ...]
 
 
-class Arrived(t.NamedTuple):
+class Arrival(t.NamedTuple):
     """A request that reached an endpoint: when, from which node, and at which process.
 
     :param start: how often the endpoint's process had been restarted.
@@ -65,7 +65,7 @@
     start: int = 0
 
 
-class Word(t.NamedTuple):
+class ReceivedNotice(t.NamedTuple):
     """A notice that a node received from an endpoint, and the process that sent it.
 
     :param start: how often the endpoint's process had been restarted.
@@ -87,7 +87,7 @@
     """
 
     until: float
-    rest_s: float | None
+    backoff_s: float | None
     nodes: frozenset[str]
 
 
@@ -108,10 +108,10 @@
         # Fingerprints of requests that crash each process that runs them.
         self.fatal: set[str] = set()
         # How long requests run, in seconds, by fingerprint.
-        self.lasts: dict[str, float] = {}
-        self.ended: list[Ended] = []
+        self.durations_s: dict[str, float] = {}
+        self.ended: list[EndedProcess] = []
         # The requests that reached a process.
-        self.arrived: list[Arrived] = []
+        self.arrivals: list[Arrival] = []
         # Endpoints whose answers state that they are leaving; and those that turn requests away.
         self.leaving: set[str] = set()
         self.shedding: dict[str, Shedding] = {}
@@ -121,9 +121,9 @@
         self.limits: dict[str, int] = {}
         self.default_run_s = RUN_S
         # The notices that nodes received from endpoints.
-        self.words: list[Word] = []
+        self.received_notices: list[ReceivedNotice] = []
         # The requests that were turned away.
-        self.turned_away: list[Arrived] = []
+        self.turned_away: list[Arrival] = []
 
     def run(self, node: "FleetNode", effect: Dispatch, fingerprint: str) -> None:
         """Have an endpoint run a request; the node receives the events of the attempt."""
@@ -134,15 +134,15 @@
             self._submit_later(node, refused, 0.0)
             return
         start = self._starts.get(effect.endpoint, 0)
-        arrived = Arrived(fleet.now, fingerprint, effect.endpoint, node.name, start)
-        self.arrived.append(arrived)
+        arrived = Arrival(fleet.now, fingerprint, effect.endpoint, node.name, start)
+        self.arrivals.append(arrived)
         shedding = self.shedding.get(effect.endpoint, NOT_SHEDDING)
         sheds = fleet.now < shedding.until and node.name in (shedding.nodes or (node.name,))
         running = len(self._running.get(effect.endpoint, ()))
         if sheds or running >= self.limits.get(effect.endpoint, running + 1):
             self.turned_away.append(arrived)
             self._submit_later(node, AttemptStarted(fleet.now, *key), 0.0)
-            backoff_s = shedding.rest_s if sheds else None
+            backoff_s = shedding.backoff_s if sheds else None
             self._deliver_notice(node, effect, fleet.now, turned_away=True, backoff_s=backoff_s)
             self._submit_later(
                 node, AttemptFailed(0.0, *key, True, True, "refused with 503"), REFUSE_S
@@ -152,18 +152,18 @@
         self._running.setdefault(effect.endpoint, []).append(one)
         self._submit_later(node, AttemptStarted(fleet.now, *key), 0.0)
         if fingerprint in self.fatal:
-            fleet.at(fleet.now + FATAL_S, lambda: self._crash(one))
+            fleet.at(fleet.now + CRASH_AFTER_S, lambda: self._crash(one))
             return
-        duration_s = self.lasts.get(fingerprint, self.default_run_s)
-        if duration_s > FIRST_S:
-            fleet.at(fleet.now + FIRST_S, lambda: self._progress(one))
+        duration_s = self.durations_s.get(fingerprint, self.default_run_s)
+        if duration_s > FIRST_EVENT_S:
+            fleet.at(fleet.now + FIRST_EVENT_S, lambda: self._progress(one))
         fleet.at(fleet.now + duration_s, lambda: self._finish(one))
 
     def _submit_later(self, node: "FleetNode", event: Event, after_s: float) -> None:
         fleet = self._fleet
 
         def deliver() -> None:
-            fleet.hand(node, lambda: node.submit(event._replace(at=fleet.now)))
+            fleet.run_on_node(node, lambda: node.submit(event._replace(at=fleet.now)))
 
         fleet.at(fleet.now + after_s, deliver)
 
@@ -171,7 +171,7 @@
         self,
         endpoint: str,
         until: float,
-        rest_s: float | None,
+        backoff_s: float | None,
         nodes: frozenset[str] = frozenset(),
     ) -> None:
         """Have an endpoint turn requests away.
@@ -180,7 +180,7 @@
         :param backoff_s: the back-off that it requests, in seconds; None to give none.
         :param nodes: the nodes whose requests it turns away; empty for all nodes.
         """
-        self.shedding[endpoint] = Shedding(until, rest_s, nodes)
+        self.shedding[endpoint] = Shedding(until, backoff_s, nodes)
 
     def _deliver_notice(
         self,
@@ -216,10 +216,12 @@
 
         def receive() -> None:
             node.submit(received._replace(at=fleet.now))
-            self.words.append(Word(fleet.now, node, effect.endpoint, start, notice))
+            self.received_notices.append(
+                ReceivedNotice(fleet.now, node, effect.endpoint, start, notice)
+            )
 
         after_s = REFUSE_S if turned_away else 0.0
-        fleet.at(fleet.now + after_s, lambda: fleet.hand(node, receive))
+        fleet.at(fleet.now + after_s, lambda: fleet.run_on_node(node, receive))
 
     def _progress(self, one: Run) -> None:
         if one in self._running.get(one.effect.endpoint, ()):
@@ -249,7 +251,9 @@
         fleet = self._fleet
         self._down.add(endpoint)
         broken = self._running.pop(endpoint, [])
-        self.ended.append(Ended(fleet.now, endpoint, tuple(one.fingerprint for one in broken)))
+        self.ended.append(
+            EndedProcess(fleet.now, endpoint, tuple(one.fingerprint for one in broken))
+        )
         for one in broken:
             effect = one.effect
             failed = AttemptFailed(
@@ -264,7 +268,7 @@
             )
             self._submit_later(one.node, failed, 0.001)
         fleet.at(fleet.now + LAPSE_S, lambda: fleet.remove_entry(endpoint))
-        fleet.at(fleet.now + BACK_S, lambda: self._start(endpoint))
+        fleet.at(fleet.now + RESTART_S, lambda: self._start(endpoint))
 
     def _start(self, endpoint: str) -> None:
         self._down.discard(endpoint)
@@ -274,7 +278,7 @@
         self._starts[endpoint] = self._starts.get(endpoint, 0) + 1
         self._fleet.write_entry(endpoint, "live", "m", 1 + self._starts[endpoint])
 
-    def start_of(self, endpoint: str) -> int:
+    def restart_count(self, endpoint: str) -> int:
         """Return how often an endpoint's process was restarted."""
         return self._starts.get(endpoint, 0)
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_store.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_store.py
@@ -5,8 +5,8 @@
 """
 
 import typing as t
-from rookspring.platform import StoredObject
 
+from rookspring.platform import StoredObject
 
 # Kinds of objects.
 ENDPOINTS = "endpoints"
@@ -15,7 +15,7 @@
 NODES = "nodes"
 
 
-class FleetCopy(t.NamedTuple):
+class FleetBackup(t.NamedTuple):
     """A backup of the store."""
 
     revision: int
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.era = 0
         self.revision = 1
-        self.away = False
+        self.unavailable = False
         self._objects: dict[tuple[str, str], StoredObject] = {}
 
     def put(self, kind: str, name: str, value: t.Any) -> int:
@@ -66,13 +66,13 @@
         rows = (one for (its_kind, _), one in self._objects.items() if its_kind == kind)
         return tuple(one._replace(era=self.era) for one in rows if one.version > since)
 
-    def copy(self) -> FleetCopy:
+    def copy(self) -> FleetBackup:
         """Return a backup of all objects."""
-        return FleetCopy(self.revision, dict(self._objects))
+        return FleetBackup(self.revision, dict(self._objects))
 
-    def come_back(self, copy: FleetCopy) -> None:
+    def restore(self, copy: FleetBackup) -> None:
         """Restore the state of a backup, begin the next era and become available."""
         self.revision = copy.revision
         self._objects = dict(copy.objects)
         self.era += 1
-        self.away = False
+        self.unavailable = False
--- a/packages/rookspring-fakes/src/rookspring_fakes/model_server.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/model_server.py
@@ -5,16 +5,18 @@
 """
 
 import asyncio
-import orjson
 import socket
 import struct
 import time
 import typing as t
 
+import orjson
 
-STEPS: dict[str, t.Callable[["ModelServer", "Asked", asyncio.StreamWriter], t.Awaitable[None]]] = {}
+STEPS: dict[
+    str, t.Callable[["ModelServer", "ReceivedRequest", asyncio.StreamWriter], t.Awaitable[None]]
+] = {}
 S = t.TypeVar("S", bound=t.Callable[..., t.Awaitable[None]])
-EVENTS = 5
+STREAM_EVENTS = 5
 
 
 def step(name: str) -> t.Callable[[S], S]:
@@ -27,7 +29,7 @@
     return register
 
 
-class Asked(t.NamedTuple):
+class ReceivedRequest(t.NamedTuple):
     """One request as it was received, and when."""
 
     line: str
@@ -52,13 +54,13 @@
     def __init__(self, name: str, script: t.Sequence[str] = ()) -> None:
         self.name = name
         self.script = list(script)
-        self.asked: list[Asked] = []
+        self.received: list[ReceivedRequest] = []
         self.runs: list[str] = []
         self.connections = 0
-        self.left = 0
+        self.disconnects = 0
         self.models: dict[str, list[str]] = {}
         self.orders: list[dict[str, t.Any]] = []
-        self.taken = 0
+        self.accepted_orders = 0
         self.fence = 0
         self.order_script: list[str] = []
         self.address = ""
@@ -69,18 +71,18 @@
         self.fatal_body: bytes | None = None
         self.ended = False
         # Header lines that it adds to all its answers.
-        self.says: list[str] = []
+        self.extra_header_lines: list[str] = []
         # Whether it answers everything with 503, reports and orders included.
         self.refuses_all = False
         # Whether a POST below /stream/ is answered with a stream if the script is used up.
         self.streams = False
         # Until when it sheds load, and the back-off that it requests then, in seconds; and these
         # refusals: when, of which request, and the back-off.
-        self.sheds_until = -1e9
-        self.rest_s = 1.0
-        self.rests: list[tuple[float, str, float]] = []
+        self.shed_until = -1e9
+        self.backoff_s = 1.0
+        self.backoffs: list[tuple[float, str, float]] = []
         # The periods in which its answers stated a rate: begin, end, and requests per second.
-        self.spells: list[tuple[float, float, float]] = []
+        self.rate_periods: list[tuple[float, float, float]] = []
         # The state in its report, left out if empty; and the number of reports that were read.
         self.state = ""
         self.reports = 0
@@ -135,12 +137,12 @@
                 if not await self._answer(asked, writer):
                     return
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            self.left += 1
+            self.disconnects += 1
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    async def _answer(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(self, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         if self.refuses_all:
             _send(self, writer, 503, b"", {})
             return True
@@ -150,8 +152,8 @@
             return True
         if asked.line.startswith("POST /order"):
             return self._order(asked, writer)
-        self.asked.append(asked)
-        if time.monotonic() < self.sheds_until:
+        self.received.append(asked)
+        if time.monotonic() < self.shed_until:
             self._shed(asked, writer)
             return True
         if self.fatal_body is not None and asked.body == self.fatal_body:
@@ -167,33 +169,33 @@
         await writer.drain()
         return not writer.is_closing()
 
-    def _shed(self, asked: Asked, writer: asyncio.StreamWriter) -> None:
-        self.rests.append((time.monotonic(), asked.request_id, self.rest_s))
+    def _shed(self, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        self.backoffs.append((time.monotonic(), asked.request_id, self.backoff_s))
         headers = {
             "X-Rookspring-Request-Id": asked.request_id,
             "X-Rookspring-Not-Executed": "1",
-            "Retry-After": f"{self.rest_s:g}",
+            "Retry-After": f"{self.backoff_s:g}",
         }
         _send(self, writer, 503, b"", headers)
 
-    def name_rate(self, rate: float) -> t.Callable[[], None]:
+    def state_rate(self, rate: float) -> t.Callable[[], None]:
         """State a rate in all answers from now on; return a function that ends this.
 
         :param rate: the requests per second that it accepts.
         """
         line = f"Server-Limit: {rate:g}"
         began = time.monotonic()
-        self.says.append(line)
+        self.extra_header_lines.append(line)
 
         def end() -> None:
-            self.says.remove(line)
-            self.spells.append((began, time.monotonic(), rate))
+            self.extra_header_lines.remove(line)
+            self.rate_periods.append((began, time.monotonic(), rate))
 
         return end
 
-    def reached_by(self) -> set[str]:
+    def received_ids(self) -> set[str]:
         """Return the ids of the requests that reached it."""
-        return {one.request_id for one in self.asked}
+        return {one.request_id for one in self.received}
 
     def _report(self) -> dict[str, t.Any]:
         state = {"state": self.state} if self.state else {}
@@ -201,7 +203,7 @@
             "stage": "both",
             "models": self._list_models(),
             "utilization": False,
-            "sequence": self.taken,
+            "sequence": self.accepted_orders,
             "queued": 0,
             "active": 0,
             "kv-used": 0,
@@ -209,7 +211,7 @@
             "handles": 0,
         }
 
-    def _order(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    def _order(self, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         order = orjson.loads(asked.body)
         self.orders.append(order)
         how = self.order_script.pop(0) if self.order_script else "take"
@@ -229,10 +231,14 @@
         if order["fencing-token"] < self.fence:
             return 412
         self.fence = order["fencing-token"]
-        return 202 if order.get("expected-count", self.taken) == self.taken else 409
+        return (
+            202
+            if order.get("expected-count", self.accepted_orders) == self.accepted_orders
+            else 409
+        )
 
     def _apply_order(self, order: dict[str, t.Any]) -> None:
-        self.taken += 1
+        self.accepted_orders += 1
         model = order["model"]
         if "adapter" in order:
             held = self.models.setdefault(model, [])
@@ -246,7 +252,7 @@
             self.models.pop(model, None)
 
 
-async def _read(reader: asyncio.StreamReader) -> Asked | None:
+async def _read(reader: asyncio.StreamReader) -> ReceivedRequest | None:
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     rows = [line for line in lines[1:] if line]
@@ -255,7 +261,7 @@
         key, _, value = row.partition(":")
         headers[key.lower()] = value.strip()
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Asked(lines[0], headers, body, rows, time.monotonic())
+    return ReceivedRequest(lines[0], headers, body, rows, time.monotonic())
 
 
 def _send(
@@ -267,45 +273,53 @@
 ) -> None:
     rows = {"Content-Length": str(len(body)), "Keep-Alive": "timeout=20", **headers}
     lines = [f"{key}: {value}" for key, value in rows.items() if value]
-    lines += server.says
+    lines += server.extra_header_lines
     head = "".join(f"{line}\r\n" for line in (f"HTTP/1.1 {status} X", *lines))
     writer.write(head.encode() + b"\r\n" + body)
 
 
-def _record_run(server: ModelServer, asked: Asked) -> dict[str, str]:
+def _record_run(server: ModelServer, asked: ReceivedRequest) -> dict[str, str]:
     server.runs.append(asked.request_id)
     stamp = f"{server.name}.{len(server.runs)}"
     return {"X-Rookspring-Request-Id": asked.request_id, "X-Rookspring-Server-Stamp": stamp}
 
 
-def _body(asked: Asked) -> bytes:
+def _body(asked: ReceivedRequest) -> bytes:
     return b"answer to " + asked.request_id.encode()
 
 
 @step("answer")
-async def _answer(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _answer(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     _send(server, writer, 200, _body(asked), _record_run(server, asked))
 
 
 @step("fail")
-async def _fail(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _fail(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     _send(server, writer, 500, b"failed", _record_run(server, asked))
 
 
 @step("refuse")
-async def _refuse(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _refuse(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     headers = {"X-Rookspring-Request-Id": asked.request_id, "X-Rookspring-Not-Executed": "1"}
     _send(server, writer, 503, b"", headers)
 
 
 @step("refuse quietly")
-async def _refuse_quietly(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _refuse_quietly(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Answer 503 without the header that states that the request was not run, after running it."""
     _send(server, writer, 503, b"", _record_run(server, asked))
 
 
 @step("absent")
-async def _absent(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _absent(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     headers = {
         "X-Rookspring-Request-Id": asked.request_id,
         "X-Rookspring-Instance-Id": server.name,
@@ -314,7 +328,9 @@
 
 
 @step("elsewhere")
-async def _elsewhere(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _elsewhere(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     headers = {
         "X-Rookspring-Request-Id": asked.request_id,
         "X-Rookspring-Instance-Id": "another",
@@ -323,33 +339,37 @@
 
 
 @step("surplus")
-async def _surplus(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _surplus(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Send a whole answer, and a second one that belongs to no request."""
     await _answer(server, asked, writer)
     _send(server, writer, 200, b"of nobody", {"X-Rookspring-Request-Id": "nobody"})
 
 
 @step("foreign first")
-async def _foreign(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _foreign(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Send an answer to another request first, as if it were late."""
     _send(server, writer, 200, b"of another", {"X-Rookspring-Request-Id": "another"})
     await _answer(server, asked, writer)
 
 
 @step("reset")
-async def _reset(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _reset(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     _record_run(server, asked)
     _reset_connection(writer)
 
 
 @step("close")
-async def _close(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _close(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     _record_run(server, asked)
     writer.close()
 
 
 @step("half")
-async def _half(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _half(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     headers = _record_run(server, asked)
     headers["Content-Length"] = "100"
     _send(server, writer, 200, b"only half", headers)
@@ -358,13 +378,17 @@
 
 
 @step("nonsense")
-async def _nonsense(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _nonsense(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     _record_run(server, asked)
     writer.write(b"\x00\x01 no answer at all\r\n\r\n")
 
 
 @step("unframed")
-async def _unframed(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _unframed(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Send an answer without a length, which ends when the connection closes."""
     _unframed_head(server, asked, writer)
     await writer.drain()
@@ -372,34 +396,44 @@
 
 
 @step("unframed reset")
-async def _unframed_reset(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _unframed_reset(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     _unframed_head(server, asked, writer)
     await writer.drain()
     await asyncio.sleep(0.02)
     _reset_connection(writer)
 
 
-def _unframed_head(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+def _unframed_head(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     lines = [f"{key}: {value}" for key, value in _record_run(server, asked).items()]
-    rows = "".join(f"{line}\r\n" for line in (*lines, *server.says))
+    rows = "".join(f"{line}\r\n" for line in (*lines, *server.extra_header_lines))
     writer.write(f"HTTP/1.1 200 OK\r\n{rows}\r\n".encode() + _body(asked))
 
 
 @step("stream")
-async def _stream(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
-    await _events(server, asked, writer, EVENTS)
+async def _stream(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    await _events(server, asked, writer, STREAM_EVENTS)
     writer.write(b"0\r\n\r\n")
 
 
 @step("break after 3")
-async def _break_3(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _break_3(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     await _events(server, asked, writer, 3)
     await writer.drain()
     writer.close()
 
 
 @step("tear the 4th")
-async def _tear_4(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _tear_4(
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Close the connection in the middle of an event."""
     await _events(server, asked, writer, 3)
     writer.write(b"8\r\nid: 4\nda\r\n")
@@ -408,13 +442,13 @@
 
 
 @step("hang")
-async def _hang(server: ModelServer, asked: Asked, writer: asyncio.StreamWriter) -> None:
+async def _hang(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     _record_run(server, asked)
     await asyncio.sleep(30.0)
 
 
 async def _events(
-    server: ModelServer, asked: Asked, writer: asyncio.StreamWriter, last: int
+    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter, last: int
 ) -> None:
     headers = _record_run(server, asked)
     headers |= {
--- a/packages/rookspring-fakes/src/rookspring_fakes/object_platform.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/object_platform.py
@@ -1,15 +1,15 @@
 """HTTP fake of the users' platform's store: objects with metadata, revisions and watches."""
 
 import asyncio
-import orjson
 import time
 import typing as t
-from .platform import Platform
-from .store import StoreCopy
-from .store import Stored
-from aiohttp import web
 
+import orjson
+from aiohttp import web
 
+from .platform import Platform
+from .store import StoreBackup
+from .store import Stored
 
 
 class ObjectPlatform(Platform):
@@ -19,7 +19,7 @@
     with 503. Each answer has the store's era in a header, unless ``names_era`` is False.
     """
 
-    turned_away = False
+    answers_503 = False
     names_era = True
 
     def app(self) -> web.Application:
@@ -56,13 +56,13 @@
         request: web.Request,
         handler: t.Callable[[web.Request], t.Awaitable[web.StreamResponse]],
     ) -> web.StreamResponse:
-        if self.turned_away:
+        if self.answers_503:
             raise web.HTTPServiceUnavailable(text="turned away")
         return await self._guard(request, handler)
 
-    async def come_back(self, copy: StoreCopy) -> None:
+    async def restore(self, copy: StoreBackup) -> None:
         """Restore the store from a backup and wake its watches, whose version may be gone."""
-        self.store.come_back(copy)
+        self.store.restore(copy)
         await self._tell()
 
     async def write(self, kind: str, name: str, spec: t.Any) -> int:
--- a/packages/rookspring-fakes/src/rookspring_fakes/process_callers.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/process_callers.py
@@ -5,35 +5,35 @@
 import random
 import time
 import typing as t
-from .model_server import EVENTS
+
+from .model_server import STREAM_EVENTS
 from .processes import NodeProcess
 from .processes import ProcessStage
 
-
 # How long a caller waits for an answer, in seconds: longer than the routes' timeout of 2 s.
-PATIENCE_S = 3.5
+ANSWER_TIMEOUT_S = 3.5
 # Statuses by which a node states that a request was not run; those of an endpoint don't count.
 NOT_RUN = (408, 421, 429, 503)
 STAMP = "x-rookspring-server-stamp"
 # How long after a node passed on that an endpoint is leaving it may still send requests there, in
 # seconds.
-LEFT_S = 2.0
+LEAVING_GRACE_S = 2.0
 # After a refusal with a back-off: when the check begins, in seconds, and the number of requests
 # that may still arrive from the node before the back-off ends.
-REST_BEGINS_S = 0.5
-RESTING_MOST = 2
+BACKOFF_BEGINS_S = 0.5
+BACKOFF_REQUESTS_MAX = 2
 # The check of a rate that an endpoint states, times in seconds. It begins RATE_BEGINS_S after the
 # first node passed the rate on, and counts a node's requests from RATE_KNOWN_S after that node did.
 # Each window of RATE_WINDOW_S may hold RATE_SHARE times the requests of the rate, and RATE_SLACK
 # more.
 RATE_WINDOW_S = 4.0
 RATE_BEGINS_S = 3.0
-RATE_TOLD_S = 0.5
+RATE_KNOWN_S = 0.5
 RATE_SHARE = 1.5
-RATE_MORE = 5
+RATE_SLACK = 5
 
 
-class Seen(t.NamedTuple):
+class CallerRecord(t.NamedTuple):
     """One request and its outcome, as its caller saw it.
 
     :param status: 0 if the connection ended before a status arrived.
@@ -58,7 +58,7 @@
         self._stage = stage
         self._random = random.Random(seed)
         self._numbers = itertools.count()
-        self.seen: list[Seen] = []
+        self.records: list[CallerRecord] = []
         self._running = True
         self._tasks = [asyncio.ensure_future(self._call(one)) for one in range(callers)]
 
@@ -96,13 +96,15 @@
         headers: dict[str, str] = {}
         try:
             writer.write(head.encode() + (b"" if kind == "safe" else b"body"))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 status, headers = await _read_head(reader)
                 body, whole = await _read_body(reader, headers)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             whole = False
         ended_at = time.monotonic()
-        self.seen.append(Seen(key, kind, node, sent_at, ended_at, status, headers, body, whole))
+        self.records.append(
+            CallerRecord(key, kind, node, sent_at, ended_at, status, headers, body, whole)
+        )
         return whole and headers.get("connection", "").lower() != "close"
 
 
@@ -124,37 +126,37 @@
         body += data[:-2]
 
 
-Judge = t.Callable[[ProcessStage, list[Seen]], list[str]]
-JUDGES: dict[str, Judge] = {}
+Check = t.Callable[[ProcessStage, list[CallerRecord]], list[str]]
+CHECKS: dict[str, Check] = {}
 
 
-def judges(guarantee: str) -> t.Callable[[Judge], Judge]:
+def checks(guarantee: str) -> t.Callable[[Check], Check]:
     """Register the check of a guarantee, which returns the violations."""
 
-    def register(check: Judge) -> Judge:
-        JUDGES[guarantee] = check
+    def register(check: Check) -> Check:
+        CHECKS[guarantee] = check
         return check
 
     return register
 
 
-def judge(stage: ProcessStage, seen: list[Seen]) -> list[str]:
+def find_violations(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """Run all checks and return the violations, each with its guarantee."""
     return [
         f"{guarantee}: {fault}"
-        for guarantee, check in JUDGES.items()
+        for guarantee, check in CHECKS.items()
         for fault in check(stage, seen)
     ]
 
 
-@judges("whole answers, each its own")
-def check_whole(stage: ProcessStage, seen: list[Seen]) -> list[str]:
+@checks("whole answers, each its own")
+def check_answers(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """A successful answer is the endpoint's complete answer to this request."""
     found = []
     for one in seen:
         if one.status != 200 or not one.whole:
             continue
-        ids = b"".join(b"id: %d\n" % (number + 1) for number in range(EVENTS))
+        ids = b"".join(b"id: %d\n" % (number + 1) for number in range(STREAM_EVENTS))
         lines = b"".join(line + b"\n" for line in one.body.split(b"\n") if line[:3] == b"id:")
         good = (
             lines == ids if one.kind == "stream" else one.body == b"answer to " + one.key.encode()
@@ -168,16 +170,16 @@
     return [key for server in stage.servers for key in server.runs]
 
 
-@judges("at most once")
-def check_once(stage: ProcessStage, seen: list[Seen]) -> list[str]:
+@checks("at most once")
+def check_once(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """A request that may not be repeated runs at most once."""
     kinds = {one.key: one.kind for one in seen}
     runs = _runs(stage)
     return [key for key in set(runs) if runs.count(key) > 1 and kinds.get(key) != "safe"]
 
 
-@judges("not run means not run")
-def check_not_run(stage: ProcessStage, seen: list[Seen]) -> list[str]:
+@checks("not run means not run")
+def check_not_run(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """A request that a node refused has not run at any endpoint."""
     ran = set(_runs(stage))
     return [
@@ -187,28 +189,28 @@
     ]
 
 
-@judges("a planned stop cuts nothing")
-def check_uncut(stage: ProcessStage, seen: list[Seen]) -> list[str]:
+@checks("a planned stop cuts nothing")
+def check_answered(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """A request that reached an endpoint is answered, unless the endpoint ended.
 
     Requests around a start or a signal of their node are excepted; the SIGTERM of a planned stop
     is not recorded as one.
     """
-    asked = {one.request_id for server in stage.servers for one in server.asked}
+    asked = {one.request_id for server in stage.servers for one in server.received}
     ended = {server.name for server in stage.servers if server.ended}
-    whose = {one.request_id: server.name for server in stage.servers for one in server.asked}
+    whose = {one.request_id: server.name for server in stage.servers for one in server.received}
     return [
         f"{one.key} at {one.node.name}"
         for one in seen
         if one.key in asked
         and not one.whole
         and whose[one.key] not in ended
-        and not any(one.sent_at - 3.0 < at < one.ended_at for at in one.node.excused)
+        and not any(one.sent_at - 3.0 < at < one.ended_at for at in one.node.disturbed_at)
     ]
 
 
-@judges("one that leaves gets nothing")
-def check_leaving(stage: ProcessStage, seen: list[Seen]) -> list[str]:
+@checks("one that leaves gets nothing")
+def check_leaving(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """No node sends to an endpoint long after it passed on that the endpoint is leaving."""
     known_at: dict[tuple[str, str], float] = {}
     for one in sorted(seen, key=lambda row: row.ended_at):
@@ -219,46 +221,50 @@
     for one in seen:
         for server in stage.servers:
             at = known_at.get((one.node.name, server.name))
-            if at is None or one.sent_at < at + LEFT_S or one.key not in server.reached_by():
+            if (
+                at is None
+                or one.sent_at < at + LEAVING_GRACE_S
+                or one.key not in server.received_ids()
+            ):
                 continue
-            if not any(at <= excuse <= one.ended_at for excuse in one.node.excused):
+            if not any(at <= excuse <= one.ended_at for excuse in one.node.disturbed_at):
                 found.append(f"{one.key} from {one.node.name} to {server.name}")
     return found
 
 
-@judges("rest is rest")
-def check_rest(stage: ProcessStage, seen: list[Seen]) -> list[str]:
+@checks("rest is rest")
+def check_backoff(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """During a back-off, a node sends at most two requests to the endpoint that requested it."""
     nodes = {one.key: one.node for one in seen}
     found = []
     for server in stage.servers:
-        for refused_at, key, rest_s in server.rests:
+        for refused_at, key, rest_s in server.backoffs:
             node = nodes.get(key)
-            begins, ends = refused_at + REST_BEGINS_S, refused_at + rest_s
-            if node is None or any(refused_at <= at <= ends for at in node.excused):
+            begins, ends = refused_at + BACKOFF_BEGINS_S, refused_at + rest_s
+            if node is None or any(refused_at <= at <= ends for at in node.disturbed_at):
                 continue
             late = [
                 one.request_id
-                for one in server.asked
+                for one in server.received
                 if begins <= one.at < ends and nodes.get(one.request_id) is node
             ]
-            if len(late) > RESTING_MOST:
+            if len(late) > BACKOFF_REQUESTS_MAX:
                 found.append(f"{len(late)} from {node.name} to {server.name} in {rest_s} s")
     return found
 
 
-@judges("a rate is a rate")
-def check_rates(stage: ProcessStage, seen: list[Seen]) -> list[str]:
+@checks("a rate is a rate")
+def check_rates(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """All nodes together keep to the rate that an endpoint states, within a tolerance."""
     nodes = {one.key: one.node for one in seen}
     found = []
     for server in stage.servers:
-        for began, ended, rate in server.spells:
+        for began, ended, rate in server.rate_periods:
             known_at = _rates_known_at(seen, server.name, began, ended)
             begins = min(known_at.values(), default=ended) + RATE_BEGINS_S
             moments = [
                 one.at
-                for one in server.asked
+                for one in server.received
                 if begins <= one.at <= ended
                 and _counts(nodes.get(one.request_id), one.at, known_at)
             ]
@@ -266,13 +272,13 @@
                 (sum(at <= one <= at + RATE_WINDOW_S for one in moments) for at in moments),
                 default=0,
             )
-            if most > RATE_SHARE * rate * RATE_WINDOW_S + RATE_MORE:
+            if most > RATE_SHARE * rate * RATE_WINDOW_S + RATE_SLACK:
                 found.append(f"{most} to {server.name}, which states a rate of {rate:g}")
     return found
 
 
 def _rates_known_at(
-    seen: list[Seen], name: str, began: float, ended: float
+    seen: list[CallerRecord], name: str, began: float, ended: float
 ) -> dict[NodeProcess, float]:
     """Return when each node first passed on an answer that states the endpoint's rate."""
     known_at: dict[NodeProcess, float] = {}
@@ -286,6 +292,6 @@
 def _counts(node: NodeProcess | None, at: float, known_at: dict[NodeProcess, float]) -> bool:
     """Return whether a request counts: its node knew the rate, and had no signal or start since."""
     node_known_at = known_at.get(node) if node is not None else None
-    if node is None or node_known_at is None or at < node_known_at + RATE_TOLD_S:
+    if node is None or node_known_at is None or at < node_known_at + RATE_KNOWN_S:
         return False
-    return not any(node_known_at <= excuse <= at for excuse in node.excused)
+    return not any(node_known_at <= excuse <= at for excuse in node.disturbed_at)
--- a/packages/rookspring-fakes/src/rookspring_fakes/process_soak.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/process_soak.py
@@ -12,15 +12,15 @@
 import signal
 import time
 import typing as t
+
 from .process_callers import ProcessCallers
-from .process_callers import judge
-from .processes import GONE_S
+from .process_callers import find_violations
+from .processes import EXIT_SLACK_S
 from .processes import GRACE_S
 from .processes import ProcessStage
 
-
 # The shortest and the longest time from the start of one trouble to that of the next, in seconds.
-NEXT_S = (0.2, 0.9)
+TROUBLE_INTERVAL_S = (0.2, 0.9)
 SERVERS = 3
 
 Trouble = t.Callable[["ProcessSoak"], t.Coroutine[t.Any, t.Any, None]]
@@ -43,15 +43,15 @@
     requests: int
     answered: int
     troubles: dict[str, int]
-    broken: list[str]
+    violations: list[str]
 
 
 class ProcessSoak:
     """One soak test, whose troubles and their times are drawn by the seed."""
 
-    def __init__(self, seed: int, nodes: int, callers: int, block: int) -> None:
-        self.drawn = random.Random(seed)
-        self.stage = ProcessStage(nodes, SERVERS, block)
+    def __init__(self, seed: int, nodes: int, callers: int, host_block: int) -> None:
+        self.random = random.Random(seed)
+        self.stage = ProcessStage(nodes, SERVERS, host_block)
         self._seed = seed
         self._count = callers
         self.busy: set[str] = set()
@@ -60,48 +60,48 @@
 
     async def run(self, seconds: float) -> Outcome:
         """Draw troubles for a time, stop everything, and check the guarantees."""
-        await self.stage.rise()
+        await self.stage.start()
         callers = ProcessCallers(self.stage, self._count, self._seed)
         draws = [asyncio.ensure_future(self._draw(seconds))]
         try:
             await draws[0]
         finally:
             await callers.stop()
-            self.late += await self.stage.fall()
-        broken = judge(self.stage, callers.seen)
+            self.late += await self.stage.stop()
+        broken = find_violations(self.stage, callers.records)
         broken += [f"process did not exit within its grace period: {name}" for name in self.late]
         for node in self.stage.nodes:
-            if "event=effect_failed" in node.text or "InvariantBroken" in node.text:
+            if "event=effect_failed" in node.log_text or "InvariantBroken" in node.log_text:
                 broken.append(f"internal error in the log of {node.name}")
         broken += [
             f"two nodes acquired the lease with fence {fence}"
             for fence in _shared_fences(self.stage)
         ]
-        answered = sum(one.status == 200 for one in callers.seen)
-        return Outcome(len(callers.seen), answered, self.troubles, broken)
+        answered = sum(one.status == 200 for one in callers.records)
+        return Outcome(len(callers.records), answered, self.troubles, broken)
 
     async def _draw(self, seconds: float) -> None:
         end = time.monotonic() + seconds
         tasks = []
         names = sorted(TROUBLES)
         while time.monotonic() < end:
-            await asyncio.sleep(self.drawn.uniform(*NEXT_S))
-            name = self.drawn.choice(names)
+            await asyncio.sleep(self.random.uniform(*TROUBLE_INTERVAL_S))
+            name = self.random.choice(names)
             self.troubles[name] = self.troubles.get(name, 0) + 1
             tasks.append(asyncio.ensure_future(TROUBLES[name](self)))
         await asyncio.gather(*tasks)
 
-    def pick(self) -> t.Any:
+    def pick_node(self) -> t.Any:
         """Return a random node that no trouble affects now; None unless at least two are free."""
         free = [one for one in self.stage.nodes if one.name not in self.busy]
-        return self.drawn.choice(free) if len(free) > 1 else None
+        return self.random.choice(free) if len(free) > 1 else None
 
 
 def _shared_fences(stage: ProcessStage) -> list[str]:
     """Return the fences with which, by their logs, more than one node acquired the lease."""
     takers: dict[str, set[str]] = {}
     for node in stage.nodes:
-        for fence in re.findall(r"event=lease_acquired .*epoch=(\d+)", node.text):
+        for fence in re.findall(r"event=lease_acquired .*epoch=(\d+)", node.log_text):
             takers.setdefault(fence, set()).add(node.name)
     return [fence for fence, names in takers.items() if len(names) > 1]
 
@@ -109,12 +109,12 @@
 @trouble("a node is stopped as planned and started again")
 async def stop_node(soak: ProcessSoak) -> None:
     """Stop a node with SIGTERM and restart it; none of its requests may be cut off."""
-    node = soak.pick()
+    node = soak.pick_node()
     if node is None:
         return
     soak.busy.add(node.name)
     node.process.send_signal(signal.SIGTERM)
-    if not await node.wait_gone(GRACE_S + GONE_S):
+    if not await node.wait_exit(GRACE_S + EXIT_SLACK_S):
         soak.late.append(node.name)
     await node.start()
     await node.wait_ready()
@@ -124,13 +124,13 @@
 @trouble("a node is killed and started again")
 async def kill_node(soak: ProcessSoak) -> None:
     """Kill a node and restart it, without the state that it had."""
-    node = soak.pick()
+    node = soak.pick_node()
     if node is None:
         return
     soak.busy.add(node.name)
     node.signal(signal.SIGKILL)
-    await node.wait_gone(GONE_S)
-    await asyncio.sleep(soak.drawn.uniform(0.0, 1.0))
+    await node.wait_exit(EXIT_SLACK_S)
+    await asyncio.sleep(soak.random.uniform(0.0, 1.0))
     await node.start()
     await node.wait_ready()
     soak.busy.discard(node.name)
@@ -139,43 +139,43 @@
 @trouble("a node freezes")
 async def freeze_node(soak: ProcessSoak) -> None:
     """Pause a node with SIGSTOP, in some cases for longer than its lease lasts."""
-    node = soak.pick()
+    node = soak.pick_node()
     if node is None:
         return
     soak.busy.add(node.name)
     node.signal(signal.SIGSTOP)
-    await asyncio.sleep(soak.drawn.choice((0.2, 1.0, 3.5)))
+    await asyncio.sleep(soak.random.choice((0.2, 1.0, 3.5)))
     node.signal(signal.SIGCONT)
     soak.busy.discard(node.name)
 
 
 @trouble("a node is told of changes")
-async def tell_node(soak: ProcessSoak) -> None:
+async def reload_node(soak: ProcessSoak) -> None:
     """Have a node reload its settings, which are unchanged, so that nothing may change."""
-    node = soak.pick()
+    node = soak.pick_node()
     if node is not None:
         node.process.send_signal(signal.SIGHUP)
 
 
 @trouble("the store is away")
-async def lose_store(soak: ProcessSoak) -> None:
+async def interrupt_store(soak: ProcessSoak) -> None:
     """Abort all calls of the store for a while."""
     soak.stage.store.faults.outage = True
-    await asyncio.sleep(soak.drawn.uniform(0.3, 3.0))
+    await asyncio.sleep(soak.random.uniform(0.3, 3.0))
     soak.stage.store.faults.outage = False
 
 
 @trouble("the store comes back from an older copy")
-async def return_store(soak: ProcessSoak) -> None:
+async def restore_store(soak: ProcessSoak) -> None:
     """Restore the store after an outage; lost objects are rewritten within a second."""
     copy = soak.stage.store.store.copy()
-    await asyncio.sleep(soak.drawn.uniform(0.5, 6.0))
+    await asyncio.sleep(soak.random.uniform(0.5, 6.0))
     soak.stage.store.faults.outage = True
-    await asyncio.sleep(soak.drawn.choice((0.0, 0.5, 2.0)))
-    await soak.stage.store.come_back(copy)
+    await asyncio.sleep(soak.random.choice((0.0, 0.5, 2.0)))
+    await soak.stage.store.restore(copy)
     soak.stage.store.faults.outage = False
-    await asyncio.sleep(soak.drawn.uniform(0.1, 1.0))
-    await soak.stage.write_again()
+    await asyncio.sleep(soak.random.uniform(0.1, 1.0))
+    await soak.stage.rewrite_objects()
 
 
 @trouble("the configuration changes")
@@ -187,13 +187,13 @@
 @trouble("an endpoint leaves, as its answers alone tell")
 async def leave(soak: ProcessSoak) -> None:
     """Start a replacement, then have an endpoint leave: it serves for some seconds and ends."""
-    candidates = [one for one in soak.stage.servers if not one.ended and not one.says]
+    candidates = [one for one in soak.stage.servers if not one.ended and not one.extra_header_lines]
     if len(candidates) < 2:
         return
-    server = soak.drawn.choice(candidates)
+    server = soak.random.choice(candidates)
     await soak.stage.add_server()
-    server.says.append("Server-Leaving: 1")
-    await asyncio.sleep(soak.drawn.uniform(3.0, 5.0))
+    server.extra_header_lines.append("Server-Leaving: 1")
+    await asyncio.sleep(soak.random.uniform(3.0, 5.0))
     await soak.stage.remove_server(server)
 
 
@@ -201,17 +201,17 @@
 async def shed(soak: ProcessSoak) -> None:
     """Have an endpoint refuse all requests for a while."""
     candidates = [one for one in soak.stage.servers if not one.ended]
-    server = soak.drawn.choice(candidates)
-    server.rest_s = soak.drawn.choice((0.8, 1.5, 3.0))
-    server.sheds_until = time.monotonic() + soak.drawn.uniform(0.3, 3.0)
+    server = soak.random.choice(candidates)
+    server.backoff_s = soak.random.choice((0.8, 1.5, 3.0))
+    server.shed_until = time.monotonic() + soak.random.uniform(0.3, 3.0)
 
 
 @trouble("an endpoint names the requests a second that it takes")
 async def name_rate(soak: ProcessSoak) -> None:
     """Have an endpoint state a rate, as a rule long enough to check a window of four seconds."""
-    candidates = [one for one in soak.stage.servers if not one.ended and not one.says]
+    candidates = [one for one in soak.stage.servers if not one.ended and not one.extra_header_lines]
     if not candidates:
         return
-    end = soak.drawn.choice(candidates).name_rate(soak.drawn.choice((0.5, 2.0, 5.0)))
-    await asyncio.sleep(soak.drawn.uniform(5.0, 9.0))
+    end = soak.random.choice(candidates).state_rate(soak.random.choice((0.5, 2.0, 5.0)))
+    await asyncio.sleep(soak.random.uniform(5.0, 9.0))
     end()
--- a/packages/rookspring-fakes/src/rookspring_fakes/processes.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/processes.py
@@ -13,17 +13,17 @@
 import tempfile
 import time
 import typing as t
+
 from .model_server import ModelServer
 from .object_platform import ObjectPlatform
 from .serving import Served
 from .serving import serve
 
-
 SERVICE = "svc"
 # The grace period of a node after SIGTERM, and the time after it until the process must have
 # exited, in seconds.
 GRACE_S = 4.0
-GONE_S = 1.5
+EXIT_SLACK_S = 1.5
 # The time within which a node must become ready, in seconds.
 READY_S = 15.0
 ROUTES = {
@@ -72,11 +72,11 @@
         self._store = store
         self.process: asyncio.subprocess.Process | None = None
         # Its log, once the stage has stopped.
-        self.text = ""
+        self.log_text = ""
         self.stopping = False
         # When it was started or sent a signal. Checks pass over requests around these times, since
         # the node may have lost what it had learnt.
-        self.excused: list[float] = []
+        self.disturbed_at: list[float] = []
 
     @property
     def address(self) -> tuple[str, int]:
@@ -115,13 +115,13 @@
                 stderr=log,
             )
         self.stopping = False
-        self.excused.append(time.monotonic())
+        self.disturbed_at.append(time.monotonic())
 
     def signal(self, number: signal.Signals) -> None:
         """Send its process a signal if it is running, and record when."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
-            self.excused.append(time.monotonic())
+            self.disturbed_at.append(time.monotonic())
 
     async def wait_ready(self) -> None:
         """Wait until its readiness check succeeds.
@@ -132,7 +132,7 @@
             while not await _is_ready(self.host, self.ports["ready"]):
                 await asyncio.sleep(0.05)
 
-    async def wait_gone(self, within_s: float) -> bool:
+    async def wait_exit(self, within_s: float) -> bool:
         """Wait until its process exits, and kill it after a timeout.
 
         :param within_s: the timeout, in seconds.
@@ -148,9 +148,9 @@
             return False
         return True
 
-    def keep_log(self) -> None:
+    def read_log(self) -> None:
         """Read its log into memory before the folder is deleted."""
-        self.text = self._log.read_text(errors="replace")
+        self.log_text = self._log.read_text(errors="replace")
 
 
 class ProcessStage:
@@ -161,9 +161,9 @@
     :param host_block: selects the loopback addresses, so that stages on one box don't share any.
     """
 
-    def __init__(self, nodes: int, servers: int, block: int) -> None:
+    def __init__(self, nodes: int, servers: int, host_block: int) -> None:
         self._folder = tempfile.TemporaryDirectory()
-        self._block = block
+        self._block = host_block
         self._sizes = (nodes, servers)
         self.store = ObjectPlatform()
         self._served: Served | None = None
@@ -174,7 +174,7 @@
         # The entries that endpoints rewrite after a restore of the store.
         self._entries: dict[str, dict[str, t.Any]] = {}
 
-    async def rise(self) -> "ProcessStage":
+    async def start(self) -> "ProcessStage":
         """Start the store, the endpoints and the nodes, and wait until all nodes are ready."""
         self._served = await serve(self.store.app())
         await self.write_version()
@@ -215,7 +215,7 @@
             await self.store.remove("servers", server.name)
         server.end()
 
-    async def write_again(self) -> None:
+    async def rewrite_objects(self) -> None:
         """Rewrite what a restored store lacks, and delete entries of ended endpoints."""
         objects = self.store.store.objects
         for name, entry in list(self._entries.items()):
@@ -226,7 +226,7 @@
                 await self.store.remove("servers", name)
         await self.store.write("config", "main", write_table(self.version))
 
-    async def fall(self) -> list[str]:
+    async def stop(self) -> list[str]:
         """Stop everything, nodes with SIGTERM.
 
         :return: the nodes that did not exit within their grace period.
@@ -236,14 +236,14 @@
             node.signal(signal.SIGCONT)
             node.signal(signal.SIGTERM)
         for node in self.nodes:
-            if not await node.wait_gone(GRACE_S + GONE_S):
+            if not await node.wait_exit(GRACE_S + EXIT_SLACK_S):
                 late.append(node.name)
         for server in self.servers:
             await server.close()
         if self._served is not None:
             await self._served.close()
         for node in self.nodes:
-            node.keep_log()
+            node.read_log()
         self._folder.cleanup()
         return late
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/store.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/store.py
@@ -35,7 +35,7 @@
     value: bytes | None
 
 
-class StoreCopy(t.NamedTuple):
+class StoreBackup(t.NamedTuple):
     """A backup of a store.
 
     :param compacted: the version up to which the history had been discarded.
@@ -44,7 +44,7 @@
     version: int
     objects: dict[tuple[str, str], Stored]
     history: list[Change]
-    forgotten: int
+    compacted: int
 
 
 class BoxRow(t.TypedDict):
@@ -69,7 +69,7 @@
         self.calls: dict[str, int] = {}
         # How often it was restored from a backup.
         self.era = 0
-        self._forgotten = 0
+        self._compacted = 0
 
     def count(self, call: str) -> None:
         """Count a call; a watch counts once, however long it waits."""
@@ -130,25 +130,25 @@
 
         :raises StoreError: 410 if the history from there is discarded, or not reached yet.
         """
-        if since < self._forgotten or since > self.version:
+        if since < self._compacted or since > self.version:
             raise StoreError(410, f"version {since} is not kept; list again")
         return [one for one in self.history if one.kind == kind and one.version > since]
 
-    def copy(self) -> StoreCopy:
+    def copy(self) -> StoreBackup:
         """Return a backup of the objects and the history."""
-        return StoreCopy(self.version, dict(self.objects), list(self.history), self._forgotten)
+        return StoreBackup(self.version, dict(self.objects), list(self.history), self._compacted)
 
-    def come_back(self, copy: StoreCopy) -> None:
+    def restore(self, copy: StoreBackup) -> None:
         """Restore a backup: later writes are lost, and the version counter goes back."""
         self.version = copy.version
         self.objects = dict(copy.objects)
         self.history = list(copy.history)
-        self._forgotten = copy.forgotten
+        self._compacted = copy.compacted
         self.era += 1
 
     def _append_history(self, change: Change) -> None:
         self.history.append(change)
         if len(self.history) > HISTORY_MAX:
             half = HISTORY_MAX // 2
-            self._forgotten = self.history[half - 1].version
+            self._compacted = self.history[half - 1].version
             del self.history[:half]
