--- a/features/faults.feature
+++ b/features/faults.feature
@@ -1,13 +1,13 @@
-Feature: Promises hold through every fault, alone and together
+Feature: Guarantees hold under every fault, alone and combined
 
-  Real reducers of several nodes run against the stand-ins' models under a
-  virtual clock. Every row runs with steady traffic and unrepeatable calls; the
-  promises are those asserted in the program and those counted end to end.
+  The reducers of several nodes run against simulated endpoints under a virtual
+  clock. Each row runs with steady traffic and unrepeatable calls, and checks the
+  invariants that the program asserts and the end-to-end guarantees.
 
   Scenario Outline: <fault> for <user>
     Given a world of <user> with 3 nodes and seed <seed>
     When traffic runs while <fault>
-    Then every promise held
+    Then every guarantee held
     And at least <least> in 100 requests were served in time
     And every declared model is reachable at the end
 
@@ -37,14 +37,14 @@
       | kiosk    | 22   | a service breaks answers, a node is drained            | 75    |
       | kiosk    | 23   | a runner dies and comes back, the platform is down     | 80    |
 
-  Scenario Outline: a holder that starts empty waits for reports before it judges room
+  Scenario Outline: a new lease holder waits for reports before it checks memory
     Given a world of <user> with 3 nodes and seed <seed>
-    Then no model was ever refused for room
+    Then no model was ever refused for lack of memory
 
     Examples:
       | user     | seed |
       | fjordlap | 1    |
       | kiosk    | 1    |
 
-  Scenario: random faults, together and again
-    Then random runs of faults break no promise
+  Scenario: random combinations of faults
+    Then random runs of faults violate no guarantee
--- a/features/run.py
+++ b/features/run.py
@@ -1,9 +1,9 @@
-"""Runs behave, features side by side, and prints its own counts as the verdict's line.
+"""Runs behave, with several features in parallel, and prints how many scenarios passed and failed.
 
-Scenarios that ``KNOWN-RED.txt`` lists are passed over while they fail: they are printed and
-count as nothing. One that is listed and passes, or is not there, is a failure, so that no line
-outlives its fault. A line that begins with ``run:`` names a day that only a hunt can play;
-it is printed.
+Scenarios that ``KNOWN-RED.txt`` lists are expected to fail: while they do, they are printed and
+counted neither as passed nor as failed. A listed scenario that passes, or does not exist, counts
+as failed, so that its line is removed once the fault is mended. A line that begins with ``run:``
+names a simulated day, which the features don't run; it is only printed.
 """
 
 import concurrent.futures
@@ -14,18 +14,18 @@
 import sys
 import tempfile
 import typing as t
-
 from behave.__main__ import main as behave
 
+
 KNOWN = pathlib.Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 DAY = "run:"
-# A line's parts, and how many lines there may be.
+# The number of fields of a line, and the highest number of lines.
 KNOWN_PARTS = 4
 KNOWN_MOST = 8
-# Features that run at once, each in a process of its own: one after another they took 8.5
-# minutes on 8 cores.
+# Features that run in parallel, each in its own process. Run one after another, all features took
+# 8.5 minutes on 8 cores.
 AT_ONCE = 4
-# Seconds of those that take longest, which begin first.
+# Approximate durations of the slowest features, in seconds; the slowest are started first.
 SLOW = {
     "organisations": 240,
     "rate_limits": 200,
@@ -36,19 +36,19 @@
     "store_copies": 110,
     "relay_sockets": 40,
 }
-# Has a process write its report to the file that follows.
+# Flag of a subprocess: it is followed by the path to write the report to.
 REPORT = "--report"
 
 
 class Ran(t.NamedTuple):
-    """What a run of features gave: behave's exit code and report."""
+    """The result of a run of features: behave's exit code and report."""
 
     code: int
     report: list[t.Any]
 
 
 class Verdict(t.NamedTuple):
-    """How many scenarios passed and failed, and how many lines of the known ones did fail."""
+    """The number of scenarios that passed and failed, and of listed scenarios that did fail."""
 
     passed: int
     failed: int
@@ -56,9 +56,12 @@
 
 
 def read_known(text: str) -> dict[str, str]:
-    """Read the scenarios known to fail, each with its line; ``#`` begins a comment.
+    """Parse the list of scenarios that are known to fail into lines by scenario title.
+
+    Lines that begin with ``#`` are comments.
 
-    :raises ValueError: for a line that is not ``SCENARIO; cause; command; issue``.
+    :raises ValueError: if a line is not ``SCENARIO; cause; command; issue``, or if there are more
+        than ``KNOWN_LINES_MAX`` lines.
     """
     known = {}
     for line in text.splitlines():
@@ -74,64 +77,64 @@
 
 
 def count(report: str, known: dict[str, str], whole: bool) -> Verdict:
-    """Count scenarios by behave's report; whatever did not pass has failed.
+    """Count the scenarios in behave's report; one that did not pass counts as failed.
 
-    :param whole: all features were run, so that each listed scenario ought to be there.
+    :param whole: whether all features were run, so that each listed scenario must be present.
     """
     passed = 0
     failed = 0
-    red: dict[str, bool] = {}
+    still_failing: dict[str, bool] = {}
     for feature in json.loads(report):
         if feature["status"] not in ("passed", "failed", "skipped"):
-            # It could not be run whole, whatever its scenarios say.
+            # The feature had an error outside its scenarios, so it counts as failed.
             failed += 1
         for element in feature.get("elements", []):
             if element["type"] != "scenario":
                 continue
             name = element["name"].partition(" -- @")[0]
-            good = element["status"] == "passed"
+            has_passed = element["status"] == "passed"
             if name in known:
-                # Of an outline one row that fails is enough.
-                red[name] = red.get(name, False) or not good
-            elif good:
+                # A listed scenario outline counts as failing if at least one of its rows fails.
+                still_failing[name] = still_failing.get(name, False) or not has_passed
+            elif has_passed:
                 passed += 1
             else:
                 failed += 1
     for name, line in known.items():
-        if name.startswith(DAY) or red.get(name, False):
+        if name.startswith(DAY) or still_failing.get(name, False):
             print(f"known red: {line}")
-        elif name in red or whole:
+        elif name in still_failing or whole:
             failed += 1
             print(f"listed in KNOWN-RED.txt, but does not fail: {name}")
-    return Verdict(passed, failed, sum(red.values()))
+    return Verdict(passed, failed, sum(still_failing.values()))
 
 
 def run_behave(arguments: list[str]) -> Ran:
     """Run features in this process."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "report.json"
-        wanted = ["--format", "json", "--outfile", str(path), "--format", "progress"]
-        wanted += ["--no-skipped", "--logging-level", "ERROR", *arguments]
-        code = behave(wanted)
+        options = ["--format", "json", "--outfile", str(path), "--format", "progress"]
+        options += ["--no-skipped", "--logging-level", "ERROR", *arguments]
+        code = behave(options)
         text = path.read_text() if path.exists() else ""
     return Ran(code, json.loads(text or "[]"))
 
 
 def run_apart(feature: pathlib.Path) -> Ran:
-    """Run one feature in a process of its own; what it prints is printed once it is over."""
+    """Run one feature in a subprocess, and print its output once it has ended."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "report.json"
         command = [sys.executable, __file__, REPORT, str(path), str(feature)]
         done = subprocess.run(command, capture_output=True, text=True, check=False)
         text = path.read_text() if path.exists() else ""
     sys.stdout.write(done.stdout + done.stderr)
-    # One that left no report has failed, whatever its code.
+    # Without a report the feature counts as failed, whatever the exit code.
     report = json.loads(text) if text else [{"status": "error"}]
     return Ran(done.returncode, report)
 
 
 def run_all(folder: pathlib.Path) -> Ran:
-    """Run all features, some side by side: each has its own process, ports and clock."""
+    """Run all features, ``FEATURES_MAX`` in parallel, each in its own process."""
     features = sorted(folder.glob("*.feature"), key=lambda one: (-SLOW.get(one.stem, 0), one.name))
     with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
         runs = list(pool.map(run_apart, features))
@@ -139,7 +142,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run all features, or those that the arguments name."""
+    """Run all features, or behave with the given arguments, and return the exit code."""
     if arguments and arguments[0] == REPORT:
         ran = run_behave(arguments[2:])
         pathlib.Path(arguments[1]).write_text(json.dumps(ran.report))
@@ -151,8 +154,8 @@
     else:
         ran = run_behave([*arguments, "features"])
     known = read_known(KNOWN.read_text()) if KNOWN.exists() else {}
-    passed, failed, red = count(json.dumps(ran.report), known, whole=not arguments)
-    if passed == 0 or (ran.code != 0 and failed + red == 0):
+    passed, failed, known_failures = count(json.dumps(ran.report), known, whole=not arguments)
+    if passed == 0 or (ran.code != 0 and failed + known_failures == 0):
         failed += 1
     print(f"{passed} passed, {failed} failed")
     return int(failed > 0)
--- a/features/steps/world_steps.py
+++ b/features/steps/world_steps.py
@@ -1,6 +1,5 @@
 import os
 import random
-
 from behave import given
 from behave import then
 from behave import when
@@ -8,15 +7,16 @@
 from hypothesis import given as given_drawn
 from hypothesis import settings
 from hypothesis import strategies
-
-from rookspring_fakes.disturbances import DISTURBANCES
 from rookspring_fakes.disturbances import Calls
+from rookspring_fakes.disturbances import DISTURBANCES
 from rookspring_fakes.disturbances import steady
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
 
 
-def build(user, seed):
+
+
+def make_world(user, seed):
     world = World(USERS[user], seed=seed, checks=lambda number: number % 3 != 2)
     world.declare()
     world.settle(120.0)
@@ -24,8 +24,8 @@
 
 
 @given("a world of {user} with {nodes:d} nodes and seed {seed:d}")
-def a_world(context, user, nodes, seed):
-    context.world = build(user, seed)
+def build_world(context, user, nodes, seed):
+    context.world = make_world(user, seed)
     assert context.world.resident_everywhere()
 
 
@@ -33,9 +33,9 @@
     start = world.clock.now
     calls = Calls(world, seed, start + seconds)
     steady(world, seed, start + seconds, load=0.3)
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for name in names:
-        world.clock.call(5.0 + 10.0 * chance.random(), DISTURBANCES[name], world, chance)
+        world.clock.call(5.0 + 10.0 * rng.random(), DISTURBANCES[name], world, rng)
     world.clock.run(start + seconds + 60.0)
     return calls
 
@@ -45,8 +45,8 @@
     context.calls = run_faults(context.world, faults.split(", "), 5)
 
 
-@then("every promise held")
-def promises_held(context):
+@then("every guarantee held")
+def guarantees_held(context):
     assert not context.world.check(), context.world.check()[:5]
 
 
@@ -61,12 +61,12 @@
         and world.told[one.request_id].at <= one.deadline_at
     ]
     share = 100.0 * len(met) / len(world.asked)
-    ends = {}
+    outcomes = {}
     for told in world.told.values():
-        ends[told.outcome, told.reason] = ends.get((told.outcome, told.reason), 0) + 1
-    open_ones = set(world.asked) - set(world.told)
-    assert not open_ones, f"{len(open_ones)} requests were never answered"
-    assert share >= least, f"{share:.1f}: {ends}"
+        outcomes[told.outcome, told.reason] = outcomes.get((told.outcome, told.reason), 0) + 1
+    unanswered = set(world.asked) - set(world.told)
+    assert not unanswered, f"{len(unanswered)} requests were never answered"
+    assert share >= least, f"{share:.1f}: {outcomes}"
 
 
 @then("every declared model is reachable at the end")
@@ -75,14 +75,14 @@
     assert context.world.resident_everywhere()
 
 
-@then("no model was ever refused for room")
+@then("no model was ever refused for lack of memory")
 def never_refused(context):
     for _, entries in context.world.published.values():
         refused = [entry.reason for entry in entries.values() if entry.reason]
         assert not refused, refused[0]
 
 
-@then("random runs of faults break no promise")
+@then("random runs of faults violate no guarantee")
 def random_runs(context):
     runs = int(os.environ.get("ROOKSPRING_RANDOM_RUNS", "12"))
 
@@ -101,7 +101,7 @@
         ),
     )
     def run(seed, user, faults):
-        world = build(user, seed)
+        world = make_world(user, seed)
         run_faults(world, faults, seed, 30.0)
         assert not world.check(), world.check()[:3]
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/__init__.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform, runners, plain services and callers, with fault switches."""
+"""Test doubles of the platform, runners, plain services and callers, with fault injection."""
 
 from .caller import Caller as Caller
 from .engine import Engine as Engine
--- a/packages/rookspring-fakes/src/rookspring_fakes/caller.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/caller.py
@@ -1,18 +1,24 @@
-"""A caller: looks addresses up, keeps them for their life, and comes back when cut."""
+"""A caller that looks up entry addresses, caches them until they expire, and resumes streams."""
 
+import aiohttp
 import asyncio
+import orjson
 import random
 import time
 import typing as t
+from .engine import token_text
 
-import aiohttp
-import orjson
 
-from .engine import token_text
 
 
 class Answer(t.NamedTuple):
-    """How a request ended for its caller."""
+    """The end of a request as its caller sees it.
+
+    :param resumed: how often the stream was resumed after its connection broke.
+    :param first_token_s: time to the first token, in seconds.
+    :param cut: whether the stream ended before it was complete.
+    :param reason: the error code, or why the caller stopped.
+    """
 
     outcome: str
     status: int
@@ -26,40 +32,40 @@
 
 
 class Caller:
-    """One team's client.
+    """A client of one team.
 
-    :param seeds: addresses to ask first.
+    :param seeds: addresses used for look-ups in addition to the last known ones.
     """
 
     def __init__(self, seeds: t.Sequence[str], key: str = "demo", seed: int = 0) -> None:
         self._seeds = list(seeds)
         self._key = key
         self._random = random.Random(seed)
-        self._known: list[str] = []
-        self._until = 0.0
+        self._addresses: list[str] = []
+        self._expires_at = 0.0
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
             headers={"Authorization": f"Bearer {key}"},
         )
 
     async def close(self) -> None:
-        """Let connections go."""
+        """Close all connections."""
         await self.session.close()
 
     def forget(self) -> None:
-        """Ask for addresses again before the next use."""
-        self._until = 0.0
+        """Look addresses up again before the next use."""
+        self._expires_at = 0.0
 
     async def address(self) -> str:
-        """Give an entry address, asking again when the answer's life is over."""
-        if time.monotonic() >= self._until or not self._known:
+        """Return a random entry address; looks addresses up when the last ones have expired."""
+        if time.monotonic() >= self._expires_at or not self._addresses:
             await self._look_up()
-        return self._random.choice(self._known or self._seeds)
+        return self._random.choice(self._addresses or self._seeds)
 
     async def _look_up(self) -> None:
-        ask = [*self._known, *self._seeds]
-        self._random.shuffle(ask)
-        for address in ask:
+        candidates = [*self._addresses, *self._seeds]
+        self._random.shuffle(candidates)
+        for address in candidates:
             try:
                 async with self.session.get(
                     f"http://{address}/v1/addresses", timeout=aiohttp.ClientTimeout(total=1.0)
@@ -69,8 +75,8 @@
                 continue
             found = [row["address"] for row in raw["addresses"]]
             if found:
-                self._known = found
-                self._until = time.monotonic() + float(raw["ttl_s"])
+                self._addresses = found
+                self._expires_at = time.monotonic() + float(raw["ttl_s"])
                 return
 
     async def stream(
@@ -82,9 +88,9 @@
         tries: int = 40,
         gaps: list[float] | None = None,
     ) -> Answer:
-        """Stream a completion, resuming it at another address when it is cut.
+        """Stream a completion, resuming it at any address when the connection breaks.
 
-        :param gaps: gets the seconds from each cut to the next token.
+        :param gaps: list to which the time from each break to the next token is added, in seconds.
         """
         body = {
             "model": model,
@@ -117,7 +123,7 @@
         state: "_StreamState",
         begun: float,
     ) -> Answer | None:
-        """Read one connection; None when it broke and may be tried again."""
+        """Read one connection to its end; None if it broke, so that the caller may retry."""
         try:
             async with self.session.post(
                 f"http://{address}/v1/chat/completions",
@@ -126,9 +132,9 @@
                 timeout=aiohttp.ClientTimeout(total=None, connect=1.0, sock_read=20.0),
             ) as response:
                 if response.status != 200:
-                    return state.refused(response.status, await response.read(), begun)
+                    return state.error_answer(response.status, await response.read(), begun)
                 async for raw in response.content:
-                    done = state.take(raw.rstrip(b"\n"), begun)
+                    done = state.read_line(raw.rstrip(b"\n"), begun)
                     if done is not None:
                         return done
         except (aiohttp.ClientError, TimeoutError, OSError):
@@ -136,7 +142,7 @@
         return None
 
     async def open_session(self) -> str | None:
-        """Open a session; None when no node gives one now."""
+        """Open a session; None if eight attempts failed."""
         for _ in range(8):
             address = await self.address()
             try:
@@ -184,7 +190,7 @@
     async def call_surely(
         self, service: str, path: str, body: dict[str, t.Any], key: str, tries: int = 6
     ) -> str:
-        """Call with a key until the outcome is told, retrying the same key."""
+        """Call with an idempotency key and retry with the same key until the outcome is known."""
         outcome = "broken"
         for _ in range(tries):
             outcome, status = await self.call(service, path, body, key)
@@ -197,7 +203,7 @@
 
 
 class _StreamState:
-    """What a caller has of one stream, over all its connections."""
+    """The part of a stream that a caller has received, over all its connections."""
 
     def __init__(self, gaps: list[float] | None = None) -> None:
         self.gaps = gaps
@@ -206,17 +212,17 @@
         self.event_id = ""
         self.tokens = 0
         self.resumed = 0
-        self.first_s = 0.0
+        self.first_token_s = 0.0
         self.error: dict[str, t.Any] | None = None
         self._in_error = False
         self._id = ""
 
     def text(self) -> str:
-        """Give the text so far."""
+        """Return the text received so far."""
         return "".join(self.parts)
 
-    def take(self, line: bytes, begun: float) -> Answer | None:
-        """Take one line of an event stream."""
+    def read_line(self, line: bytes, begun: float) -> Answer | None:
+        """Process a line of an event stream; returns an answer if the stream has ended."""
         if line.startswith(b"id: "):
             self._id = line[4:].decode()
         elif line.startswith(b"event: error"):
@@ -229,14 +235,14 @@
                 return self.answer(
                     str(raw.get("outcome")), 200, begun, cut=True, reason=str(raw["error"]["code"])
                 )
-            self._take_event(raw, begun)
+            self._read_event(raw, begun)
         return None
 
-    def _take_event(self, raw: dict[str, t.Any], begun: float) -> None:
+    def _read_event(self, raw: dict[str, t.Any], begun: float) -> None:
         content = raw["choices"][0]["delta"].get("content")
         if content:
             if not self.parts:
-                self.first_s = time.monotonic() - begun
+                self.first_token_s = time.monotonic() - begun
             if self.cut_at and self.gaps is not None:
                 self.gaps.append(time.monotonic() - self.cut_at)
             self.cut_at = 0.0
@@ -246,8 +252,8 @@
         if usage:
             self.tokens = int(usage["completion_tokens"])
 
-    def refused(self, status: int, raw: bytes, begun: float) -> Answer:
-        """Turn an error into how it ended."""
+    def error_answer(self, status: int, raw: bytes, begun: float) -> Answer:
+        """Convert an error response into an answer."""
         answer = orjson.loads(raw)
         outcome = str(answer.get("outcome", "unknown"))
         code = str(answer.get("error", {}).get("code", ""))
@@ -256,14 +262,14 @@
     def answer(
         self, outcome: str, status: int, begun: float, cut: bool = False, reason: str = ""
     ) -> Answer:
-        """Build the end."""
+        """Build the answer from what was received."""
         return Answer(
             outcome,
             status,
             self.text(),
             self.tokens,
             self.resumed,
-            self.first_s,
+            self.first_token_s,
             time.monotonic() - begun,
             cut,
             reason,
@@ -271,6 +277,6 @@
 
 
 def expected_text(model: str, prompt: str, total: int) -> str:
-    """Give the text that a whole answer has, for a prompt sent as one user message."""
+    """Return the complete text of the answer to a prompt sent as one user message."""
     whole = f"user: {prompt}"
     return "".join(token_text(model, whole, index) for index in range(total))
--- a/packages/rookspring-fakes/src/rookspring_fakes/carrying.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/carrying.py
@@ -1,8 +1,8 @@
-"""Registry of how the world carries out effects, and the objects' encoding."""
+"""Registry of the functions that perform effects in the simulation, and encoding of objects."""
 
+import orjson
 import typing as t
 
-import orjson
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -15,7 +15,7 @@
 
 
 def performs(effect_type: type[t.Any]) -> t.Callable[[F], F]:
-    """Register how the world carries out an effect type."""
+    """Register the function that performs effects of a type."""
 
     def register(function: F) -> F:
         PERFORMERS[effect_type] = function
@@ -25,17 +25,17 @@
 
 
 def perform(world: "World", node: "VirtualNode", effect: t.Any) -> None:
-    """Carry out an effect; those without a performer have none to show here."""
+    """Perform an effect; one without a registered function has no effect in the simulation."""
     performer = PERFORMERS.get(type(effect))
     if performer is not None:
         performer(world, node, effect)
 
 
 def pack(value: t.Any) -> bytes:
-    """Turn a value into the bytes of an object."""
+    """Encode a value as the bytes of an object."""
     return orjson.dumps(value)
 
 
 def unpack(raw: bytes) -> t.Any:
-    """Turn an object's bytes back."""
+    """Decode the bytes of an object."""
     return orjson.loads(raw)
--- a/packages/rookspring-fakes/src/rookspring_fakes/engine.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/engine.py
@@ -1,26 +1,26 @@
 """Model of a runner: continuous batching, memory, loads, streams and orders.
 
-Pure state that is moved on by :meth:`Engine.advance`; ``runner.py`` puts it on
-HTTP and the virtual clock drives it directly. All running streams share the
-token rate evenly, so progress is one number that grows at the common rate and a
-stream ends when that number reaches the stream's own mark.
+The model does no I/O: :meth:`Engine.advance` moves it to a point in time. ``runner.py`` serves it
+over HTTP; in the simulation the virtual clock drives it directly. All running streams share the
+token rate evenly, so one counter of tokens per stream, ``progress``, stands for all of them: a
+stream ends when the counter reaches the stream's ``end_progress``.
 """
 
 import heapq
 import typing as t
 import zlib
-
 from .faults import Faults
 
+
 Weights = tuple[str, str]
 
 
 class NotRun(Exception):
-    """The engine says in its protocol that it did not run a request."""
+    """The engine refused a request without running any of it."""
 
 
 class Order(t.NamedTuple):
-    """An order to an endpoint; ``token`` is (epoch, sequence)."""
+    """An order to an endpoint; ``token`` is its fencing token, (epoch, sequence)."""
 
     token: tuple[int, int]
     action: str
@@ -30,7 +30,11 @@
 
 
 class Generation(t.NamedTuple):
-    """A request to generate, from ``offset`` on after a prefix given by the caller."""
+    """A request for the tokens from ``offset`` up to ``total``.
+
+    :param rank: priority in the engine's queue; a higher rank runs first.
+    :param prefill: number of prompt tokens to process before the first token.
+    """
 
     stream_id: str
     model: str
@@ -43,7 +47,7 @@
 
 
 class Stream:
-    """One stream of an engine."""
+    """The state of one stream of an engine."""
 
     __slots__ = ("asked", "cancelled", "end_mark", "ended_at", "reader", "start_mark", "started")
 
@@ -54,17 +58,18 @@
         self.ended_at: float | None = None
         self.start_mark = 0.0
         self.end_mark = 0.0
+        # The number of times the stream was resumed, which identifies its latest connection.
         self.reader = 0
 
 
 def token_text(model: str, prompt: str, index: int) -> str:
-    """Give one token; it tells its prompt, so that a foreign one is noticed."""
-    mark = zlib.crc32(f"{model}\x00{prompt}".encode())
-    return f"{mark:08x}.{index} "
+    """Return one token; it holds a hash of the prompt, so that tests detect another's tokens."""
+    digest = zlib.crc32(f"{model}\x00{prompt}".encode())
+    return f"{digest:08x}.{index} "
 
 
 class WeightStore:
-    """The rate-limited store that all runners load from."""
+    """The store that all runners load weights from, which slows down under concurrent loads."""
 
     def __init__(self, loads_at_once: int = 10, gb_per_s: float = 6.0) -> None:
         self.loads_at_once = loads_at_once
@@ -73,19 +78,29 @@
         self.loads = 0
 
     def begin(self, gb: float) -> float:
-        """Start a load and give its length in seconds; too many at once are slower."""
+        """Start a load and return its duration in seconds.
+
+        Beyond ``loads_at_once`` loads, the duration grows in proportion to their number.
+        """
         self.running += 1
         self.loads += 1
-        crowd = max(1.0, self.running / self.loads_at_once)
-        return max(0.5, gb / self.gb_per_s) * crowd
+        slowdown = max(1.0, self.running / self.loads_at_once)
+        return max(0.5, gb / self.gb_per_s) * slowdown
 
     def end(self) -> None:
-        """A load is over."""
+        """Record that a load has ended."""
         self.running -= 1
 
 
 class Engine:
-    """One runner's state."""
+    """The state of one runner.
+
+    :param store: the store that weights are loaded from.
+    :param slots: the highest number of streams that run at once.
+    :param token_rate: tokens per second of all streams together.
+    :param stream_rate: the highest number of tokens per second of one stream.
+    :param checks_orders: whether outdated orders are rejected by their fencing token.
+    """
 
     def __init__(
         self,
@@ -130,13 +145,13 @@
         self._reports: list[tuple[float, dict[str, t.Any]]] = []
 
     def rate(self) -> float:
-        """Give the tokens a second of each running stream."""
+        """Return the tokens per second of each running stream."""
         if not self.running:
             return 0.0
         return min(self.stream_rate, self.token_rate / len(self.running))
 
     def next_change(self) -> float:
-        """Give when the next stream ends or load is done, if nothing else happens."""
+        """Return when the next stream or load ends, if nothing else happens before."""
         times = [done for done, _ in self.loading.values()]
         self._drop_ended()
         if self._ends:
@@ -148,28 +163,28 @@
             heapq.heappop(self._ends)
 
     def advance(self, now: float) -> None:
-        """Move time on."""
+        """Advance to a point in time, with all ends of streams and loads that are due up to it."""
         while True:
             due = self.next_change()
             if due > now:
                 break
-            self._step(due)
-            self._settle()
-        self._step(now)
-        self._settle()
+            self._advance_progress(due)
+            self._complete_due()
+        self._advance_progress(now)
+        self._complete_due()
 
     def take_ended(self) -> list[str]:
-        """Name the streams that ended since this was last asked."""
+        """Return the ids of the streams that ended since the last call."""
         ended, self._ended = self._ended, []
         return ended
 
-    def _step(self, now: float) -> None:
+    def _advance_progress(self, now: float) -> None:
         passed = max(0.0, now - self.now)
         self.served_tokens += passed * self.rate() * len(self.running)
         self.mark += passed * self.rate()
         self.now = max(self.now, now)
 
-    def _settle(self) -> None:
+    def _complete_due(self) -> None:
         for key, (done, gb) in list(self.loading.items()):
             if done <= self.now + 1e-9:
                 del self.loading[key]
@@ -183,9 +198,9 @@
                 self.streams[name].ended_at = self.now
                 self._ended.append(name)
             self._drop_ended()
-        self._fill()
+        self._start_queued()
 
-    def _fill(self) -> None:
+    def _start_queued(self) -> None:
         while self._queue and len(self.running) < self.slots:
             _, _, name = heapq.heappop(self._queue)
             stream = self.streams[name]
@@ -198,13 +213,13 @@
             heapq.heappush(self._ends, (stream.end_mark, name))
 
     def hosts(self, model: str) -> bool:
-        """Say whether some version of a model is resident."""
+        """Return whether any version of a model is resident."""
         return any(key[0] == model for key in self.resident)
 
     def submit(self, now: float, asked: Generation) -> Stream:
-        """Take a request.
+        """Queue a request.
 
-        :raises NotRun: when the engine will not run it.
+        :raises NotRun: if the engine refuses it.
         """
         self.advance(now)
         if self.leaving:
@@ -223,11 +238,11 @@
         stream = Stream(asked)
         self.streams[asked.stream_id] = stream
         heapq.heappush(self._queue, (-asked.rank, now, asked.stream_id))
-        self._fill()
+        self._start_queued()
         return stream
 
     def produced(self, stream: Stream) -> int:
-        """Give the offset up to which a stream's tokens exist."""
+        """Return the offset up to which a stream's tokens have been generated."""
         if not stream.started:
             return stream.asked.offset
         if stream.ended_at is not None:
@@ -236,7 +251,7 @@
         return min(stream.asked.total, stream.asked.offset + max(0, made))
 
     def cancel(self, now: float, stream_id: str, reader: int | None = None) -> bool:
-        """Stop a stream, unless a later reader has taken it over."""
+        """Cancel a stream, unless a later connection than ``reader`` reads it now."""
         self.advance(now)
         stream = self.streams.get(stream_id)
         if stream is None or (reader is not None and reader < stream.reader):
@@ -248,16 +263,22 @@
         del self.streams[stream_id]
         self._queue = [row for row in self._queue if row[2] != stream_id]
         heapq.heapify(self._queue)
-        self._fill()
+        self._start_queued()
         return True
 
     def committed(self) -> float:
-        """Give the memory in use, in gigabytes."""
+        """Return the memory used by resident and loading weights and adapters, in gigabytes."""
         loading = sum(gb for _, gb in self.loading.values())
         return sum(self.resident.values()) + loading + sum(self.adapters.values())
 
     def order(self, now: float, order: Order) -> tuple[bool, str]:
-        """Take an order; a fenced engine refuses one that is overtaken."""
+        """Carry out an order.
+
+        An engine that checks orders refuses one that is meant for another incarnation, or whose
+        fencing token is older than the last one.
+
+        :return: whether the order was accepted, and why not.
+        """
         self.advance(now)
         if self.checks_orders:
             if order.incarnation and order.incarnation != self.incarnation:
@@ -269,9 +290,9 @@
             if order.token == self.order_token:
                 return True, "repeated"
             self.order_token = order.token
-        return self._carry_out(order)
+        return self._execute(order)
 
-    def _carry_out(self, order: Order) -> tuple[bool, str]:
+    def _execute(self, order: Order) -> tuple[bool, str]:
         if order.action == "seal":
             return True, ""
         if order.action == "unload":
@@ -296,7 +317,7 @@
         return True, ""
 
     def report(self, now: float) -> dict[str, t.Any]:
-        """Give a load report, as old as the lag switch says."""
+        """Return a load report, delayed by the fault ``report_lag_s``."""
         self.advance(now)
         fresh = {
             "incarnation": self.incarnation,
@@ -324,7 +345,7 @@
         return {**chosen[1], "age_s": max(0.0, now - chosen[0])}
 
     def forget(self, now: float, keep_s: float = 30.0) -> None:
-        """Let go of streams that ended a while ago."""
+        """Delete streams that ended more than ``keep_s`` seconds ago."""
         for name, stream in list(self.streams.items()):
             if stream.ended_at is not None and now - stream.ended_at > keep_s:
                 del self.streams[name]
--- a/packages/rookspring-fakes/src/rookspring_fakes/loops.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/loops.py
@@ -1,7 +1,9 @@
-"""What each node of the world does over and over: ticks, reads, heartbeats, polls."""
+"""The periodic tasks of each simulated node: ticks, platform reads, heartbeats and polls."""
 
 import typing as t
-
+from .carrying import performs
+from .carrying import unpack
+from .request_effects import report_of
 from rookspring_core.cluster import inflight_rows
 from rookspring_core.effects import Announce
 from rookspring_core.events import BoxListReceived
@@ -12,9 +14,7 @@
 from rookspring_core.events import RevisionSeen
 from rookspring_core.events import Ticked
 
-from .carrying import performs
-from .carrying import unpack
-from .request_effects import report_of
+
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -23,7 +23,9 @@
 TICK_S = 0.1
 
 
-def _again(world: "World", node: "VirtualNode", period: float, loop: t.Callable[..., None]) -> None:
+def _reschedule(
+    world: "World", node: "VirtualNode", period: float, loop: t.Callable[..., None]
+) -> None:
     if node.alive:
         world.clock.call(period, loop, world, node)
 
@@ -31,19 +33,19 @@
 def _tick(world: "World", node: "VirtualNode") -> None:
     if not node.paused:
         node.submit(Ticked(world.clock.now))
-    _again(world, node, TICK_S, _tick)
+    _reschedule(world, node, TICK_S, _tick)
 
 
 def _read_boxes(world: "World", node: "VirtualNode") -> None:
-    ok = _call_platform(world, node)
+    ok = _check_platform(world, node)
     if ok:
         rows = tuple(world.boxes.values())
         world.clock.call(world.list_lag_s * 0.5, node.submit, BoxListReceived(0.0, rows))
     period = 1.0 if ok else 2.0
-    _again(world, node, period * (0.8 + 0.4 * world.random.random()), _read_boxes)
+    _reschedule(world, node, period * (0.8 + 0.4 * world.random.random()), _read_boxes)
 
 
-def _call_platform(world: "World", node: "VirtualNode") -> bool:
+def _check_platform(world: "World", node: "VirtualNode") -> bool:
     if node.paused:
         return False
     world.platform_calls += 1
@@ -54,24 +56,24 @@
 
 
 def _read_lease(world: "World", node: "VirtualNode") -> None:
-    if node.state.membership.is_relay() and _call_platform(world, node):
+    if node.state.membership.is_relay() and _check_platform(world, node):
         found = world.store.objects.get(("lease", "control"))
         event = LeaseSeen(0.0, 0, "", 0, "")
         if found is not None:
             value = unpack(found.value)
             event = LeaseSeen(0.0, found.version, value["holder"], value["epoch"], value["nonce"])
         world.clock.call(world.latency_s, node.submit, event)
-    _again(world, node, 2.0 * (0.8 + 0.4 * world.random.random()), _read_lease)
+    _reschedule(world, node, 2.0 * (0.8 + 0.4 * world.random.random()), _read_lease)
 
 
 def _follow_head(world: "World", node: "VirtualNode") -> None:
-    if node.state.membership.is_relay() and _call_platform(world, node):
+    if node.state.membership.is_relay() and _check_platform(world, node):
         show_head(world, node)
-    _again(world, node, 0.3, _follow_head)
+    _reschedule(world, node, 0.3, _follow_head)
 
 
 def show_head(world: "World", node: "VirtualNode") -> None:
-    """Give a node the revision that the head names now."""
+    """Send a node the newest published revision, if it has an older one."""
     if not world.published:
         return
     revision = max(world.published)
@@ -80,14 +82,14 @@
         world.clock.call(world.latency_s, node.submit, RevisionSeen(0.0, revision, epoch, entries))
 
 
-def _beat(world: "World", node: "VirtualNode") -> None:
+def _heartbeat(world: "World", node: "VirtualNode") -> None:
     if not node.paused:
         send_beat(world, node)
-    _again(world, node, 1.0, _beat)
+    _reschedule(world, node, 1.0, _heartbeat)
 
 
 def send_beat(world: "World", node: "VirtualNode") -> None:
-    """Send a node's heartbeat to all that it reaches."""
+    """Send a node's heartbeat to all live nodes that it can reach."""
     state = node.state
     beat = HeartbeatReceived(
         at=0.0,
@@ -104,15 +106,15 @@
     )
     for other in world.living():
         if other is not node and world.reachable(node.name, other.name):
-            world.clock.call(world.latency_s, _hear, world, other, node, beat)
+            world.clock.call(world.latency_s, _receive_heartbeat, world, other, node, beat)
 
 
-def _hear(
+def _receive_heartbeat(
     world: "World", node: "VirtualNode", sender: "VirtualNode", beat: HeartbeatReceived
 ) -> None:
     node.submit(beat)
     if not node.state.endpoints and sender.alive and sender.state.endpoints:
-        # Relays pass the box list on to a node that starts in an outage.
+        # A node that starts during a platform outage gets the box list from a peer.
         rows = tuple(world.boxes.values())
         world.clock.call(2 * world.latency_s, node.submit, BoxListReceived(0.0, rows))
     if node.alive and beat.revision > node.state.catalogue.revision and sender.alive:
@@ -124,12 +126,12 @@
 def _poll(world: "World", node: "VirtualNode") -> None:
     if not node.paused and node.alive:
         for view in list(node.state.endpoints.values()):
-            mine = node.state.membership.poller_of(view.name, view.data_centre)
-            late = world.clock.now - view.reported_at > 4 * world.report_s + 2.0
-            if mine == node.name or late:
+            poller = node.state.membership.poller_of(view.name, view.data_centre)
+            overdue = world.clock.now - view.reported_at > 4 * world.report_s + 2.0
+            if poller == node.name or overdue:
                 _poll_one(world, node, view.name)
     period = world.report_s * (0.9 + 0.2 * world.random.random())
-    _again(world, node, period, _poll)
+    _reschedule(world, node, period, _poll)
 
 
 def _poll_one(world: "World", node: "VirtualNode", endpoint: str) -> None:
@@ -143,13 +145,13 @@
 
 
 def begin(world: "World", node: "VirtualNode") -> None:
-    """Start all loops of a node, each at a moment of its own."""
+    """Start all periodic tasks of a node, each after a random delay."""
     for loop, first in (
         (_tick, 0.05),
         (_read_boxes, 0.0),
         (_read_lease, 0.2),
         (_follow_head, 0.1),
-        (_beat, 0.3),
+        (_heartbeat, 0.3),
         (_poll, 0.25),
     ):
         world.clock.call(first * world.random.random(), loop, world, node)
--- a/packages/rookspring-fakes/src/rookspring_fakes/order_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/order_effects.py
@@ -1,16 +1,16 @@
-"""How the world delivers orders: lost, late, doubled, and checked on arrival."""
+"""Delivery of orders in the simulation, with loss, delay and duplicates, and checks of them."""
 
 import typing as t
-
-from rookspring_core import defaults
-from rookspring_core.effects import SendOrder
-from rookspring_core.events import OrderAnswered
-
 from .carrying import performs
 from .carrying import unpack
 from .engine import Engine
 from .engine import Order
 from .request_effects import watch_engine
+from rookspring_core import defaults
+from rookspring_core.effects import SendOrder
+from rookspring_core.events import OrderAnswered
+
+
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -45,7 +45,7 @@
 
 
 def _check_holder(world: "World", node: "VirtualNode", effect: SendOrder) -> None:
-    """Note an order of a node that the platform's lease has passed over."""
+    """Record a violation if a node sends an order although a later epoch's lease is written."""
     found = world.store.objects.get(("lease", "control"))
     if found is None:
         return
@@ -71,7 +71,7 @@
         return
     engine = world.engines[effect.endpoint]
     if order.action == "unload" and order.key in engine.resident:
-        _check_last(world, engine, order, sent_at)
+        _check_last_copy(world, engine, order, sent_at)
     accepted, reason = engine.order(world.clock.now, order)
     watch_engine(world, engine)
     if node is not None:
@@ -79,18 +79,19 @@
         world.clock.call(world.latency_s, node.submit, event)
 
 
-def _dead_for_long(world: "World", engine: Engine) -> bool:
-    """Say whether a runner died so long ago that the holder must know."""
+def _is_known_crashed(world: "World", engine: Engine) -> bool:
+    """Return whether a runner crashed so long ago that the lease holder must know."""
     known_after = defaults.CONFIRMED_S + 0.5
-    died_at = world.died_at.get(engine.name, world.clock.now)
-    return engine.name in world.dead_engines and world.clock.now - died_at > known_after
+    crashed_at = world.died_at.get(engine.name, world.clock.now)
+    return engine.name in world.dead_engines and world.clock.now - crashed_at > known_after
 
 
-def _check_last(world: "World", engine: Engine, order: Order, sent_at: float) -> None:
-    """Note the unload of a declared model's last copy on a living runner.
+def _check_last_copy(world: "World", engine: Engine, order: Order, sent_at: float) -> None:
+    """Record a violation if a declared model's last copy is unloaded.
 
-    Where another copy's runner died after the order was sent, its death is to
-    blame: nobody can call back an order from an endpoint that does not check.
+    It is none if another copy was lost in a crash after the order was sent: an order can't be
+    revoked at an endpoint that does not check orders. Nor is it one if the endpoint will refuse
+    the order as outdated.
     """
     model = order.key[0]
     if any(at >= sent_at and model in models for at, models in world.deaths):
@@ -102,7 +103,7 @@
     others = [
         other
         for other in world.engines.values()
-        if other is not engine and not _dead_for_long(world, other)
+        if other is not engine and not _is_known_crashed(world, other)
     ]
     if not any(other.hosts(order.key[0]) for other in others):
         versions = [key for key in engine.resident if key[0] == order.key[0]]
--- a/packages/rookspring-fakes/src/rookspring_fakes/platform.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/platform.py
@@ -1,23 +1,23 @@
-"""The platform's object service on HTTP, with its limits and its faults."""
+"""Test double of the platform's object service over HTTP, with rate limits and faults."""
 
 import asyncio
+import orjson
 import time
 import typing as t
-
-import orjson
-from aiohttp import web
-
 from .faults import Faults
 from .store import ObjectStore
-from .store import Stored
 from .store import StoreError
+from .store import Stored
+from aiohttp import web
+
+
 
 WRITES_PER_S = 500
 READS_PER_S = 2000
 
 
 class Platform:
-    """Serves an :class:`ObjectStore`; a box list that lags by ``list_lag_s``."""
+    """Serves an :class:`ObjectStore`, and a list of boxes that is up to ``list_lag_s`` old."""
 
     def __init__(self, store: ObjectStore | None = None, seed: int = 0) -> None:
         self.store = store or ObjectStore()
@@ -60,7 +60,7 @@
             return web.json_response({"error": str(error)}, status=error.status)
         unanswered = kind == "write" and self.faults.draw("applied_unanswered")
         if unanswered and request.transport is not None:
-            # The write took effect; its answer never goes out.
+            # The write was applied, but its answer is not sent.
             request.transport.close()
         return response
 
@@ -97,7 +97,7 @@
             self._changed.notify_all()
 
     async def _watch(self, request: web.Request) -> web.Response:
-        """Wait until a kind has changes after a version, or the time is up."""
+        """Answer with the changes of a kind after a version; waits for one up to the timeout."""
         self.store.count("watch")
         kind = request.match_info["kind"]
         since = int(request.query.get("from", "0"))
--- a/packages/rookspring-fakes/src/rookspring_fakes/platform_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/platform_effects.py
@@ -1,7 +1,10 @@
-"""How the world carries out platform effects: conditional writes, outages, lost answers."""
+"""Platform effects in the simulation: conditional writes, with outages and lost answers."""
 
 import typing as t
-
+from .carrying import pack
+from .carrying import performs
+from .carrying import unpack
+from .store import StoreError
 from rookspring_core import Entry
 from rookspring_core import Resource
 from rookspring_core.effects import Publish
@@ -11,16 +14,13 @@
 from rookspring_core.effects import WriteLease
 from rookspring_core.events import DesiredSeen
 from rookspring_core.events import HeadSeen
-from rookspring_core.events import IntentsSeen
 from rookspring_core.events import IntentWritten
+from rookspring_core.events import IntentsSeen
 from rookspring_core.events import LeaseWritten
 from rookspring_core.events import Published
 from rookspring_core.events import RevisionSeen
 
-from .carrying import pack
-from .carrying import performs
-from .carrying import unpack
-from .store import StoreError
+
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -33,7 +33,12 @@
     work: t.Callable[[], t.Any],
     answer: t.Callable[[bool | None, t.Any], None],
 ) -> None:
-    """Carry out a conditional write, whose answer may be lost though it took effect."""
+    """Perform a conditional write.
+
+    :param work: does the write.
+    :param answer: gets True and the result, False on a conflict, or None if no answer came, in
+        which case the write may still have been applied.
+    """
     world.platform_calls += 1
     if not world.reachable(node.name, "platform"):
         world.clock.call(1.0, answer, None, None)
--- a/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
@@ -1,7 +1,10 @@
-"""How the world carries out requests at runners and services, and makes reports."""
+"""Requests at runners and services in the simulation, and the endpoints' reports."""
 
 import typing as t
-
+from .carrying import performs
+from .engine import Engine
+from .engine import Generation
+from .engine import NotRun
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
 from rookspring_core.effects import Dispatch
@@ -20,10 +23,7 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-from .carrying import performs
-from .engine import Engine
-from .engine import Generation
-from .engine import NotRun
+
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -59,8 +59,8 @@
     world: "World", node: "VirtualNode", effect: t.Any, reason: str, not_run: bool = False
 ) -> None:
     if reason == "leaving":
-        said = NoticeReceived(0.0, effect.endpoint, 0, Notice(leaving=True))
-        world.clock.call(world.latency_s, node.submit, said)
+        notice = NoticeReceived(0.0, effect.endpoint, 0, Notice(leaving=True))
+        world.clock.call(world.latency_s, node.submit, notice)
     failed = AttemptFailed(0.0, effect.request_id, effect.attempt, True, not_run, reason)
     world.clock.call(world.latency_s, node.submit, failed)
 
@@ -68,7 +68,9 @@
 def _check_leaving(world: "World", endpoint: str) -> None:
     since = world.leaving_at.get(endpoint)
     if since is not None and world.clock.now - since > 5.0:
-        world.broken.append(f"{endpoint} got work {world.clock.now - since:.1f}s after leaving")
+        world.broken.append(
+            f"{endpoint} got work {world.clock.now - since:.1f}s after it began to leave"
+        )
 
 
 def _run_stream(world: "World", node: "VirtualNode", effect: Dispatch, arrived: t.Any) -> None:
@@ -78,7 +80,7 @@
         _fail(world, node, effect, "reset")
         return
     stream = f"{arrived.request_id}.{effect.attempt}.{node.state.identity.incarnation}"
-    asked = Generation(
+    generation = Generation(
         stream,
         arrived.target,
         arrived.adapter,
@@ -89,7 +91,7 @@
         prefill=arrived.prompt_tokens,
     )
     try:
-        engine.submit(world.clock.now, asked)
+        engine.submit(world.clock.now, generation)
     except NotRun as error:
         _fail(world, node, effect, str(error), not_run=True)
         return
@@ -98,7 +100,10 @@
 
 
 def watch_engine(world: "World", engine: Engine) -> None:
-    """Have the engine looked at when its next stream or load ends; one look is pending."""
+    """Schedule the next check of an engine for when its next stream or load ends.
+
+    Nothing is scheduled if a check no later than that is pending.
+    """
     due = engine.next_change()
     if due >= engine.watched_at - 1e-9 and engine.watched_at > world.clock.now:
         return
@@ -109,7 +114,7 @@
 
 def _advance_engine(world: "World", engine: Engine, due: float | None = None) -> None:
     if due is not None and due != engine.watched_at:
-        # An earlier look was asked for since and has taken this one's place.
+        # An earlier check was scheduled since, which replaces this one.
         return
     if due is not None:
         engine.watched_at = -1.0
@@ -124,13 +129,13 @@
 def _finish_stream(world: "World", engine: Engine, stream: str) -> None:
     if stream not in engine.streams:
         return
-    asked = engine.streams[stream].asked
+    generation = engine.streams[stream].asked
     owner = world.owners.pop(stream, None)
     engine.streams.pop(stream, None)
     if owner is None:
         return
     node, request_id, attempt, offset = owner
-    progress = AttemptProgressed(0.0, request_id, attempt, asked.total - offset)
+    progress = AttemptProgressed(0.0, request_id, attempt, generation.total - offset)
     world.clock.call(world.latency_s, node.submit, progress)
     world.clock.call(world.latency_s, _succeed, world, node, request_id, attempt)
 
@@ -141,7 +146,7 @@
         return
     if node.paused:
         node.missed.append(AttemptSucceeded(0.0, request_id, attempt))
-        world.clock.call(1.0, _tell_if_over, world, node, request_id)
+        world.clock.call(1.0, _record_if_ended, world, node, request_id)
         return
     if not request.arrived.service and request.delivered != request.arrived.tokens:
         world.broken.append(f"{request_id}: {request.delivered} of {request.arrived.tokens} tokens")
@@ -149,15 +154,15 @@
     world.tell(node, request_id, "ran", 200, "", 0.0)
 
 
-def _tell_if_over(world: "World", node: "VirtualNode", request_id: str) -> None:
+def _record_if_ended(world: "World", node: "VirtualNode", request_id: str) -> None:
     if node.paused:
-        world.clock.call(1.0, _tell_if_over, world, node, request_id)
+        world.clock.call(1.0, _record_if_ended, world, node, request_id)
     elif node.alive and request_id not in node.state.requests and request_id not in world.told:
         world.tell(node, request_id, "ran", 200, "", 0.0)
 
 
 def break_stream(world: "World", engine: Engine, stream: str) -> None:
-    """A runner died under a stream: its tokens so far are with the entry node."""
+    """Break a stream whose runner crashed, after its tokens so far reached the entry node."""
     owner = world.owners.pop(stream, None)
     if owner is None:
         return
@@ -199,7 +204,7 @@
     service.runs[call] = service.runs.get(call, 0) + 1
     answer = world.told.get(arrived.request_id)
     if answer is not None and answer.outcome == "not_run":
-        world.broken.append(f"{arrived.request_id} ran after it was told not run")
+        world.broken.append(f"{arrived.request_id} ran after it was answered not_run")
     if service.faults.draw("applied_unanswered"):
         _fail(world, node, effect, "reset")
         return
@@ -239,7 +244,7 @@
 
 
 def report_of(world: "World", endpoint: str) -> EndpointReported:
-    """Make an endpoint's report."""
+    """Return an endpoint's current report."""
     service = world.services.get(endpoint)
     if service is not None:
         leaving = service.leaving_at is not None
--- a/packages/rookspring-fakes/src/rookspring_fakes/runner.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/runner.py
@@ -1,39 +1,39 @@
-"""A runner on HTTP: generate, resume, cancel, orders, reports and cache events."""
+"""Test double of a runner over HTTP: streams, resume, cancel, orders, reports, cache events."""
 
 import asyncio
+import orjson
 import time
 import typing as t
-
-import orjson
-from aiohttp import web
-
 from .engine import Engine
 from .engine import Generation
 from .engine import NotRun
 from .engine import Order
 from .engine import Stream
 from .engine import token_text
+from aiohttp import web
+
+
 
 STEP_S = 0.01
-# No process takes longer to end, in seconds.
+# The time within which the process has exited after a fatal prompt, in seconds.
 FATAL_MOST_S = 5.0
 
 
 class Runner:
-    """Serves an :class:`Engine`."""
+    """Serves an :class:`Engine` over HTTP."""
 
     def __init__(self, engine: Engine, step_s: float = STEP_S) -> None:
         self.engine = engine
         self.step_s = step_s
         self.epoch = time.monotonic()
-        # A prompt that holds this text ends the process that begins to run it, by this call.
+        # A prompt that holds this text crashes the runner: ``on_fatal`` is called to end it.
         self.fatal_text = ""
         self.on_end: t.Callable[[], None] = lambda: None
         self._cache_log: list[int] = []
-        self._late: set[asyncio.Task[None]] = set()
+        self._delayed_orders: set[asyncio.Task[None]] = set()
 
     def now(self) -> float:
-        """Give seconds since the runner began."""
+        """Return the seconds since the runner started."""
         return time.monotonic() - self.epoch
 
     def app(self) -> web.Application:
@@ -58,12 +58,12 @@
         try:
             return t.cast(web.StreamResponse, await handler(request))
         except ConnectionError:
-            # The reader is gone; the stream runs on and may be resumed.
+            # The reader has disconnected; the stream continues and may be resumed.
             return web.Response()
 
     async def _generate(self, request: web.Request) -> web.StreamResponse:
         body = orjson.loads(await request.read())
-        asked = Generation(
+        generation = Generation(
             stream_id=str(body["id"]),
             model=str(body["model"]),
             adapter=str(body.get("adapter", "")),
@@ -73,15 +73,15 @@
             rank=int(body.get("rank", 1)),
             prefill=len(str(body["prompt"])) // 4,
         )
-        if self.fatal_text and self.fatal_text in asked.prompt:
+        if self.fatal_text and self.fatal_text in generation.prompt:
             self.on_end()
-            # The end of the process cuts this short.
+            # Waits for the process to be ended, so that the request gets no answer.
             await asyncio.sleep(FATAL_MOST_S)
         try:
-            stream = self.engine.submit(self.now(), asked)
+            stream = self.engine.submit(self.now(), generation)
         except NotRun as error:
             return web.json_response({"not_run": True, "reason": str(error)}, status=409)
-        return await self._send(request, stream, asked.offset)
+        return await self._send(request, stream, generation.offset)
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
         stream = self.engine.streams.get(request.match_info["id"])
@@ -96,7 +96,7 @@
             headers={"Content-Type": "application/x-ndjson", "X-Reader": str(stream.reader)}
         )
         await response.prepare(request)
-        asked = stream.asked
+        generation = stream.asked
         while True:
             if self.engine.faults.killed:
                 if request.transport is not None:
@@ -107,13 +107,15 @@
                 self.engine.take_ended()
             made = self.engine.produced(stream)
             if made > offset:
-                tokens = [token_text(asked.model, asked.prompt, i) for i in range(offset, made)]
+                tokens = [
+                    token_text(generation.model, generation.prompt, i) for i in range(offset, made)
+                ]
                 await response.write(orjson.dumps({"offset": offset, "tokens": tokens}) + b"\n")
                 offset = made
             if stream.cancelled:
                 return response
-            if offset >= asked.total:
-                await response.write(orjson.dumps({"end": asked.total}) + b"\n")
+            if offset >= generation.total:
+                await response.write(orjson.dumps({"end": generation.total}) + b"\n")
                 await response.write_eof()
                 return response
             await asyncio.sleep(self.step_s)
@@ -158,8 +160,8 @@
             self.engine.order(self.now(), order)
 
         task = asyncio.create_task(deliver())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._delayed_orders.add(task)
+        task.add_done_callback(self._delayed_orders.discard)
 
     async def _report(self, request: web.Request) -> web.Response:
         self.engine.forget(self.now())
--- a/packages/rookspring-fakes/src/rookspring_fakes/service.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/service.py
@@ -1,27 +1,27 @@
-"""A plain service that counts how often each call ran."""
+"""Test double of a plain service, which counts how often each call ran."""
 
 import asyncio
-import time
-
 import orjson
+import time
+from .faults import Faults
 from aiohttp import web
 
-from .faults import Faults
+
 
 
 class Ledger:
-    """What a service did, shared by its endpoints: runs by call identity."""
+    """The number of runs by call id, shared by all endpoints of a service."""
 
     def __init__(self) -> None:
         self.runs: dict[str, int] = {}
 
     def doubled(self) -> list[str]:
-        """Name the calls that ran more than once."""
+        """List the ids of calls that ran more than once."""
         return sorted(call for call, count in self.runs.items() if count > 1)
 
 
 class PlainService:
-    """One endpoint of a plain service; a call names itself in its body's ``call``."""
+    """An endpoint of a plain service; a request's body holds the id of the call in ``call``."""
 
     def __init__(self, name: str, ledger: Ledger, work_s: float = 0.002, seed: int = 0) -> None:
         self.name = name
--- a/packages/rookspring-fakes/src/rookspring_fakes/users.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/users.py
@@ -1,11 +1,11 @@
-"""The two users' sizes of today and the resources that they declare."""
+"""The present deployment sizes of the two users, and the resources that they declare."""
 
 import hashlib
 import typing as t
 
 
 class UserSize(t.NamedTuple):
-    """One user's halls, runners, services and weight store, as of today."""
+    """The present size of one user's deployment: data centres, runners, services, weight store."""
 
     name: str
     data_centres: tuple[str, ...]
@@ -55,7 +55,7 @@
     ),
 }
 
-# A deployment that comes up in seconds, for tests and experiments on real sockets.
+# A deployment that starts within seconds, for tests and experiments over real sockets.
 SMALL = UserSize(
     "small",
     ("ballerup", "taastrup", "koege"),
@@ -77,7 +77,7 @@
 
 
 def declare(user: UserSize, key: str = "demo") -> list[dict[str, t.Any]]:
-    """List the resources that a user declares; one team bears ``key``."""
+    """List the resources that a user declares, with one team whose API key is ``key``."""
     digest = hashlib.sha256(key.encode()).hexdigest()
     documents: list[dict[str, t.Any]] = [
         {"kind": "Team", "name": "demo", "spec": {"key_sha256": [digest], "operator": True}},
--- a/packages/rookspring-fakes/src/rookspring_fakes/world.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/world.py
@@ -1,14 +1,21 @@
-"""Several real reducers against the stand-ins' models, under a virtual clock.
+"""Simulation of several nodes' real reducers against modelled endpoints, under a virtual clock.
 
-No socket and no thread: effects become callbacks with a latency, and faults are
-switches of the parts. What happens follows from the seed alone. This drives the
-randomised runs and the policy experiments; the daemon's own I/O is tested over
-real sockets elsewhere.
+There are no sockets and no threads: each effect is a callback after a latency, and faults are
+switched on at the simulated parts. A run is determined by its seed. The randomised fault runs and
+the policy experiments use this simulation; the daemon's I/O is tested over real sockets elsewhere.
 """
 
 import random
 import typing as t
-
+from . import effects as world_effects
+from . import loops
+from .clock import VirtualClock
+from .engine import Engine
+from .engine import WeightStore
+from .faults import Faults
+from .store import ObjectStore
+from .users import UserSize
+from .users import declare
 from rookspring_core import Identity
 from rookspring_core import NodeState
 from rookspring_core import reduce
@@ -19,21 +26,13 @@
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import SessionOpened
 
-from . import effects as world_effects
-from . import loops
-from .clock import VirtualClock
-from .engine import Engine
-from .engine import WeightStore
-from .faults import Faults
-from .store import ObjectStore
-from .users import UserSize
-from .users import declare
+
 
 LEAVING_BOUND_S = 5.0
 
 
 class Told(t.NamedTuple):
-    """What a caller was told of a request."""
+    """The answer that a caller got to a request, and when."""
 
     at: float
     outcome: str
@@ -56,7 +55,7 @@
 
 
 class VirtualService:
-    """A plain service's model: counts runs by call."""
+    """A simulated endpoint of a plain service, which counts the runs of each call."""
 
     def __init__(self, name: str, work_s: float = 0.005) -> None:
         self.name = name
@@ -67,16 +66,16 @@
 
 
 class VirtualNode:
-    """One node: its reducer's state, and whether its process lives or is paused."""
+    """A simulated node: its reducer's state, and whether its process is alive or paused."""
 
-    def __init__(self, world: "World", name: str, place: str, incarnation: int) -> None:
+    def __init__(self, world: "World", name: str, data_centre: str, incarnation: int) -> None:
         self.world = world
         self.name = name
-        self.place = place
+        self.place = data_centre
         self.alive = True
         self.paused = False
         self.missed: list[Event] = []
-        identity = Identity(name, f"{name}#{incarnation}", place, name, name)
+        identity = Identity(name, f"{name}#{incarnation}", data_centre, name, name)
         self.state = NodeState(identity, world.clock.now)
         self.state.full_checks = world.full_checks
         self.revision_seen = 0
@@ -84,7 +83,7 @@
         self.intent_versions: dict[str, int] = {}
 
     def submit(self, event: Event) -> None:
-        """Reduce an event at the world's time, and carry out its effects."""
+        """Reduce an event at the virtual time and perform its effects; a paused node queues it."""
         if not self.alive:
             return
         if self.paused:
@@ -101,10 +100,11 @@
 
 
 class World:
-    """Nodes, endpoints and the platform of one user, with faults.
+    """The simulated nodes, endpoints and platform of one user, with fault injection.
 
-    :param nodes: how many entry nodes, spread over the user's data centres.
-    :param checks: says of each runner's number whether it checks orders.
+    :param nodes: number of entry nodes, spread over the user's data centres.
+    :param checks_orders: whether a runner rejects outdated orders, by the runner's number.
+    :param report_interval_s: mean interval at which load reports are polled, in seconds.
     """
 
     def __init__(
@@ -152,41 +152,45 @@
         self.on_told: t.Callable[[Asked, Told], None] | None = None
         self._incarnations = 0
         self._requests = 0
-        self._raise_endpoints(checks, dict(engine_options or {}))
+        self._create_endpoints(checks, dict(engine_options or {}))
         for number in range(nodes):
             self.raise_node(f"box-{number}")
 
-    # Building.
+    # Setup.
 
-    def _raise_endpoints(self, checks: t.Callable[[int], bool], options: dict[str, t.Any]) -> None:
-        places = self.size.data_centres
+    def _create_endpoints(self, checks: t.Callable[[int], bool], options: dict[str, t.Any]) -> None:
+        data_centres = self.size.data_centres
         for number in range(self.size.runners):
             name = f"{self.size.engine}-r{number}"
             engine = Engine(
                 name, self.weight_store, checks_orders=checks(number), seed=number, **options
             )
             self.engines[name] = engine
-            place = places[number % len(places)]
-            self.boxes[name] = BoxListed(name, name, place, "runner", "live", self.size.engine)
+            data_centre = data_centres[number % len(data_centres)]
+            self.boxes[name] = BoxListed(
+                name, name, data_centre, "runner", "live", self.size.engine
+            )
         for number in range(self.size.service_endpoints):
             name = f"{self.size.service}-{number}"
             self.services[name] = VirtualService(name)
-            place = places[number % len(places)]
-            self.boxes[name] = BoxListed(name, name, place, "service", "live", self.size.service)
+            data_centre = data_centres[number % len(data_centres)]
+            self.boxes[name] = BoxListed(
+                name, name, data_centre, "service", "live", self.size.service
+            )
 
     def raise_node(self, name: str) -> VirtualNode:
-        """Start a node, as a new incarnation if there was one of the name."""
+        """Start a node, as a new incarnation if a node of this name ran before."""
         self._incarnations += 1
         number = int(name.rpartition("-")[2])
-        place = self.size.data_centres[number % len(self.size.data_centres)]
-        node = VirtualNode(self, name, place, self._incarnations)
+        data_centre = self.size.data_centres[number % len(self.size.data_centres)]
+        node = VirtualNode(self, name, data_centre, self._incarnations)
         self.nodes[name] = node
-        self.boxes[name] = BoxListed(name, name, place, "node", "live")
+        self.boxes[name] = BoxListed(name, name, data_centre, "node", "live")
         loops.begin(self, node)
         return node
 
     def declare(self, documents: t.Iterable[dict[str, t.Any]] | None = None) -> None:
-        """Write resources to the platform as operators do."""
+        """Write resources to the platform as operators do; by default those of the user."""
         from rookspring_core import check_resource
 
         for document in declare(self.size) if documents is None else documents:
@@ -200,14 +204,14 @@
             )
 
     def settle(self, until: float = 60.0) -> None:
-        """Run until every declared model is resident, or the time is up."""
+        """Run until every node knows every model to be resident, at most up to ``until``."""
         while self.clock.now < until:
             self.clock.run(self.clock.now + 1.0)
             if self.resident_everywhere():
                 return
 
     def resident_everywhere(self) -> bool:
-        """Say whether every node knows every declared model to be resident."""
+        """Return whether every live node knows an endpoint for every declared model."""
         from rookspring_core.control_jobs import resident_models
 
         wanted = sum(1 for kind, name in self.store.objects if name.startswith("Model."))
@@ -220,11 +224,11 @@
     # Faults.
 
     def living(self) -> list[VirtualNode]:
-        """List the nodes whose process lives."""
+        """List the nodes whose process is alive."""
         return [node for node in self.nodes.values() if node.alive]
 
     def kill_node(self, name: str) -> None:
-        """End a node's process; its callers' connections break."""
+        """Kill a node's process, which breaks its callers' connections."""
         node = self.nodes[name]
         node.alive = False
         for request_id in list(node.state.requests):
@@ -232,26 +236,26 @@
         for stream, owner in list(self.owners.items()):
             if owner[0] is node:
                 del self.owners[stream]
-        self.clock.call(self.list_lag_s, self._unlist, name, node)
+        self.clock.call(self.list_lag_s, self._remove_box, name, node)
 
-    def _unlist(self, name: str, node: VirtualNode) -> None:
+    def _remove_box(self, name: str, node: VirtualNode) -> None:
         if self.nodes.get(name) is node:
             self.boxes.pop(name, None)
 
     def pause_node(self, name: str, seconds: float) -> None:
-        """Stop a node's process for a while, without its knowing."""
+        """Suspend a node's process for some seconds; it then handles the events it missed."""
         node = self.nodes[name]
         node.paused = True
-        self.clock.call(seconds, self._wake, node)
+        self.clock.call(seconds, self._unpause, node)
 
-    def _wake(self, node: VirtualNode) -> None:
+    def _unpause(self, node: VirtualNode) -> None:
         node.paused = False
         missed, node.missed = node.missed, []
         for event in missed:
             node.submit(event)
 
     def kill_engine(self, name: str) -> None:
-        """End a runner; its streams break and its memory is gone."""
+        """Kill a runner: its streams break and its models are no longer resident."""
         engine = self.engines[name]
         engine.advance(self.clock.now)
         self.dead_engines.add(name)
@@ -265,7 +269,7 @@
             engine.store.end()
 
     def revive_engine(self, name: str) -> None:
-        """Start a runner anew, empty and as another incarnation."""
+        """Restart a runner as a new incarnation with no models; its counters continue."""
         old = self.engines[name]
         engine = Engine(
             name,
@@ -288,12 +292,12 @@
         self.leaving_at.pop(name, None)
 
     def leave_engine(self, name: str) -> None:
-        """Have a runner refuse new work and finish what it has."""
+        """Make a runner refuse new work and finish what it is running."""
         self.engines[name].leaving = True
         self.leaving_at[name] = self.clock.now
 
     def reachable(self, one: str, other: str) -> bool:
-        """Say whether two parts reach each other now."""
+        """Return whether two parts can reach each other now."""
         if frozenset((one, other)) in self.cut:
             return False
         return not (self.platform.outage and "platform" in (one, other))
@@ -301,7 +305,7 @@
     # Callers.
 
     def ready(self) -> list[VirtualNode]:
-        """List the nodes that are in the addresses which callers get."""
+        """List the live nodes that the addresses handed out to callers include."""
         listed: set[str] = set()
         for node in self.living():
             listed.update(row.address for row in list_addresses(node.state))
@@ -319,11 +323,11 @@
         prefix: int = 0,
         **fields: t.Any,
     ) -> str:
-        """Send a request to a node."""
+        """Send a request to a node and return the request's id."""
         self._requests += 1
         request_id = f"q{self._requests}"
         now = self.clock.now
-        asked = Asked(
+        request = Asked(
             now,
             request_id,
             target,
@@ -333,7 +337,7 @@
             node.name,
             str(fields.get("body_digest", "")),
         )
-        self.asked[request_id] = asked
+        self.asked[request_id] = request
         event = RequestArrived(
             at=now,
             request_id=request_id,
@@ -343,7 +347,7 @@
             deadline_at=now + deadline_s,
             tokens=tokens,
             prefix=prefix,
-            fingerprint=f"{target}/{asked.call or request_id}",
+            fingerprint=f"{target}/{request.call or request_id}",
             **fields,
         )
         if not node.alive:
@@ -353,14 +357,14 @@
         return request_id
 
     def open_session(self, node: VirtualNode) -> str:
-        """Open a session at a node."""
+        """Open a session at a node and return its id."""
         self._requests += 1
         session = f"{node.name}/{node.state.identity.incarnation}/s{self._requests}"
         node.submit(SessionOpened(self.clock.now, session, "demo"))
         return session
 
     def leave(self, node: VirtualNode, request_id: str) -> None:
-        """Have a caller go away."""
+        """Disconnect the caller of a request."""
         node.submit(CallerLeft(self.clock.now, request_id))
 
     def tell(
@@ -372,21 +376,21 @@
         reason: str,
         after_s: float,
     ) -> None:
-        """Record what a caller is told, once."""
+        """Record the answer to a request; a second answer to it is a violation."""
         if request_id not in self.asked:
             return
         if request_id in self.told:
             self.broken.append(f"{request_id} was answered twice")
             return
-        told = Told(self.clock.now, outcome, status, reason, after_s)
-        self.told[request_id] = told
+        result = Told(self.clock.now, outcome, status, reason, after_s)
+        self.told[request_id] = result
         if self.on_told is not None:
-            self.on_told(self.asked[request_id], told)
+            self.on_told(self.asked[request_id], result)
 
-    # Accounts.
+    # Measurements and checks.
 
     def in_force(self, node: VirtualNode, revision: int) -> None:
-        """Note how long a revision took to be in force at a node."""
+        """Record how long after its publication a node applied a revision."""
         at = self.published_at.get(revision)
         if at is None:
             return
@@ -400,14 +404,14 @@
             self.force_all.setdefault(revision, self.clock.now)
 
     def moves(self) -> int:
-        """Count loads and unloads so far."""
+        """Return the number of loads and unloads so far."""
         return sum(engine.loads + engine.unloads for engine in self.engines.values())
 
     def check(self) -> list[str]:
-        """List every end-to-end promise that broke."""
+        """List all violations of the end-to-end guarantees."""
         found = list(self.broken)
         found += [
-            f"{engine.name}: {engine.overcommits} orders beyond its memory"
+            f"{engine.name}: {engine.overcommits} orders exceeded its memory"
             for engine in self.engines.values()
             if engine.overcommits
         ]
@@ -421,17 +425,17 @@
             for call, count in runs.items()
             if count > 1 and call in unrepeatable
         ]
-        return found + self._false_not_run(runs)
+        return found + self._find_false_not_run(runs)
 
-    def _false_not_run(self, runs: t.Mapping[str, int]) -> list[str]:
-        """List calls that ran although every request for them was told ``not_run``."""
+    def _find_false_not_run(self, runs: t.Mapping[str, int]) -> list[str]:
+        """List calls that ran although all their requests were answered with ``not_run``."""
         ends: dict[str, set[str]] = {}
-        for request_id, asked in self.asked.items():
-            told = self.told.get(request_id)
-            if asked.call:
-                ends.setdefault(asked.call, set()).add(told.outcome if told else "open")
+        for request_id, request in self.asked.items():
+            result = self.told.get(request_id)
+            if request.call:
+                ends.setdefault(request.call, set()).add(result.outcome if result else "open")
         return [
-            f"{call} ran though told not run"
+            f"{call} ran although all its requests were answered not_run"
             for call, outcomes in ends.items()
             if outcomes == {"not_run"} and runs.get(call)
         ]
