--- a/bench/burst.py
+++ b/bench/burst.py
@@ -53,15 +53,15 @@
     size = USERS[user]
     world = World(size, seed=seed, full_checks=False)
     world.declare()
-    for node in world.living():
+    for node in world.live_nodes():
         node.state.control.placement_override = placement
-    world.settle(90.0)
+    world.run_until_resident(90.0)
     world.clock.run(world.clock.now + 20.0)
     start = world.clock.now
     before = world.moves()
     end = start + length_s
     account = Account(start, end)
-    world.on_told = account.take
+    world.on_result = account.take
     total = load * capacity_of(world) / MEAN_TOKENS
     bursts = Bursts(models_of(size), total, seed, start)
     Traffic(world, bursts.rates, seed, end)
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -86,17 +86,17 @@
         "in force p50 s": round(quantile(delays, 0.5), 3),
         "p99 s": round(quantile(delays, 0.99), 3),
         "worst s": round(max(delays, default=float("nan")), 3),
-        "reverts": sum("reverted" in one for one in world.broken),
+        "reverts": sum("reverted" in one for one in world.violations),
     }
 
 
 def _bounce(world: World, name: str) -> None:
     world.kill_node(name)
-    world.clock.call(1.0, world.raise_node, name)
+    world.clock.call(1.0, world.start_node, name)
 
 
 def _outage(world: World, out: bool) -> None:
-    world.platform.outage = out
+    world.platform_faults.outage = out
 
 
 def _delays(world: World, written: dict[int, float], until: float) -> list[float]:
@@ -108,7 +108,7 @@
         if key in entries and entries[key].resource is not None
     }
     in_force: dict[int, float] = {}
-    for revision, at in world.force_all.items():
+    for revision, at in world.applied_by_all_at.items():
         in_force[accepted.get(revision, 0)] = max(at, in_force.get(accepted.get(revision, 0), 0.0))
     delays: list[float] = []
     for version, at in written.items():
--- a/bench/failures.py
+++ b/bench/failures.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from rookspring_fakes.disturbances import DISTURBANCES
-from rookspring_fakes.disturbances import holder_of
+from rookspring_fakes.disturbances import find_lease_holder
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
 
@@ -20,9 +20,9 @@
 
 
 def _raise(user: str, seed: int, checks: bool = True) -> World:
-    world = World(USERS[user], seed=seed, full_checks=False, checks=lambda number: checks)
+    world = World(USERS[user], seed=seed, full_checks=False, checks_orders=lambda number: checks)
     world.declare()
-    world.settle(120.0)
+    world.run_until_resident(120.0)
     world.clock.run(world.clock.now + 15.0)
     return world
 
@@ -30,7 +30,7 @@
 def _load(world: World, load: float, seed: int, length_s: float) -> Account:
     start = world.clock.now
     account = Account(start, start + length_s)
-    world.on_told = account.take
+    world.on_result = account.take
     rates = skewed(models_of(world.size), load * capacity_of(world) / MEAN_TOKENS)
     Traffic(world, lambda now: rates, seed, start + length_s)
     return account
@@ -67,7 +67,7 @@
             world.clock.call(20.0, fault, world, random.Random(seed))
             world.clock.run(world.clock.now + 120.0)
             broken += world.check()
-            started = sum(1 for one in world.told.values() if one.reason != "late")
+            started = sum(1 for one in world.results.values() if one.reason != "late")
             rows.append(
                 {
                     "user": user,
@@ -142,7 +142,7 @@
     chance = random.Random(seed)
     DISTURBANCES["operators change versions"](world, chance)
     world.clock.run(world.clock.now + delay)
-    holder = holder_of(world)
+    holder = find_lease_holder(world)
     assert holder is not None
     lost_at = world.clock.now
     if way == "killed":
@@ -151,7 +151,7 @@
         world.pause_node(holder.name, 15.0)
     while world.clock.now < lost_at + 40.0:
         world.clock.run(world.clock.now + 0.1)
-        following = holder_of(world)
+        following = find_lease_holder(world)
         if following is not None and following is not holder:
             break
     gap = world.clock.now - lost_at
@@ -182,7 +182,7 @@
     world = _raise(user, 5)
     start = world.clock.now
     account = Account(start, start + length_s)
-    world.on_told = account.take
+    world.on_result = account.take
     models = models_of(world.size)
     total = 0.4 * capacity_of(world) / MEAN_TOKENS
 
@@ -193,24 +193,24 @@
     Traffic(world, rates, 5, start + length_s)
     before = max(world.published)
     if out:
-        world.platform.outage = True
+        world.platform_faults.outage = True
     drain = DISTURBANCES["a node is drained"]
     for turn in range(3):
         world.clock.call(100.0 + 150.0 * turn, drain, world, random.Random(turn))
     world.clock.run(start + length_s)
-    world.platform.outage = False
+    world.platform_faults.outage = False
     calls = world.platform_calls
     world.clock.run(start + length_s + 10.0)
     burst = (world.platform_calls - calls) / 10.0
     world.clock.run(start + length_s + 60.0)
     broken += world.check()
-    lost = sum(1 for node in world.living() if node.state.catalogue.revision < before)
+    lost = sum(1 for node in world.live_nodes() if node.state.catalogue.revision < before)
     return {
         "user": user,
         "platform": "down" if out else "up",
         "attainment": round(account.attainment(), 4),
         "moves": world.moves(),
-        "nodes at the end": len(world.living()),
+        "nodes at the end": len(world.live_nodes()),
         "calls/s on return": round(burst, 2),
         "revision lost": lost,
     }
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -21,8 +21,8 @@
 from rookspring_core.once import OnceDecision
 from rookspring_core.once import OnceTable
 from rookspring_fakes.disturbances import DISTURBANCES
-from rookspring_fakes.disturbances import Calls
-from rookspring_fakes.disturbances import steady
+from rookspring_fakes.disturbances import UnrepeatableCallers
+from rookspring_fakes.disturbances import send_steady_traffic
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
 
@@ -186,7 +186,7 @@
         ]
 
     PLACEMENT["unload-all"] = plan
-    for node in world.living():
+    for node in world.live_nodes():
         node.state.control.placement_override = "unload-all"
 
 
@@ -197,7 +197,7 @@
     first = min(world.published)
     epoch, entries = world.published[first]
     DISTURBANCES["operators change versions"](world, chance)
-    for node in world.living():
+    for node in world.live_nodes():
         world.clock.call(10.0, node.submit, RevisionSeen(0.0, first, epoch, entries))
 
 
@@ -219,12 +219,14 @@
     from rookspring_core.reducer import HANDLERS
 
     checking = "slow" not in mutant.fault
-    world = World(USERS[mutant.user], seed=seed, checks=lambda number: checking and number % 3 != 2)
+    world = World(
+        USERS[mutant.user], seed=seed, checks_orders=lambda number: checking and number % 3 != 2
+    )
     world.declare()
-    world.settle(120.0)
+    world.run_until_resident(120.0)
     start = world.clock.now
-    Calls(world, seed, start + 40.0)
-    steady(world, seed, start + 40.0, load=0.5)
+    UnrepeatableCallers(world, seed, start + 40.0)
+    send_steady_traffic(world, seed, start + 40.0, load=0.5)
     fault = DISTURBANCES.get(mutant.fault) or EXTRA[mutant.fault]
     world.clock.call(5.0, fault, world, random.Random(seed))
     original = getattr(mutant.target, mutant.attribute)
--- a/bench/once.py
+++ b/bench/once.py
@@ -170,7 +170,7 @@
         if end == "not_run" and runs.get(call, 0) > 0:
             print(f"FALSE not_run {call}: {told}")
         false_ran += int(end == "ran" and runs.get(call, 0) != 1)
-    doubled = len(stage.ledger.doubled())
+    doubled = len(stage.ledger.repeated_calls())
     row: dict[str, t.Any] = {
         "calls": len(book.told),
         "sends": 2 * len(book.told),
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -48,18 +48,18 @@
     :return: the account, the world, and the goodput's bound in tokens a second.
     """
     size = USERS[user]
-    world = World(size, seed=seed, full_checks=False, report_s=report_s)
+    world = World(size, seed=seed, full_checks=False, report_interval_s=report_s)
     world.declare()
-    world.settle(90.0)
+    world.run_until_resident(90.0)
     for engine in world.engines.values():
         engine.faults.report_lag_s = lag_s
-    for node in world.living():
+    for node in world.live_nodes():
         node.state.routing_override = policy.routing
         node.state.admission_on = policy.admission
     start = world.clock.now
     end = start + 10.0 + length_s
     account = Account(start + 10.0, end)
-    world.on_told = account.take
+    world.on_result = account.take
     capacity = capacity_of(world)
     rates = skewed(models_of(size), load * capacity / MEAN_TOKENS)
     Traffic(world, lambda now: rates, seed, end)
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -9,8 +9,8 @@
 
 from rookspring_core import InvariantBroken
 from rookspring_fakes.disturbances import DISTURBANCES
-from rookspring_fakes.disturbances import Calls
-from rookspring_fakes.disturbances import steady
+from rookspring_fakes.disturbances import UnrepeatableCallers
+from rookspring_fakes.disturbances import send_steady_traffic
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
 
@@ -45,13 +45,13 @@
         USERS[case.user],
         seed=case.seed,
         nodes=chance.randint(3, 6),
-        checks=lambda number: number % 4 >= unchecked,
+        checks_orders=lambda number: number % 4 >= unchecked,
     )
     world.declare()
-    world.settle(120.0)
+    world.run_until_resident(120.0)
     start = world.clock.now
-    Calls(world, case.seed, start + 70.0)
-    steady(world, case.seed, start + 70.0, load=0.2 + 0.4 * chance.random())
+    UnrepeatableCallers(world, case.seed, start + 70.0)
+    send_steady_traffic(world, case.seed, start + 70.0, load=0.2 + 0.4 * chance.random())
     for at, name in case.faults:
         world.clock.call(at, DISTURBANCES[name], world, random.Random(case.seed))
     try:
@@ -89,7 +89,7 @@
         found, world = play(case)
         faults.update(name for _, name in case.faults)
         steps += world.clock.steps
-        requests += len(world.asked)
+        requests += len(world.sent_requests)
         if found:
             failures.append((shorten(case), found))
             print(f"FAILED seed {seed}: {found[0]}\n  shortened: {failures[-1][0]}")
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -4,8 +4,8 @@
 import typing as t
 
 from rookspring_fakes.users import UserSize
-from rookspring_fakes.world import Asked
-from rookspring_fakes.world import Told
+from rookspring_fakes.world import CallerRequest
+from rookspring_fakes.world import RequestResult
 from rookspring_fakes.world import World
 
 TOKENS = (20, 60, 120, 200)
@@ -27,7 +27,7 @@
         self.waits: list[float] = []
         self.met_at: list[tuple[float, bool]] = []
 
-    def take(self, asked: Asked, told: Told) -> None:
+    def take(self, asked: CallerRequest, told: RequestResult) -> None:
         """Count one end: shares by when a request was asked, goodput by when it ended."""
         if self.since <= told.at < self.until and told.at <= asked.deadline_at:
             self.good_tokens += asked.tokens if told.outcome == "ran" else 0
@@ -88,7 +88,7 @@
         priority = self.random.choices([one for one, _ in MIX], [part for _, part in MIX])[0]
         tokens = self.random.choice(TOKENS)
         prefix = self.random.randrange(1, self.prefixes + 1) if self.prefixes else 0
-        self.world.ask(
+        self.world.send_request(
             self.random.choice(nodes),
             model,
             tokens,
--- a/features/run.py
+++ b/features/run.py
@@ -14,19 +14,19 @@
 import sys
 import tempfile
 import typing as t
-from behave.__main__ import main as behave
 
+from behave.__main__ import main as behave
 
 KNOWN = pathlib.Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-DAY = "run:"
+RUN_PREFIX = "run:"
 # The number of fields of a line, and the highest number of lines.
-KNOWN_PARTS = 4
-KNOWN_MOST = 8
+KNOWN_FIELDS = 4
+KNOWN_LINES_MAX = 8
 # Features that run in parallel, each in its own process. Run one after another, all features took
 # 8.5 minutes on 8 cores.
-AT_ONCE = 4
+FEATURES_MAX = 4
 # Approximate durations of the slowest features, in seconds; the slowest are started first.
-SLOW = {
+DURATIONS_S = {
     "organisations": 240,
     "rate_limits": 200,
     "processes": 90,
@@ -37,22 +37,22 @@
     "relay_sockets": 40,
 }
 # Flag of a subprocess: it is followed by the path to write the report to.
-REPORT = "--report"
+REPORT_FLAG = "--report"
 
 
-class Ran(t.NamedTuple):
+class FeatureRun(t.NamedTuple):
     """The result of a run of features: behave's exit code and report."""
 
     code: int
     report: list[t.Any]
 
 
-class Verdict(t.NamedTuple):
+class ScenarioCounts(t.NamedTuple):
     """The number of scenarios that passed and failed, and of listed scenarios that did fail."""
 
     passed: int
     failed: int
-    red: int
+    known_failures: int
 
 
 def read_known(text: str) -> dict[str, str]:
@@ -68,15 +68,15 @@
         if not line.strip() or line.startswith("#"):
             continue
         parts = line.split(";")
-        if len(parts) != KNOWN_PARTS or not all(part.strip() for part in parts):
+        if len(parts) != KNOWN_FIELDS or not all(part.strip() for part in parts):
             raise ValueError(f"KNOWN-RED.txt: {line!r}: SCENARIO; cause; command; issue")
         known[parts[0].strip()] = line
-    if len(known) > KNOWN_MOST:
-        raise ValueError(f"KNOWN-RED.txt: {len(known)} lines; {KNOWN_MOST} at most")
+    if len(known) > KNOWN_LINES_MAX:
+        raise ValueError(f"KNOWN-RED.txt: {len(known)} lines; {KNOWN_LINES_MAX} at most")
     return known
 
 
-def count(report: str, known: dict[str, str], whole: bool) -> Verdict:
+def count_scenarios(report: str, known: dict[str, str], whole: bool) -> ScenarioCounts:
     """Count the scenarios in behave's report; one that did not pass counts as failed.
 
     :param whole: whether all features were run, so that each listed scenario must be present.
@@ -101,15 +101,15 @@
             else:
                 failed += 1
     for name, line in known.items():
-        if name.startswith(DAY) or still_failing.get(name, False):
+        if name.startswith(RUN_PREFIX) or still_failing.get(name, False):
             print(f"known red: {line}")
         elif name in still_failing or whole:
             failed += 1
             print(f"listed in KNOWN-RED.txt, but does not fail: {name}")
-    return Verdict(passed, failed, sum(still_failing.values()))
+    return ScenarioCounts(passed, failed, sum(still_failing.values()))
 
 
-def run_behave(arguments: list[str]) -> Ran:
+def run_behave(arguments: list[str]) -> FeatureRun:
     """Run features in this process."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "report.json"
@@ -117,33 +117,35 @@
         options += ["--no-skipped", "--logging-level", "ERROR", *arguments]
         code = behave(options)
         text = path.read_text() if path.exists() else ""
-    return Ran(code, json.loads(text or "[]"))
+    return FeatureRun(code, json.loads(text or "[]"))
 
 
-def run_apart(feature: pathlib.Path) -> Ran:
+def run_in_subprocess(feature: pathlib.Path) -> FeatureRun:
     """Run one feature in a subprocess, and print its output once it has ended."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "report.json"
-        command = [sys.executable, __file__, REPORT, str(path), str(feature)]
+        command = [sys.executable, __file__, REPORT_FLAG, str(path), str(feature)]
         done = subprocess.run(command, capture_output=True, text=True, check=False)
         text = path.read_text() if path.exists() else ""
     sys.stdout.write(done.stdout + done.stderr)
     # Without a report the feature counts as failed, whatever the exit code.
     report = json.loads(text) if text else [{"status": "error"}]
-    return Ran(done.returncode, report)
+    return FeatureRun(done.returncode, report)
 
 
-def run_all(folder: pathlib.Path) -> Ran:
+def run_all(folder: pathlib.Path) -> FeatureRun:
     """Run all features, ``FEATURES_MAX`` in parallel, each in its own process."""
-    features = sorted(folder.glob("*.feature"), key=lambda one: (-SLOW.get(one.stem, 0), one.name))
-    with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
-        runs = list(pool.map(run_apart, features))
-    return Ran(max(one.code for one in runs), [row for one in runs for row in one.report])
+    features = sorted(
+        folder.glob("*.feature"), key=lambda one: (-DURATIONS_S.get(one.stem, 0), one.name)
+    )
+    with concurrent.futures.ThreadPoolExecutor(FEATURES_MAX) as pool:
+        runs = list(pool.map(run_in_subprocess, features))
+    return FeatureRun(max(one.code for one in runs), [row for one in runs for row in one.report])
 
 
 def main(arguments: list[str]) -> int:
     """Run all features, or behave with the given arguments, and return the exit code."""
-    if arguments and arguments[0] == REPORT:
+    if arguments and arguments[0] == REPORT_FLAG:
         ran = run_behave(arguments[2:])
         pathlib.Path(arguments[1]).write_text(json.dumps(ran.report))
         return int(ran.code != 0)
@@ -154,7 +156,9 @@
     else:
         ran = run_behave([*arguments, "features"])
     known = read_known(KNOWN.read_text()) if KNOWN.exists() else {}
-    passed, failed, known_failures = count(json.dumps(ran.report), known, whole=not arguments)
+    passed, failed, known_failures = count_scenarios(
+        json.dumps(ran.report), known, whole=not arguments
+    )
     if passed == 0 or (ran.code != 0 and failed + known_failures == 0):
         failed += 1
     print(f"{passed} passed, {failed} failed")
--- a/features/steps/house_steps.py
+++ b/features/steps/house_steps.py
@@ -10,7 +10,7 @@
 from behave import then
 from behave import when
 from field_readers import find_unread
-from run import count
+from run import count_scenarios
 from run import read_known
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
@@ -125,7 +125,7 @@
 @when("its results are compared with the list of known failures: {lines}")
 def compared(context, lines):
     known = read_known("" if lines == "none" else lines)
-    context.verdict = count(context.report, known, whole=True)
+    context.verdict = count_scenarios(context.report, known, whole=True)
 
 
 @then("it counts {passed:d} passed and {failed:d} failed")
--- a/features/steps/operation_steps.py
+++ b/features/steps/operation_steps.py
@@ -11,7 +11,7 @@
 from rookspring.logs import EVENTS
 from rookspring.metrics import Metrics
 from rookspring_fakes.users import USERS
-from rookspring_fakes.users import declare
+from rookspring_fakes.users import list_resources
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
 
@@ -101,7 +101,7 @@
 @then("examples/{name}.yaml declares the resources of {user}")
 def example_declares(context, name, user):
     found = list(yaml.safe_load_all((ROOT / f"examples/{name}.yaml").read_text()))
-    assert found == declare(USERS[user])
+    assert found == list_resources(USERS[user])
 
 
 @then("each log event of the packages is declared")
--- a/features/steps/world_steps.py
+++ b/features/steps/world_steps.py
@@ -1,5 +1,6 @@
 import os
 import random
+
 from behave import given
 from behave import then
 from behave import when
@@ -7,19 +8,18 @@
 from hypothesis import given as given_drawn
 from hypothesis import settings
 from hypothesis import strategies
-from rookspring_fakes.disturbances import Calls
+
 from rookspring_fakes.disturbances import DISTURBANCES
-from rookspring_fakes.disturbances import steady
+from rookspring_fakes.disturbances import UnrepeatableCallers
+from rookspring_fakes.disturbances import send_steady_traffic
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
 
 
-
-
 def make_world(user, seed):
-    world = World(USERS[user], seed=seed, checks=lambda number: number % 3 != 2)
+    world = World(USERS[user], seed=seed, checks_orders=lambda number: number % 3 != 2)
     world.declare()
-    world.settle(120.0)
+    world.run_until_resident(120.0)
     return world
 
 
@@ -31,8 +31,8 @@
 
 def run_faults(world, names, seed, seconds=40.0):
     start = world.clock.now
-    calls = Calls(world, seed, start + seconds)
-    steady(world, seed, start + seconds, load=0.3)
+    calls = UnrepeatableCallers(world, seed, start + seconds)
+    send_steady_traffic(world, seed, start + seconds, load=0.3)
     rng = random.Random(seed)
     for name in names:
         world.clock.call(5.0 + 10.0 * rng.random(), DISTURBANCES[name], world, rng)
@@ -55,23 +55,25 @@
     world = context.world
     met = [
         one
-        for one in world.asked.values()
-        if one.request_id in world.told
-        and world.told[one.request_id].outcome == "ran"
-        and world.told[one.request_id].at <= one.deadline_at
+        for one in world.sent_requests.values()
+        if one.request_id in world.results
+        and world.results[one.request_id].outcome == "ran"
+        and world.results[one.request_id].at <= one.deadline_at
     ]
-    share = 100.0 * len(met) / len(world.asked)
+    share = 100.0 * len(met) / len(world.sent_requests)
     outcomes = {}
-    for told in world.told.values():
-        outcomes[told.outcome, told.reason] = outcomes.get((told.outcome, told.reason), 0) + 1
-    unanswered = set(world.asked) - set(world.told)
+    for result in world.results.values():
+        outcomes[result.outcome, result.reason] = (
+            outcomes.get((result.outcome, result.reason), 0) + 1
+        )
+    unanswered = set(world.sent_requests) - set(world.results)
     assert not unanswered, f"{len(unanswered)} requests were never answered"
     assert share >= least, f"{share:.1f}: {outcomes}"
 
 
 @then("every declared model is reachable at the end")
 def reachable(context):
-    context.world.settle(context.world.clock.now + 60.0)
+    context.world.run_until_resident(context.world.clock.now + 60.0)
     assert context.world.resident_everywhere()
 
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/caller.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/caller.py
@@ -1,14 +1,14 @@
 """A caller that looks up entry addresses, caches them until they expire, and resumes streams."""
 
-import aiohttp
 import asyncio
-import orjson
 import random
 import time
 import typing as t
-from .engine import token_text
 
+import aiohttp
+import orjson
 
+from .engine import token_text
 
 
 class Answer(t.NamedTuple):
@@ -25,7 +25,7 @@
     text: str
     tokens: int
     resumed: int
-    first_s: float
+    first_token_s: float
     total_s: float
     cut: bool = False
     reason: str = ""
@@ -52,7 +52,7 @@
         """Close all connections."""
         await self.session.close()
 
-    def forget(self) -> None:
+    def expire_addresses(self) -> None:
         """Look addresses up again before the next use."""
         self._expires_at = 0.0
 
@@ -109,7 +109,7 @@
             ended = await self._read(address, body, extra, state, begun)
             if ended is not None:
                 return ended
-            self.forget()
+            self.expire_addresses()
             state.resumed += 1
             state.cut_at = state.cut_at or time.monotonic()
             await asyncio.sleep(0.05 * (1 + self._random.random()))
@@ -153,7 +153,7 @@
                         return str(orjson.loads(await response.read())["session"])
             except (aiohttp.ClientError, TimeoutError, OSError):
                 pass
-            self.forget()
+            self.expire_addresses()
             await asyncio.sleep(0.05)
         return None
 
@@ -180,14 +180,14 @@
             ) as response:
                 raw = await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
-            self.forget()
+            self.expire_addresses()
             return "broken", 0
         if response.status < 400:
             return "ran", response.status
         answer = orjson.loads(raw)
         return str(answer.get("outcome", "ran")), response.status
 
-    async def call_surely(
+    async def call_until_known(
         self, service: str, path: str, body: dict[str, t.Any], key: str, tries: int = 6
     ) -> str:
         """Call with an idempotency key and retry with the same key until the outcome is known."""
--- a/packages/rookspring-fakes/src/rookspring_fakes/disturbances.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/disturbances.py
@@ -2,12 +2,12 @@
 
 import random
 import typing as t
-from .world import Asked
-from .world import Told
+
+from .world import CallerRequest
+from .world import RequestResult
 from .world import VirtualNode
 from .world import World
 
-
 Disturbance = t.Callable[[World, random.Random], None]
 DISTURBANCES: dict[str, Disturbance] = {}
 OUTAGE_S = 20.0
@@ -23,9 +23,9 @@
     return register
 
 
-def holder_of(world: World) -> VirtualNode | None:
+def find_lease_holder(world: World) -> VirtualNode | None:
     """Return the live, unpaused node that holds the lease, if there is one."""
-    for node in world.living():
+    for node in world.live_nodes():
         if not node.paused and node.state.control.lease.holding(world.clock.now):
             return node
     return None
@@ -39,8 +39,8 @@
 @disturbance("the lease holder is killed")
 def kill_holder(world: World, rng: random.Random) -> None:
     """Kill the holder and start a new node under its name 15 s later."""
-    node = holder_of(world) or world.living()[0]
-    if len(world.living()) < 2:
+    node = find_lease_holder(world) or world.live_nodes()[0]
+    if len(world.live_nodes()) < 2:
         return
     world.kill_node(node.name)
     world.clock.call(15.0, _restart_node, world, node.name)
@@ -48,13 +48,13 @@
 
 def _restart_node(world: World, name: str) -> None:
     if not world.nodes[name].alive:
-        world.raise_node(name)
+        world.start_node(name)
 
 
 @disturbance("the lease holder is paused past its lease")
 def pause_holder(world: World, rng: random.Random) -> None:
     """Pause the holder's process for longer than its lease lasts."""
-    node = holder_of(world)
+    node = find_lease_holder(world)
     if node is not None:
         world.pause_node(node.name, 12.0)
 
@@ -62,33 +62,33 @@
 @disturbance("a runner dies")
 def kill_runner(world: World, rng: random.Random) -> None:
     """Kill a runner for good, unless only three are left."""
-    living = sorted(set(world.engines) - world.dead_engines)
+    living = sorted(set(world.engines) - world.crashed_engines)
     if len(living) > 3:
         world.kill_engine(rng.choice(living))
 
 
 @disturbance("a runner dies and comes back")
-def bounce_runner(world: World, rng: random.Random) -> None:
+def restart_runner(world: World, rng: random.Random) -> None:
     """Kill a runner and restart it, with no models, 8 s later."""
-    living = sorted(set(world.engines) - world.dead_engines)
+    living = sorted(set(world.engines) - world.crashed_engines)
     if len(living) > 3:
         name = rng.choice(living)
         world.kill_engine(name)
-        world.clock.call(8.0, world.revive_engine, name)
+        world.clock.call(8.0, world.restart_engine, name)
 
 
 @disturbance("a runner is leaving")
-def leave_runner(world: World, rng: random.Random) -> None:
+def drain_runner(world: World, rng: random.Random) -> None:
     """Make a runner refuse new work, unless only four are left."""
-    living = sorted(set(world.engines) - world.dead_engines - set(world.leaving_at))
+    living = sorted(set(world.engines) - world.crashed_engines - set(world.leaving_at))
     if len(living) > 4:
-        world.leave_engine(rng.choice(living))
+        world.drain_engine(rng.choice(living))
 
 
 @disturbance("a node is drained")
 def drain_node(world: World, rng: random.Random) -> None:
     """Drain a node; a new one starts under its name 15 s later, if it has stopped."""
-    living = world.living()
+    living = world.live_nodes()
     if len(living) > 1:
         _drain(world, rng.choice(living))
 
@@ -101,17 +101,17 @@
 
 
 @disturbance("all nodes are replaced one after another")
-def replace_all(world: World, rng: random.Random) -> None:
+def replace_all_nodes(world: World, rng: random.Random) -> None:
     """Drain the nodes one after another, 10 s apart, and restart each."""
-    for number, node in enumerate(world.living()):
+    for number, node in enumerate(world.live_nodes()):
         world.clock.call(10.0 * number, _drain, world, node)
 
 
 @disturbance("the platform is down")
 def stop_platform(world: World, rng: random.Random) -> None:
     """Make the platform unreachable for ``OUTAGE_S``."""
-    world.platform.outage = True
-    world.clock.call(OUTAGE_S, _set, world.platform, "outage", False)
+    world.platform_faults.outage = True
+    world.clock.call(OUTAGE_S, _set, world.platform_faults, "outage", False)
 
 
 def _set(target: t.Any, field: str, value: t.Any) -> None:
@@ -125,25 +125,25 @@
 
 
 @disturbance("the platform applies writes without answering")
-def hide_answers(world: World, rng: random.Random) -> None:
+def lose_answers(world: World, rng: random.Random) -> None:
     """Lose half of the platform's answers to writes that were applied."""
-    _set_temporarily(world, world.platform, "applied_unanswered", 0.5)
+    _set_temporarily(world, world.platform_faults, "applied_unanswered", 0.5)
     _change_versions(world, rng)
 
 
 @disturbance("orders are lost")
 def lose_orders(world: World, rng: random.Random) -> None:
     """Lose a third of all orders."""
-    _set_temporarily(world, world.orders, "lose", 0.33)
+    _set_temporarily(world, world.order_faults, "lose", 0.33)
     _change_versions(world, rng)
 
 
 @disturbance("orders are late and doubled")
 def delay_orders(world: World, rng: random.Random) -> None:
     """Delay some orders by up to 25 s, and deliver some twice."""
-    _set_temporarily(world, world.orders, "delay_share", 0.3)
-    _set_temporarily(world, world.orders, "delay_s", 25.0)
-    _set_temporarily(world, world.orders, "repeat", 0.3)
+    _set_temporarily(world, world.order_faults, "delay_share", 0.3)
+    _set_temporarily(world, world.order_faults, "delay_s", 25.0)
+    _set_temporarily(world, world.order_faults, "repeat", 0.3)
     _change_versions(world, rng)
 
 
@@ -157,12 +157,12 @@
 @disturbance("two nodes are cut off from each other")
 def cut_nodes(world: World, rng: random.Random) -> None:
     """Break the network between two nodes."""
-    names = sorted(node.name for node in world.living())
+    names = sorted(node.name for node in world.live_nodes())
     if len(names) < 2:
         return
     pair = frozenset(rng.sample(names, 2))
-    world.cut.add(pair)
-    world.clock.call(OUTAGE_S, world.cut.discard, pair)
+    world.cut_links.add(pair)
+    world.clock.call(OUTAGE_S, world.cut_links.discard, pair)
 
 
 @disturbance("a service breaks answers")
@@ -192,17 +192,17 @@
 
 
 @disturbance("a data centre's runners die")
-def kill_place(world: World, rng: random.Random) -> None:
+def kill_data_centre(world: World, rng: random.Random) -> None:
     """Kill all runners of one data centre and restart them, with no models, 60 s later."""
     data_centre = world.size.data_centres[0]
     for name in sorted(world.engines):
         row = world.boxes.get(name)
-        if row is not None and row.data_centre == data_centre and name not in world.dead_engines:
+        if row is not None and row.data_centre == data_centre and name not in world.crashed_engines:
             world.kill_engine(name)
-            world.clock.call(60.0, world.revive_engine, name)
+            world.clock.call(60.0, world.restart_engine, name)
 
 
-def steady(world: World, seed: int, until: float, load: float) -> None:
+def send_steady_traffic(world: World, seed: int, until: float, load: float) -> None:
     """Send requests to random models at a steady rate.
 
     :param until: virtual time at which to stop, in seconds.
@@ -219,13 +219,13 @@
         nodes = world.ready()
         model = f"{world.size.engine}-{rng.randrange(world.size.models):02d}"
         if nodes:
-            world.ask(rng.choice(nodes), model, tokens, "normal", 15.0)
+            world.send_request(rng.choice(nodes), model, tokens, "normal", 15.0)
         world.clock.call(period * (0.5 + rng.random()), send_next)
 
     world.clock.call(0.0, send_next)
 
 
-class Calls:
+class UnrepeatableCallers:
     """Callers of unrepeatable calls, which retry a call with its key until its outcome is known."""
 
     def __init__(self, world: World, seed: int, until: float) -> None:
@@ -235,7 +235,7 @@
         self.count = 0
         self._sessions: dict[str, tuple[VirtualNode, str]] = {}
         self._pending: dict[str, tuple[str, str, int, int]] = {}
-        world.on_told = self._retry
+        world.on_result = self._retry
         world.clock.call(0.0, self._next)
 
     def _next(self) -> None:
@@ -256,7 +256,7 @@
 
     def _send(self, session: str, call: str, tries: int) -> None:
         node, _ = self._sessions[session]
-        request_id = self.world.ask(
+        request_id = self.world.send_request(
             node,
             self.world.size.service,
             1,
@@ -269,7 +269,7 @@
         )
         self._pending[request_id] = (session, call, tries, self.count)
 
-    def _retry(self, request: Asked, result: Told) -> None:
+    def _retry(self, request: CallerRequest, result: RequestResult) -> None:
         found = self._pending.pop(request.request_id, None)
         if found is None or result.outcome == "ran":
             return
--- a/packages/rookspring-fakes/src/rookspring_fakes/carrying.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/effect_registry.py
@@ -1,8 +1,8 @@
 """Registry of the functions that perform effects in the simulation, and encoding of objects."""
 
-import orjson
 import typing as t
 
+import orjson
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
--- a/packages/rookspring-fakes/src/rookspring_fakes/effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/effects.py
@@ -3,9 +3,9 @@
 from . import order_effects as order_effects
 from . import platform_effects as platform_effects
 from . import request_effects as request_effects
-from .carrying import PERFORMERS as PERFORMERS
-from .carrying import pack as pack
-from .carrying import perform as perform
-from .carrying import unpack as unpack
+from .effect_registry import PERFORMERS as PERFORMERS
+from .effect_registry import pack as pack
+from .effect_registry import perform as perform
+from .effect_registry import unpack as unpack
 from .request_effects import break_stream as break_stream
-from .request_effects import report_of as report_of
+from .request_effects import make_report as make_report
--- a/packages/rookspring-fakes/src/rookspring_fakes/engine.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/engine.py
@@ -9,10 +9,10 @@
 import heapq
 import typing as t
 import zlib
-from .faults import Faults
 
+from .faults import Faults
 
-Weights = tuple[str, str]
+WeightsKey = tuple[str, str]
 
 
 class NotRun(Exception):
@@ -24,12 +24,12 @@
 
     token: tuple[int, int]
     action: str
-    key: Weights
+    key: WeightsKey
     gb: float
     incarnation: str = ""
 
 
-class Generation(t.NamedTuple):
+class GenerationRequest(t.NamedTuple):
     """A request for the tokens from ``offset`` up to ``total``.
 
     :param rank: priority in the engine's queue; a higher rank runs first.
@@ -49,15 +49,23 @@
 class Stream:
     """The state of one stream of an engine."""
 
-    __slots__ = ("asked", "cancelled", "end_mark", "ended_at", "reader", "start_mark", "started")
-
-    def __init__(self, asked: Generation) -> None:
-        self.asked = asked
+    __slots__ = (
+        "request",
+        "cancelled",
+        "end_progress",
+        "ended_at",
+        "reader",
+        "start_progress",
+        "started",
+    )
+
+    def __init__(self, request: GenerationRequest) -> None:
+        self.request = request
         self.started = False
         self.cancelled = False
         self.ended_at: float | None = None
-        self.start_mark = 0.0
-        self.end_mark = 0.0
+        self.start_progress = 0.0
+        self.end_progress = 0.0
         # The number of times the stream was resumed, which identifies its latest connection.
         self.reader = 0
 
@@ -124,15 +132,15 @@
         self.incarnation = incarnation
         self.faults = Faults(seed)
         self.now = 0.0
-        self.mark = 0.0
-        self.watched_at = -1.0
+        self.progress = 0.0
+        self.next_check_at = -1.0
         self.streams: dict[str, Stream] = {}
         self.running: set[str] = set()
         self._ends: list[tuple[float, str]] = []
         self._queue: list[tuple[int, float, str]] = []
         self._ended: list[str] = []
-        self.resident: dict[Weights, float] = {}
-        self.loading: dict[Weights, tuple[float, float]] = {}
+        self.resident: dict[WeightsKey, float] = {}
+        self.loading: dict[WeightsKey, tuple[float, float]] = {}
         self.adapters: dict[str, float] = {}
         self.order_token = (0, 0)
         self.leaving = False
@@ -155,7 +163,7 @@
         times = [done for done, _ in self.loading.values()]
         self._drop_ended()
         if self._ends:
-            times.append(self.now + max(0.0, self._ends[0][0] - self.mark) / self.rate())
+            times.append(self.now + max(0.0, self._ends[0][0] - self.progress) / self.rate())
         return min(times, default=float("inf"))
 
     def _drop_ended(self) -> None:
@@ -181,7 +189,7 @@
     def _advance_progress(self, now: float) -> None:
         passed = max(0.0, now - self.now)
         self.served_tokens += passed * self.rate() * len(self.running)
-        self.mark += passed * self.rate()
+        self.progress += passed * self.rate()
         self.now = max(self.now, now)
 
     def _complete_due(self) -> None:
@@ -191,7 +199,7 @@
                 self.resident[key] = gb
                 self.store.end()
         self._drop_ended()
-        while self._ends and self._ends[0][0] <= self.mark + 1e-6:
+        while self._ends and self._ends[0][0] <= self.progress + 1e-6:
             _, name = heapq.heappop(self._ends)
             if name in self.running:
                 self.running.discard(name)
@@ -207,16 +215,18 @@
             if stream.cancelled:
                 continue
             stream.started = True
-            stream.start_mark = self.mark + stream.asked.prefill / 50.0
-            stream.end_mark = stream.start_mark + stream.asked.total - stream.asked.offset
+            stream.start_progress = self.progress + stream.request.prefill / 50.0
+            stream.end_progress = (
+                stream.start_progress + stream.request.total - stream.request.offset
+            )
             self.running.add(name)
-            heapq.heappush(self._ends, (stream.end_mark, name))
+            heapq.heappush(self._ends, (stream.end_progress, name))
 
     def hosts(self, model: str) -> bool:
         """Return whether any version of a model is resident."""
         return any(key[0] == model for key in self.resident)
 
-    def submit(self, now: float, asked: Generation) -> Stream:
+    def submit(self, now: float, request: GenerationRequest) -> Stream:
         """Queue a request.
 
         :raises NotRun: if the engine refuses it.
@@ -224,31 +234,31 @@
         self.advance(now)
         if self.leaving:
             raise NotRun("leaving")
-        if not self.hosts(asked.model):
+        if not self.hosts(request.model):
             raise NotRun("not_resident")
-        if asked.adapter and asked.adapter not in self.adapters:
+        if request.adapter and request.adapter not in self.adapters:
             raise NotRun("adapter_not_attached")
-        known = self.streams.get(asked.stream_id)
+        known = self.streams.get(request.stream_id)
         if known is not None:
             raise NotRun("duplicate")
-        prefix = zlib.crc32(asked.prompt[:64].encode())
+        prefix = zlib.crc32(request.prompt[:64].encode())
         if prefix in self.cache:
-            asked = asked._replace(prefill=0)
+            request = request._replace(prefill=0)
         self.cache[prefix] = now
-        stream = Stream(asked)
-        self.streams[asked.stream_id] = stream
-        heapq.heappush(self._queue, (-asked.rank, now, asked.stream_id))
+        stream = Stream(request)
+        self.streams[request.stream_id] = stream
+        heapq.heappush(self._queue, (-request.rank, now, request.stream_id))
         self._start_queued()
         return stream
 
     def produced(self, stream: Stream) -> int:
         """Return the offset up to which a stream's tokens have been generated."""
         if not stream.started:
-            return stream.asked.offset
+            return stream.request.offset
         if stream.ended_at is not None:
-            return stream.asked.total
-        made = int(self.mark - stream.start_mark + 1e-6)
-        return min(stream.asked.total, stream.asked.offset + max(0, made))
+            return stream.request.total
+        made = int(self.progress - stream.start_progress + 1e-6)
+        return min(stream.request.total, stream.request.offset + max(0, made))
 
     def cancel(self, now: float, stream_id: str, reader: int | None = None) -> bool:
         """Cancel a stream, unless a later connection than ``reader`` reads it now."""
@@ -266,12 +276,12 @@
         self._start_queued()
         return True
 
-    def committed(self) -> float:
+    def used_memory_gb(self) -> float:
         """Return the memory used by resident and loading weights and adapters, in gigabytes."""
         loading = sum(gb for _, gb in self.loading.values())
         return sum(self.resident.values()) + loading + sum(self.adapters.values())
 
-    def order(self, now: float, order: Order) -> tuple[bool, str]:
+    def apply_order(self, now: float, order: Order) -> tuple[bool, str]:
         """Carry out an order.
 
         An engine that checks orders refuses one that is meant for another incarnation, or whose
@@ -304,7 +314,7 @@
             return True, ""
         if order.key in self.resident or order.key in self.loading:
             return True, "there already"
-        if self.committed() + order.gb > self.memory_gb + 1e-6:
+        if self.used_memory_gb() + order.gb > self.memory_gb + 1e-6:
             self.overcommits += 1
             return False, "no memory"
         if order.action == "attach":
@@ -330,7 +340,7 @@
             "resident": [list(key) for key in sorted(self.resident)],
             "loading": [list(key) for key in sorted(self.loading)],
             "adapters": sorted(self.adapters),
-            "held_gb": self.committed(),
+            "held_gb": self.used_memory_gb(),
             "leaving": self.leaving,
             "checks_orders": self.checks_orders,
             "order_token": list(self.order_token),
@@ -344,7 +354,7 @@
         self._reports = [row for row in self._reports if row[0] >= chosen[0]]
         return {**chosen[1], "age_s": max(0.0, now - chosen[0])}
 
-    def forget(self, now: float, keep_s: float = 30.0) -> None:
+    def drop_ended_streams(self, now: float, keep_s: float = 30.0) -> None:
         """Delete streams that ended more than ``keep_s`` seconds ago."""
         for name, stream in list(self.streams.items()):
             if stream.ended_at is not None and now - stream.ended_at > keep_s:
--- a/packages/rookspring-fakes/src/rookspring_fakes/loops.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/node_loops.py
@@ -1,9 +1,7 @@
 """The periodic tasks of each simulated node: ticks, platform reads, heartbeats and polls."""
 
 import typing as t
-from .carrying import performs
-from .carrying import unpack
-from .request_effects import report_of
+
 from rookspring_core.cluster import inflight_rows
 from rookspring_core.effects import Announce
 from rookspring_core.events import BoxListReceived
@@ -14,7 +12,9 @@
 from rookspring_core.events import RevisionSeen
 from rookspring_core.events import Ticked
 
-
+from .effect_registry import performs
+from .effect_registry import unpack
+from .request_effects import make_report
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -68,11 +68,11 @@
 
 def _follow_head(world: "World", node: "VirtualNode") -> None:
     if node.state.membership.is_relay() and _check_platform(world, node):
-        show_head(world, node)
+        send_published_revision(world, node)
     _reschedule(world, node, 0.3, _follow_head)
 
 
-def show_head(world: "World", node: "VirtualNode") -> None:
+def send_published_revision(world: "World", node: "VirtualNode") -> None:
     """Send a node the newest published revision, if it has an older one."""
     if not world.published:
         return
@@ -84,11 +84,11 @@
 
 def _heartbeat(world: "World", node: "VirtualNode") -> None:
     if not node.paused:
-        send_beat(world, node)
+        send_heartbeat(world, node)
     _reschedule(world, node, 1.0, _heartbeat)
 
 
-def send_beat(world: "World", node: "VirtualNode") -> None:
+def send_heartbeat(world: "World", node: "VirtualNode") -> None:
     """Send a node's heartbeat to all live nodes that it can reach."""
     state = node.state
     beat = HeartbeatReceived(
@@ -97,14 +97,14 @@
         incarnation=state.identity.incarnation,
         address=node.name,
         caller_address=node.name,
-        data_centre=node.place,
+        data_centre=node.data_centre,
         revision=state.catalogue.revision,
         leaving=state.leaving,
         demand=tuple(state.control.meter.rates.items()),
         team_demand=state.limits.demand(),
         inflight=inflight_rows(state),
     )
-    for other in world.living():
+    for other in world.live_nodes():
         if other is not node and world.reachable(node.name, other.name):
             world.clock.call(world.latency_s, _receive_heartbeat, world, other, node, beat)
 
@@ -127,24 +127,24 @@
     if not node.paused and node.alive:
         for view in list(node.state.endpoints.values()):
             poller = node.state.membership.poller_of(view.name, view.data_centre)
-            overdue = world.clock.now - view.reported_at > 4 * world.report_s + 2.0
+            overdue = world.clock.now - view.reported_at > 4 * world.report_interval_s + 2.0
             if poller == node.name or overdue:
                 _poll_one(world, node, view.name)
-    period = world.report_s * (0.9 + 0.2 * world.random.random())
+    period = world.report_interval_s * (0.9 + 0.2 * world.random.random())
     _reschedule(world, node, period, _poll)
 
 
 def _poll_one(world: "World", node: "VirtualNode", endpoint: str) -> None:
-    if endpoint in world.dead_engines or not world.reachable(node.name, endpoint):
+    if endpoint in world.crashed_engines or not world.reachable(node.name, endpoint):
         node.submit(ReportMissed(world.clock.now, endpoint))
         return
-    report = report_of(world, endpoint)
-    for other in world.living():
+    report = make_report(world, endpoint)
+    for other in world.live_nodes():
         if other is node or world.reachable(node.name, other.name):
             world.clock.call(world.latency_s, other.submit, report)
 
 
-def begin(world: "World", node: "VirtualNode") -> None:
+def start_loops(world: "World", node: "VirtualNode") -> None:
     """Start all periodic tasks of a node, each after a random delay."""
     for loop, first in (
         (_tick, 0.05),
@@ -159,4 +159,4 @@
 
 @performs(Announce)
 def _announce(world: "World", node: "VirtualNode", effect: Announce) -> None:
-    send_beat(world, node)
+    send_heartbeat(world, node)
--- a/packages/rookspring-fakes/src/rookspring_fakes/object_platform.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/object_platform.py
@@ -63,18 +63,18 @@
     async def restore(self, copy: StoreBackup) -> None:
         """Restore the store from a backup and wake its watches, whose version may be gone."""
         self.store.restore(copy)
-        await self._tell()
+        await self._notify_watchers()
 
     async def write(self, kind: str, name: str, spec: t.Any) -> int:
         """Write an object unconditionally, as the operator or a model server does."""
         stored = self.store.put(kind, name, orjson.dumps(spec), None)
-        await self._tell()
+        await self._notify_watchers()
         return stored.version
 
     async def remove(self, kind: str, name: str) -> None:
         """Delete an object."""
         self.store.delete(kind, name, None)
-        await self._tell()
+        await self._notify_watchers()
 
     async def _list_or_watch(self, request: web.Request) -> web.Response:
         if "watch" in request.query:
@@ -125,7 +125,7 @@
 
     async def _write(self, kind: str, name: str, spec: t.Any, expected: int | None) -> web.Response:
         stored = self.store.put(kind, name, orjson.dumps(spec), expected)
-        await self._tell()
+        await self._notify_watchers()
         return web.json_response(_object(stored))
 
     async def _delete(self, request: web.Request) -> web.Response:
@@ -133,7 +133,7 @@
         known = self.store.get(info["kind"], info["name"])
         revision = request.query.get("revision")
         self.store.delete(info["kind"], info["name"], int(revision) if revision else None)
-        await self._tell()
+        await self._notify_watchers()
         return web.json_response(_object(known))
 
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/order_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/order_effects.py
@@ -1,16 +1,16 @@
 """Delivery of orders in the simulation, with loss, delay and duplicates, and checks of them."""
 
 import typing as t
-from .carrying import performs
-from .carrying import unpack
-from .engine import Engine
-from .engine import Order
-from .request_effects import watch_engine
+
 from rookspring_core import defaults
 from rookspring_core.effects import SendOrder
 from rookspring_core.events import OrderAnswered
 
-
+from .effect_registry import performs
+from .effect_registry import unpack
+from .engine import Engine
+from .engine import Order
+from .request_effects import schedule_check
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -30,8 +30,8 @@
         effect.memory_gb,
         incarnation,
     )
-    lost = world.orders.draw("lose") or not world.reachable(node.name, effect.endpoint)
-    late = world.orders.delay()
+    lost = world.order_faults.draw("lose") or not world.reachable(node.name, effect.endpoint)
+    late = world.order_faults.delay()
     if lost or late:
         world.clock.call(1.0, node.submit, OrderAnswered(0.0, effect.endpoint, effect.token, None))
     sent_at = world.clock.now
@@ -39,8 +39,8 @@
         reply = None if late else node
         delay = world.latency_s + late
         world.clock.call(delay, _deliver_order, world, reply, effect, order, sent_at)
-    if world.orders.draw("repeat"):
-        again = world.random.random() * max(1.0, world.orders.delay_s)
+    if world.order_faults.draw("repeat"):
+        again = world.random.random() * max(1.0, world.order_faults.delay_s)
         world.clock.call(again, _deliver_order, world, None, effect, order, sent_at)
 
 
@@ -51,7 +51,7 @@
         return
     lease = unpack(found.value)
     if lease["epoch"] > effect.token[0]:
-        world.broken.append(
+        world.violations.append(
             f"{node.name} ordered in epoch {effect.token[0]} after {lease['holder']}"
             f" took epoch {lease['epoch']}"
         )
@@ -64,7 +64,7 @@
     order: Order,
     sent_at: float,
 ) -> None:
-    if effect.endpoint in world.dead_engines:
+    if effect.endpoint in world.crashed_engines:
         if node is not None:
             answer = OrderAnswered(0.0, effect.endpoint, effect.token, None)
             world.clock.call(1.0, node.submit, answer)
@@ -72,8 +72,8 @@
     engine = world.engines[effect.endpoint]
     if order.action == "unload" and order.key in engine.resident:
         _check_last_copy(world, engine, order, sent_at)
-    accepted, reason = engine.order(world.clock.now, order)
-    watch_engine(world, engine)
+    accepted, reason = engine.apply_order(world.clock.now, order)
+    schedule_check(world, engine)
     if node is not None:
         event = OrderAnswered(0.0, effect.endpoint, effect.token, accepted, reason)
         world.clock.call(world.latency_s, node.submit, event)
@@ -82,8 +82,8 @@
 def _is_known_crashed(world: "World", engine: Engine) -> bool:
     """Return whether a runner crashed so long ago that the lease holder must know."""
     known_after = defaults.CONFIRMED_S + 0.5
-    crashed_at = world.died_at.get(engine.name, world.clock.now)
-    return engine.name in world.dead_engines and world.clock.now - crashed_at > known_after
+    crashed_at = world.crashed_at.get(engine.name, world.clock.now)
+    return engine.name in world.crashed_engines and world.clock.now - crashed_at > known_after
 
 
 def _check_last_copy(world: "World", engine: Engine, order: Order, sent_at: float) -> None:
@@ -94,7 +94,7 @@
     the order as outdated.
     """
     model = order.key[0]
-    if any(at >= sent_at and model in models for at, models in world.deaths):
+    if any(at >= sent_at and model in models for at, models in world.engine_crashes):
         return
     if engine.checks_orders and order.token < engine.order_token:
         return
@@ -108,4 +108,4 @@
     if not any(other.hosts(order.key[0]) for other in others):
         versions = [key for key in engine.resident if key[0] == order.key[0]]
         if versions == [order.key]:
-            world.broken.append(f"the last copy of {order.key[0]} was unloaded")
+            world.violations.append(f"the last copy of {order.key[0]} was unloaded")
--- a/packages/rookspring-fakes/src/rookspring_fakes/platform.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/platform.py
@@ -1,16 +1,16 @@
 """Test double of the platform's object service over HTTP, with rate limits and faults."""
 
 import asyncio
-import orjson
 import time
 import typing as t
+
+import orjson
+from aiohttp import web
+
 from .faults import Faults
 from .store import ObjectStore
-from .store import StoreError
 from .store import Stored
-from aiohttp import web
-
-
+from .store import StoreError
 
 WRITES_PER_S = 500
 READS_PER_S = 2000
@@ -83,16 +83,16 @@
     async def _put(self, request: web.Request) -> web.Response:
         info = request.match_info
         stored = self.store.put(info["kind"], info["name"], await request.read(), _match(request))
-        await self._tell()
+        await self._notify_watchers()
         return web.json_response({"version": stored.version})
 
     async def _delete(self, request: web.Request) -> web.Response:
         info = request.match_info
         version = self.store.delete(info["kind"], info["name"], _match(request))
-        await self._tell()
+        await self._notify_watchers()
         return web.json_response({"version": version})
 
-    async def _tell(self) -> None:
+    async def _notify_watchers(self) -> None:
         async with self._changed:
             self._changed.notify_all()
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/platform_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/platform_effects.py
@@ -1,10 +1,7 @@
 """Platform effects in the simulation: conditional writes, with outages and lost answers."""
 
 import typing as t
-from .carrying import pack
-from .carrying import performs
-from .carrying import unpack
-from .store import StoreError
+
 from rookspring_core import Entry
 from rookspring_core import Resource
 from rookspring_core.effects import Publish
@@ -14,13 +11,16 @@
 from rookspring_core.effects import WriteLease
 from rookspring_core.events import DesiredSeen
 from rookspring_core.events import HeadSeen
-from rookspring_core.events import IntentWritten
 from rookspring_core.events import IntentsSeen
+from rookspring_core.events import IntentWritten
 from rookspring_core.events import LeaseWritten
 from rookspring_core.events import Published
 from rookspring_core.events import RevisionSeen
 
-
+from .effect_registry import pack
+from .effect_registry import performs
+from .effect_registry import unpack
+from .store import StoreError
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -43,14 +43,14 @@
     if not world.reachable(node.name, "platform"):
         world.clock.call(1.0, answer, None, None)
         return
-    delay = world.latency_s + world.platform.slow_s
+    delay = world.latency_s + world.platform_faults.slow_s
     world.clock.call(delay, _apply_write, world, work, answer)
 
 
 def _apply_write(
     world: "World", work: t.Callable[[], t.Any], answer: t.Callable[[bool | None, t.Any], None]
 ) -> None:
-    if world.platform.outage:
+    if world.platform_faults.outage:
         world.clock.call(1.0, answer, None, None)
         return
     try:
@@ -58,7 +58,7 @@
     except StoreError:
         world.clock.call(world.latency_s, answer, False, None)
         return
-    if world.platform.draw("applied_unanswered"):
+    if world.platform_faults.draw("applied_unanswered"):
         world.clock.call(1.0, answer, None, None)
         return
     world.clock.call(world.latency_s, answer, True, result)
@@ -148,7 +148,7 @@
     def work() -> int:
         stored = world.store.put("published", "head", value, effect.head_version)
         if effect.revision in world.published:
-            world.broken.append(f"revision {effect.revision} was published twice")
+            world.violations.append(f"revision {effect.revision} was published twice")
         entries: dict[str, Entry] = dict(effect.entries)
         world.published[effect.revision] = (effect.epoch, entries)
         world.published_at[effect.revision] = world.clock.now
--- a/packages/rookspring-fakes/src/rookspring_fakes/processes.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/processes.py
@@ -16,7 +16,7 @@
 
 from .model_server import ModelServer
 from .object_platform import ObjectPlatform
-from .serving import Served
+from .serving import RunningServer
 from .serving import serve
 
 SERVICE = "svc"
@@ -166,7 +166,7 @@
         self._block = host_block
         self._sizes = (nodes, servers)
         self.store = ObjectPlatform()
-        self._served: Served | None = None
+        self._served: RunningServer | None = None
         self.nodes: list[NodeProcess] = []
         # All endpoints, ended ones included.
         self.servers: list[ModelServer] = []
--- a/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
@@ -1,10 +1,7 @@
 """Requests at runners and services in the simulation, and the endpoints' reports."""
 
 import typing as t
-from .carrying import performs
-from .engine import Engine
-from .engine import Generation
-from .engine import NotRun
+
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
 from rookspring_core.effects import Dispatch
@@ -23,7 +20,10 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-
+from .effect_registry import performs
+from .engine import Engine
+from .engine import GenerationRequest
+from .engine import NotRun
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -40,7 +40,7 @@
     request = node.state.requests.get(effect.request_id)
     if request is None or not node.alive or request.attempt != effect.attempt:
         return
-    dead = effect.endpoint in world.dead_engines
+    dead = effect.endpoint in world.crashed_engines
     if dead or not world.reachable(node.name, effect.endpoint):
         failed = AttemptFailed(
             0.0, effect.request_id, effect.attempt, False, False, "refused", down=dead
@@ -68,7 +68,7 @@
 def _check_leaving(world: "World", endpoint: str) -> None:
     since = world.leaving_at.get(endpoint)
     if since is not None and world.clock.now - since > 5.0:
-        world.broken.append(
+        world.violations.append(
             f"{endpoint} got work {world.clock.now - since:.1f}s after it began to leave"
         )
 
@@ -76,11 +76,11 @@
 def _run_stream(world: "World", node: "VirtualNode", effect: Dispatch, arrived: t.Any) -> None:
     engine = world.engines[effect.endpoint]
     _check_leaving(world, effect.endpoint)
-    if effect.endpoint in world.dead_engines:
+    if effect.endpoint in world.crashed_engines:
         _fail(world, node, effect, "reset")
         return
     stream = f"{arrived.request_id}.{effect.attempt}.{node.state.identity.incarnation}"
-    generation = Generation(
+    generation = GenerationRequest(
         stream,
         arrived.target,
         arrived.adapter,
@@ -95,42 +95,42 @@
     except NotRun as error:
         _fail(world, node, effect, str(error), not_run=True)
         return
-    world.owners[stream] = (node, effect.request_id, effect.attempt, effect.offset)
-    watch_engine(world, engine)
+    world.stream_owners[stream] = (node, effect.request_id, effect.attempt, effect.offset)
+    schedule_check(world, engine)
 
 
-def watch_engine(world: "World", engine: Engine) -> None:
+def schedule_check(world: "World", engine: Engine) -> None:
     """Schedule the next check of an engine for when its next stream or load ends.
 
     Nothing is scheduled if a check no later than that is pending.
     """
     due = engine.next_change()
-    if due >= engine.watched_at - 1e-9 and engine.watched_at > world.clock.now:
+    if due >= engine.next_check_at - 1e-9 and engine.next_check_at > world.clock.now:
         return
     if due < float("inf"):
-        engine.watched_at = due
+        engine.next_check_at = due
         world.clock.call(due - world.clock.now, _advance_engine, world, engine, due)
 
 
 def _advance_engine(world: "World", engine: Engine, due: float | None = None) -> None:
-    if due is not None and due != engine.watched_at:
+    if due is not None and due != engine.next_check_at:
         # An earlier check was scheduled since, which replaces this one.
         return
     if due is not None:
-        engine.watched_at = -1.0
+        engine.next_check_at = -1.0
     if engine.faults.killed or engine.faults.paused:
         return
     engine.advance(world.clock.now)
     for stream in engine.take_ended():
         _finish_stream(world, engine, stream)
-    watch_engine(world, engine)
+    schedule_check(world, engine)
 
 
 def _finish_stream(world: "World", engine: Engine, stream: str) -> None:
     if stream not in engine.streams:
         return
-    generation = engine.streams[stream].asked
-    owner = world.owners.pop(stream, None)
+    generation = engine.streams[stream].request
+    owner = world.stream_owners.pop(stream, None)
     engine.streams.pop(stream, None)
     if owner is None:
         return
@@ -145,25 +145,27 @@
     if not node.alive or request is None or request.attempt != attempt:
         return
     if node.paused:
-        node.missed.append(AttemptSucceeded(0.0, request_id, attempt))
+        node.missed_events.append(AttemptSucceeded(0.0, request_id, attempt))
         world.clock.call(1.0, _record_if_ended, world, node, request_id)
         return
     if not request.arrived.service and request.delivered != request.arrived.tokens:
-        world.broken.append(f"{request_id}: {request.delivered} of {request.arrived.tokens} tokens")
+        world.violations.append(
+            f"{request_id}: {request.delivered} of {request.arrived.tokens} tokens"
+        )
     node.submit(AttemptSucceeded(0.0, request_id, attempt, 200, b"answer"))
-    world.tell(node, request_id, "ran", 200, "", 0.0)
+    world.record_result(node, request_id, "ran", 200, "", 0.0)
 
 
 def _record_if_ended(world: "World", node: "VirtualNode", request_id: str) -> None:
     if node.paused:
         world.clock.call(1.0, _record_if_ended, world, node, request_id)
-    elif node.alive and request_id not in node.state.requests and request_id not in world.told:
-        world.tell(node, request_id, "ran", 200, "", 0.0)
+    elif node.alive and request_id not in node.state.requests and request_id not in world.results:
+        world.record_result(node, request_id, "ran", 200, "", 0.0)
 
 
 def break_stream(world: "World", engine: Engine, stream: str) -> None:
     """Break a stream whose runner crashed, after its tokens so far reached the entry node."""
-    owner = world.owners.pop(stream, None)
+    owner = world.stream_owners.pop(stream, None)
     if owner is None:
         return
     node, request_id, attempt, offset = owner
@@ -202,9 +204,9 @@
         return
     call = arrived.body_digest
     service.runs[call] = service.runs.get(call, 0) + 1
-    answer = world.told.get(arrived.request_id)
+    answer = world.results.get(arrived.request_id)
     if answer is not None and answer.outcome == "not_run":
-        world.broken.append(f"{arrived.request_id} ran after it was answered not_run")
+        world.violations.append(f"{arrived.request_id} ran after it was answered not_run")
     if service.faults.draw("applied_unanswered"):
         _fail(world, node, effect, "reset")
         return
@@ -218,7 +220,7 @@
 
 @performs(Refuse)
 def _refuse(world: "World", node: "VirtualNode", effect: Refuse) -> None:
-    world.tell(
+    world.record_result(
         node,
         effect.request_id,
         effect.outcome,
@@ -230,20 +232,20 @@
 
 @performs(Replay)
 def _replay(world: "World", node: "VirtualNode", effect: Replay) -> None:
-    world.tell(node, effect.request_id, "ran", effect.status, "replay", 0.0)
+    world.record_result(node, effect.request_id, "ran", effect.status, "replay", 0.0)
 
 
 @performs(Cancel)
 def _cancel(world: "World", node: "VirtualNode", effect: Cancel) -> None:
     stream = f"{effect.request_id}.{effect.attempt}.{node.state.identity.incarnation}"
-    world.owners.pop(stream, None)
+    world.stream_owners.pop(stream, None)
     engine = world.engines.get(effect.endpoint)
-    if engine is not None and effect.endpoint not in world.dead_engines:
+    if engine is not None and effect.endpoint not in world.crashed_engines:
         engine.cancel(world.clock.now, stream)
-        watch_engine(world, engine)
+        schedule_check(world, engine)
 
 
-def report_of(world: "World", endpoint: str) -> EndpointReported:
+def make_report(world: "World", endpoint: str) -> EndpointReported:
     """Return an endpoint's current report."""
     service = world.services.get(endpoint)
     if service is not None:
@@ -276,6 +278,6 @@
 @performs(Stop)
 def _stop(world: "World", node: "VirtualNode", effect: Stop) -> None:
     if node.state.requests and not node.state.hurry:
-        world.broken.append(f"{node.name} stopped with requests in flight")
+        world.violations.append(f"{node.name} stopped with requests in flight")
     node.alive = False
     world.boxes.pop(node.name, None)
--- a/packages/rookspring-fakes/src/rookspring_fakes/runner.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/runner.py
@@ -1,22 +1,22 @@
 """Test double of a runner over HTTP: streams, resume, cancel, orders, reports, cache events."""
 
 import asyncio
-import orjson
 import time
 import typing as t
+
+import orjson
+from aiohttp import web
+
 from .engine import Engine
-from .engine import Generation
+from .engine import GenerationRequest
 from .engine import NotRun
 from .engine import Order
 from .engine import Stream
 from .engine import token_text
-from aiohttp import web
-
-
 
 STEP_S = 0.01
 # The time within which the process has exited after a fatal prompt, in seconds.
-FATAL_MOST_S = 5.0
+EXIT_TIMEOUT_S = 5.0
 
 
 class Runner:
@@ -25,16 +25,16 @@
     def __init__(self, engine: Engine, step_s: float = STEP_S) -> None:
         self.engine = engine
         self.step_s = step_s
-        self.epoch = time.monotonic()
+        self.started_at = time.monotonic()
         # A prompt that holds this text crashes the runner: ``on_fatal`` is called to end it.
         self.fatal_text = ""
-        self.on_end: t.Callable[[], None] = lambda: None
+        self.on_fatal: t.Callable[[], None] = lambda: None
         self._cache_log: list[int] = []
         self._delayed_orders: set[asyncio.Task[None]] = set()
 
     def now(self) -> float:
         """Return the seconds since the runner started."""
-        return time.monotonic() - self.epoch
+        return time.monotonic() - self.started_at
 
     def app(self) -> web.Application:
         """Build the web application."""
@@ -63,7 +63,7 @@
 
     async def _generate(self, request: web.Request) -> web.StreamResponse:
         body = orjson.loads(await request.read())
-        generation = Generation(
+        generation = GenerationRequest(
             stream_id=str(body["id"]),
             model=str(body["model"]),
             adapter=str(body.get("adapter", "")),
@@ -74,9 +74,9 @@
             prefill=len(str(body["prompt"])) // 4,
         )
         if self.fatal_text and self.fatal_text in generation.prompt:
-            self.on_end()
+            self.on_fatal()
             # Waits for the process to be ended, so that the request gets no answer.
-            await asyncio.sleep(FATAL_MOST_S)
+            await asyncio.sleep(EXIT_TIMEOUT_S)
         try:
             stream = self.engine.submit(self.now(), generation)
         except NotRun as error:
@@ -86,7 +86,7 @@
     async def _resume(self, request: web.Request) -> web.StreamResponse:
         stream = self.engine.streams.get(request.match_info["id"])
         offset = int(request.query.get("offset", "0"))
-        if stream is None or offset < stream.asked.offset:
+        if stream is None or offset < stream.request.offset:
             return web.json_response({"reason": "no such stream"}, status=404)
         stream.reader += 1
         return await self._send(request, stream, offset)
@@ -96,7 +96,7 @@
             headers={"Content-Type": "application/x-ndjson", "X-Reader": str(stream.reader)}
         )
         await response.prepare(request)
-        generation = stream.asked
+        generation = stream.request
         while True:
             if self.engine.faults.killed:
                 if request.transport is not None:
@@ -147,7 +147,7 @@
             if request.transport is not None:
                 request.transport.close()
             return web.Response()
-        accepted, reason = self.engine.order(self.now(), order)
+        accepted, reason = self.engine.apply_order(self.now(), order)
         if faults.draw("repeat"):
             self._deliver_late(order, faults.delay_s)
         return web.json_response(
@@ -157,14 +157,14 @@
     def _deliver_late(self, order: Order, late_s: float) -> None:
         async def deliver() -> None:
             await asyncio.sleep(late_s)
-            self.engine.order(self.now(), order)
+            self.engine.apply_order(self.now(), order)
 
         task = asyncio.create_task(deliver())
         self._delayed_orders.add(task)
         task.add_done_callback(self._delayed_orders.discard)
 
     async def _report(self, request: web.Request) -> web.Response:
-        self.engine.forget(self.now())
+        self.engine.drop_ended_streams(self.now())
         return web.json_response(self.engine.report(self.now()))
 
     async def _cache_events(self, request: web.Request) -> web.Response:
--- a/packages/rookspring-fakes/src/rookspring_fakes/service.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/service.py
@@ -1,12 +1,12 @@
 """Test double of a plain service, which counts how often each call ran."""
 
 import asyncio
-import orjson
 import time
-from .faults import Faults
-from aiohttp import web
 
+import orjson
+from aiohttp import web
 
+from .faults import Faults
 
 
 class Ledger:
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self.runs: dict[str, int] = {}
 
-    def doubled(self) -> list[str]:
+    def repeated_calls(self) -> list[str]:
         """List the ids of calls that ran more than once."""
         return sorted(call for call, count in self.runs.items() if count > 1)
 
@@ -31,7 +31,7 @@
         self.leaving = False
         self.running = 0
         self.calls_while_leaving = 0
-        self.epoch = time.monotonic()
+        self.started_at = time.monotonic()
 
     def app(self) -> web.Application:
         """Build the web application."""
--- a/packages/rookspring-fakes/src/rookspring_fakes/serving.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/serving.py
@@ -1,11 +1,11 @@
 """Serves test doubles on loopback ports within the running event loop."""
 
 import typing as t
-from aiohttp import web
 
+from aiohttp import web
 
 
-class Served:
+class RunningServer:
     """A test double that listens on a port."""
 
     def __init__(self, runner: web.AppRunner, address: str) -> None:
@@ -17,7 +17,7 @@
         await self._runner.cleanup()
 
 
-async def serve(app: web.Application, port: int = 0, host: str = "127.0.0.1") -> Served:
+async def serve(app: web.Application, port: int = 0, host: str = "127.0.0.1") -> RunningServer:
     """Serve an application on a port; 0 chooses a free one."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
@@ -25,4 +25,4 @@
     await site.start()
     sockets: t.Any = site._server.sockets  # type: ignore[union-attr]
     bound_port = sockets[0].getsockname()[1]
-    return Served(runner, f"{host}:{bound_port}")
+    return RunningServer(runner, f"{host}:{bound_port}")
--- a/packages/rookspring-fakes/src/rookspring_fakes/users.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/users.py
@@ -76,7 +76,7 @@
 _PRIORITIES = ("ranked", "normal", "casual")
 
 
-def declare(user: UserSize, key: str = "demo") -> list[dict[str, t.Any]]:
+def list_resources(user: UserSize, key: str = "demo") -> list[dict[str, t.Any]]:
     """List the resources that a user declares, with one team whose API key is ``key``."""
     digest = hashlib.sha256(key.encode()).hexdigest()
     documents: list[dict[str, t.Any]] = [
--- a/packages/rookspring-fakes/src/rookspring_fakes/world.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/world.py
@@ -7,15 +7,7 @@
 
 import random
 import typing as t
-from . import effects as world_effects
-from . import loops
-from .clock import VirtualClock
-from .engine import Engine
-from .engine import WeightStore
-from .faults import Faults
-from .store import ObjectStore
-from .users import UserSize
-from .users import declare
+
 from rookspring_core import Identity
 from rookspring_core import NodeState
 from rookspring_core import reduce
@@ -26,12 +18,20 @@
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import SessionOpened
 
-
+from . import effects as world_effects
+from . import node_loops
+from .clock import VirtualClock
+from .engine import Engine
+from .engine import WeightStore
+from .faults import Faults
+from .store import ObjectStore
+from .users import UserSize
+from .users import list_resources
 
 LEAVING_BOUND_S = 5.0
 
 
-class Told(t.NamedTuple):
+class RequestResult(t.NamedTuple):
     """The answer that a caller got to a request, and when."""
 
     at: float
@@ -41,7 +41,7 @@
     retry_after_s: float
 
 
-class Asked(t.NamedTuple):
+class CallerRequest(t.NamedTuple):
     """A request that a caller sent."""
 
     at: float
@@ -71,10 +71,10 @@
     def __init__(self, world: "World", name: str, data_centre: str, incarnation: int) -> None:
         self.world = world
         self.name = name
-        self.place = data_centre
+        self.data_centre = data_centre
         self.alive = True
         self.paused = False
-        self.missed: list[Event] = []
+        self.missed_events: list[Event] = []
         identity = Identity(name, f"{name}#{incarnation}", data_centre, name, name)
         self.state = NodeState(identity, world.clock.now)
         self.state.full_checks = world.full_checks
@@ -87,16 +87,16 @@
         if not self.alive:
             return
         if self.paused:
-            self.missed.append(event)
+            self.missed_events.append(event)
             return
         for effect in reduce(self.state, event._replace(at=self.world.clock.now)):
             world_effects.perform(self.world, self, effect)
         revision = self.state.catalogue.revision
         if revision < self.revision_seen:
-            self.world.broken.append(f"{self.name} reverted to revision {revision}")
+            self.world.violations.append(f"{self.name} reverted to revision {revision}")
         if revision > self.revision_seen:
             self.revision_seen = revision
-            self.world.in_force(self, revision)
+            self.world.record_applied(self, revision)
 
 
 class World:
@@ -112,49 +112,49 @@
         size: UserSize,
         seed: int = 0,
         nodes: int = 3,
-        checks: t.Callable[[int], bool] = lambda number: True,
+        checks_orders: t.Callable[[int], bool] = lambda number: True,
         full_checks: bool = True,
-        report_s: float = 0.5,
+        report_interval_s: float = 0.5,
         engine_options: t.Mapping[str, t.Any] | None = None,
     ) -> None:
         self.size = size
         self.random = random.Random(seed)
         self.clock = VirtualClock()
         self.store = ObjectStore()
-        self.platform = Faults(seed)
-        self.orders = Faults(seed + 1)
+        self.platform_faults = Faults(seed)
+        self.order_faults = Faults(seed + 1)
         self.full_checks = full_checks
-        self.report_s = report_s
+        self.report_interval_s = report_interval_s
         self.latency_s = 0.0005
         self.list_lag_s = 1.0
-        self.cut: set[frozenset[str]] = set()
-        self.broken: list[str] = []
-        self.told: dict[str, Told] = {}
-        self.asked: dict[str, Asked] = {}
+        self.cut_links: set[frozenset[str]] = set()
+        self.violations: list[str] = []
+        self.results: dict[str, RequestResult] = {}
+        self.sent_requests: dict[str, CallerRequest] = {}
         self.published: dict[int, tuple[int, t.Any]] = {}
         self.published_at: dict[int, float] = {}
-        self.force_delays: list[float] = []
-        self.force_seen: dict[int, set[str]] = {}
-        self.force_all: dict[int, float] = {}
+        self.propagation_delays: list[float] = []
+        self.applied_by: dict[int, set[str]] = {}
+        self.applied_by_all_at: dict[int, float] = {}
         self.weight_store = WeightStore(size.loads_at_once)
         self.engines: dict[str, Engine] = {}
-        self.dead_engines: set[str] = set()
-        self.died_at: dict[str, float] = {}
-        self.deaths: list[tuple[float, frozenset[str]]] = []
+        self.crashed_engines: set[str] = set()
+        self.crashed_at: dict[str, float] = {}
+        self.engine_crashes: list[tuple[float, frozenset[str]]] = []
         self.services: dict[str, VirtualService] = {}
         self.nodes: dict[str, VirtualNode] = {}
         self.boxes: dict[str, BoxListed] = {}
         self.leaving_at: dict[str, float] = {}
-        self.owners: dict[str, tuple[VirtualNode, str, int, int]] = {}
+        self.stream_owners: dict[str, tuple[VirtualNode, str, int, int]] = {}
         self.attempts = 0
         self.orders_sent = 0
         self.platform_calls = 0
-        self.on_told: t.Callable[[Asked, Told], None] | None = None
+        self.on_result: t.Callable[[CallerRequest, RequestResult], None] | None = None
         self._incarnations = 0
         self._requests = 0
-        self._create_endpoints(checks, dict(engine_options or {}))
+        self._create_endpoints(checks_orders, dict(engine_options or {}))
         for number in range(nodes):
-            self.raise_node(f"box-{number}")
+            self.start_node(f"box-{number}")
 
     # Setup.
 
@@ -178,7 +178,7 @@
                 name, name, data_centre, "service", "live", self.size.service
             )
 
-    def raise_node(self, name: str) -> VirtualNode:
+    def start_node(self, name: str) -> VirtualNode:
         """Start a node, as a new incarnation if a node of this name ran before."""
         self._incarnations += 1
         number = int(name.rpartition("-")[2])
@@ -186,14 +186,14 @@
         node = VirtualNode(self, name, data_centre, self._incarnations)
         self.nodes[name] = node
         self.boxes[name] = BoxListed(name, name, data_centre, "node", "live")
-        loops.begin(self, node)
+        node_loops.start_loops(self, node)
         return node
 
     def declare(self, documents: t.Iterable[dict[str, t.Any]] | None = None) -> None:
         """Write resources to the platform as operators do; by default those of the user."""
         from rookspring_core import check_resource
 
-        for document in declare(self.size) if documents is None else documents:
+        for document in list_resources(self.size) if documents is None else documents:
             resource = check_resource(document)
             found = self.store.objects.get(("resource", resource.key))
             self.store.put(
@@ -203,7 +203,7 @@
                 found.version if found else 0,
             )
 
-    def settle(self, until: float = 60.0) -> None:
+    def run_until_resident(self, until: float = 60.0) -> None:
         """Run until every node knows every model to be resident, at most up to ``until``."""
         while self.clock.now < until:
             self.clock.run(self.clock.now + 1.0)
@@ -215,7 +215,7 @@
         from rookspring_core.control_jobs import resident_models
 
         wanted = sum(1 for kind, name in self.store.objects if name.startswith("Model."))
-        for node in self.living():
+        for node in self.live_nodes():
             hosts = resident_models(node.state)
             if len(hosts) < wanted or not all(hosts.values()):
                 return False
@@ -223,7 +223,7 @@
 
     # Faults.
 
-    def living(self) -> list[VirtualNode]:
+    def live_nodes(self) -> list[VirtualNode]:
         """List the nodes whose process is alive."""
         return [node for node in self.nodes.values() if node.alive]
 
@@ -232,10 +232,10 @@
         node = self.nodes[name]
         node.alive = False
         for request_id in list(node.state.requests):
-            self.tell(node, request_id, "broken", 0, "connection broken", 0.0)
-        for stream, owner in list(self.owners.items()):
+            self.record_result(node, request_id, "broken", 0, "connection broken", 0.0)
+        for stream, owner in list(self.stream_owners.items()):
             if owner[0] is node:
-                del self.owners[stream]
+                del self.stream_owners[stream]
         self.clock.call(self.list_lag_s, self._remove_box, name, node)
 
     def _remove_box(self, name: str, node: VirtualNode) -> None:
@@ -250,7 +250,7 @@
 
     def _unpause(self, node: VirtualNode) -> None:
         node.paused = False
-        missed, node.missed = node.missed, []
+        missed, node.missed_events = node.missed_events, []
         for event in missed:
             node.submit(event)
 
@@ -258,17 +258,17 @@
         """Kill a runner: its streams break and its models are no longer resident."""
         engine = self.engines[name]
         engine.advance(self.clock.now)
-        self.dead_engines.add(name)
-        self.died_at[name] = self.clock.now
+        self.crashed_engines.add(name)
+        self.crashed_at[name] = self.clock.now
         lost = frozenset(model for model, _ in engine.resident)
-        self.deaths.append((self.clock.now, lost))
+        self.engine_crashes.append((self.clock.now, lost))
         for stream in list(engine.streams):
             world_effects.break_stream(self, engine, stream)
         engine.faults.killed = True
         for _ in engine.loading:
             engine.store.end()
 
-    def revive_engine(self, name: str) -> None:
+    def restart_engine(self, name: str) -> None:
         """Restart a runner as a new incarnation with no models; its counters continue."""
         old = self.engines[name]
         engine = Engine(
@@ -288,32 +288,32 @@
         engine.overcommits = old.overcommits
         engine.served_tokens = old.served_tokens
         self.engines[name] = engine
-        self.dead_engines.discard(name)
+        self.crashed_engines.discard(name)
         self.leaving_at.pop(name, None)
 
-    def leave_engine(self, name: str) -> None:
+    def drain_engine(self, name: str) -> None:
         """Make a runner refuse new work and finish what it is running."""
         self.engines[name].leaving = True
         self.leaving_at[name] = self.clock.now
 
     def reachable(self, one: str, other: str) -> bool:
         """Return whether two parts can reach each other now."""
-        if frozenset((one, other)) in self.cut:
+        if frozenset((one, other)) in self.cut_links:
             return False
-        return not (self.platform.outage and "platform" in (one, other))
+        return not (self.platform_faults.outage and "platform" in (one, other))
 
     # Callers.
 
     def ready(self) -> list[VirtualNode]:
         """List the live nodes that the addresses handed out to callers include."""
         listed: set[str] = set()
-        for node in self.living():
+        for node in self.live_nodes():
             listed.update(row.address for row in list_addresses(node.state))
             if listed:
                 break
-        return [node for node in self.living() if node.name in listed]
+        return [node for node in self.live_nodes() if node.name in listed]
 
-    def ask(
+    def send_request(
         self,
         node: VirtualNode,
         target: str,
@@ -327,7 +327,7 @@
         self._requests += 1
         request_id = f"q{self._requests}"
         now = self.clock.now
-        request = Asked(
+        request = CallerRequest(
             now,
             request_id,
             target,
@@ -337,7 +337,7 @@
             node.name,
             str(fields.get("body_digest", "")),
         )
-        self.asked[request_id] = request
+        self.sent_requests[request_id] = request
         event = RequestArrived(
             at=now,
             request_id=request_id,
@@ -351,7 +351,7 @@
             **fields,
         )
         if not node.alive:
-            self.tell(node, request_id, "broken", 0, "connection refused", 0.0)
+            self.record_result(node, request_id, "broken", 0, "connection refused", 0.0)
         else:
             node.submit(event)
         return request_id
@@ -363,11 +363,11 @@
         node.submit(SessionOpened(self.clock.now, session, "demo"))
         return session
 
-    def leave(self, node: VirtualNode, request_id: str) -> None:
+    def disconnect_caller(self, node: VirtualNode, request_id: str) -> None:
         """Disconnect the caller of a request."""
         node.submit(CallerLeft(self.clock.now, request_id))
 
-    def tell(
+    def record_result(
         self,
         node: VirtualNode,
         request_id: str,
@@ -377,31 +377,31 @@
         after_s: float,
     ) -> None:
         """Record the answer to a request; a second answer to it is a violation."""
-        if request_id not in self.asked:
+        if request_id not in self.sent_requests:
             return
-        if request_id in self.told:
-            self.broken.append(f"{request_id} was answered twice")
+        if request_id in self.results:
+            self.violations.append(f"{request_id} was answered twice")
             return
-        result = Told(self.clock.now, outcome, status, reason, after_s)
-        self.told[request_id] = result
-        if self.on_told is not None:
-            self.on_told(self.asked[request_id], result)
+        result = RequestResult(self.clock.now, outcome, status, reason, after_s)
+        self.results[request_id] = result
+        if self.on_result is not None:
+            self.on_result(self.sent_requests[request_id], result)
 
     # Measurements and checks.
 
-    def in_force(self, node: VirtualNode, revision: int) -> None:
+    def record_applied(self, node: VirtualNode, revision: int) -> None:
         """Record how long after its publication a node applied a revision."""
         at = self.published_at.get(revision)
         if at is None:
             return
-        seen = self.force_seen.setdefault(revision, set())
+        seen = self.applied_by.setdefault(revision, set())
         key = node.state.identity.incarnation
         if key not in seen:
             seen.add(key)
-            self.force_delays.append(self.clock.now - at)
-        living = self.living()
+            self.propagation_delays.append(self.clock.now - at)
+        living = self.live_nodes()
         if all(one.state.catalogue.revision >= revision for one in living):
-            self.force_all.setdefault(revision, self.clock.now)
+            self.applied_by_all_at.setdefault(revision, self.clock.now)
 
     def moves(self) -> int:
         """Return the number of loads and unloads so far."""
@@ -409,7 +409,7 @@
 
     def check(self) -> list[str]:
         """List all violations of the end-to-end guarantees."""
-        found = list(self.broken)
+        found = list(self.violations)
         found += [
             f"{engine.name}: {engine.overcommits} orders exceeded its memory"
             for engine in self.engines.values()
@@ -419,7 +419,7 @@
         for service in self.services.values():
             for call, count in service.runs.items():
                 runs[call] = runs.get(call, 0) + count
-        unrepeatable = {one.call for one in self.asked.values() if one.call}
+        unrepeatable = {one.call for one in self.sent_requests.values() if one.call}
         found += [
             f"{call} ran {count} times"
             for call, count in runs.items()
@@ -430,8 +430,8 @@
     def _find_false_not_run(self, runs: t.Mapping[str, int]) -> list[str]:
         """List calls that ran although all their requests were answered with ``not_run``."""
         ends: dict[str, set[str]] = {}
-        for request_id, request in self.asked.items():
-            result = self.told.get(request_id)
+        for request_id, request in self.sent_requests.items():
+            result = self.results.get(request_id)
             if request.call:
                 ends.setdefault(request.call, set()).add(result.outcome if result else "open")
         return [
--- a/packages/rookspring/src/rookspring/demonstration.py
+++ b/packages/rookspring/src/rookspring/demonstration.py
@@ -108,7 +108,7 @@
                 await client.close()
         cluster = self.cluster
         runs = cluster.ledger.runs
-        self.tally.doubled = len(cluster.ledger.doubled())
+        self.tally.doubled = len(cluster.ledger.repeated_calls())
         self.tally.false_not_run = sum(1 for call in self._not_run_calls if runs.get(call))
         engines = cluster.engines.values()
         self.tally.moves = sum(engine.loads + engine.unloads for engine in engines)
@@ -135,7 +135,7 @@
                 session = session or await caller.open_session()
                 key = f"{session}/{turn}"
                 body = {"call": call}
-                outcome = await caller.call_surely(
+                outcome = await caller.call_until_known(
                     self.size.service, self.size.unrepeatable, body, key
                 )
                 if outcome != "not_run":
--- a/packages/rookspring/src/rookspring/local_cluster.py
+++ b/packages/rookspring/src/rookspring/local_cluster.py
@@ -16,9 +16,9 @@
 from rookspring_fakes import Runner
 from rookspring_fakes import WeightStore
 from rookspring_fakes import serve
-from rookspring_fakes.serving import Served
+from rookspring_fakes.serving import RunningServer
 from rookspring_fakes.users import UserSize
-from rookspring_fakes.users import declare
+from rookspring_fakes.users import list_resources
 
 from . import web
 from .node import Node
@@ -59,7 +59,7 @@
         self.runners: dict[str, Runner] = {}
         self.services: dict[str, PlainService] = {}
         self.ledger = Ledger()
-        self.served: dict[str, Served] = {}
+        self.served: dict[str, RunningServer] = {}
         self.nodes: dict[str, Node] = {}
         self.violations: list[str] = []
         self.shutdowns: list[asyncio.Task[None]] = []
@@ -109,18 +109,20 @@
         runner = self.runners[engine.name] = Runner(engine, self.plan.step_s)
         served = await serve(runner.app())
         runner.fatal_text = fatal_text
-        runner.on_end = lambda: self._end_runner(engine.name, served)
+        runner.on_fatal = lambda: self._end_runner(engine.name, served)
         place = self.size.data_centres[number % 3]
         self._list_box(engine.name, served, place, "runner", self.size.engine)
 
-    def _end_runner(self, name: str, served: Served) -> None:
+    def _end_runner(self, name: str, served: RunningServer) -> None:
         """Stop a runner as a crash would; its box stays listed."""
         self.crashed_runners.append(name)
         self.engines.pop(name, None)
         self.served.pop(name, None)
         self.shutdowns.append(asyncio.create_task(served.close()))
 
-    def _list_box(self, name: str, served: Served, place: str, role: str, service: str) -> None:
+    def _list_box(
+        self, name: str, served: RunningServer, place: str, role: str, service: str
+    ) -> None:
         self.served[name] = served
         self.platform.store.boxes[name] = {
             "name": name,
@@ -184,7 +186,7 @@
         self, addresses: list[str], documents: list[dict[str, t.Any]] | None = None
     ) -> None:
         """Declare resources at the first address; wait until all report every model resident."""
-        documents = declare(self.size, KEY) if documents is None else documents
+        documents = list_resources(self.size, KEY) if documents is None else documents
         headers = {"Authorization": f"Bearer {KEY}"}
         async with aiohttp.ClientSession(headers=headers) as session:
             for document in documents:
