--- a/bench/burst.py
+++ b/bench/burst.py
@@ -1,40 +1,41 @@
-"""Demand that moves tenfold without warning: placement policies side by side."""
+"""Compares placement policies while the demand for models changes tenfold without warning."""
 
 import argparse
 import random
 import typing as t
-
-from rookspring_core.resources import PolicySpec
-from rookspring_fakes.users import USERS
-from rookspring_fakes.world import World
-
 from .registry import experiment
 from .registry import report
-from .traffic import MEAN_TOKENS
 from .traffic import Account
+from .traffic import MEAN_TOKENS
 from .traffic import Traffic
 from .traffic import capacity_of
 from .traffic import models_of
+from rookspring_core.resources import PolicySpec
+from rookspring_fakes.users import USERS
+from rookspring_fakes.world import World
+
+
 
 POLICIES = ("gain", "static", "greedy", "proportional")
 PERIOD_S = 40.0
 
 
 class Bursts:
-    """A few models take most of the demand, and which ones changes without warning.
+    """Demand of which two models get 70 %; every ``PERIOD_S`` it moves to another two.
 
-    :param load: total demand as a share of the capacity.
+    :param total: total demand, in requests per second.
+    :param start: when the first period begins, in seconds of the virtual clock.
     """
 
     def __init__(self, models: list[str], total: float, seed: int, start: float) -> None:
         self.models = models
         self.total = total
         self.start = start
-        chance = random.Random(seed)
-        self.hot = [chance.sample(models, 2) for _ in range(64)]
+        rng = random.Random(seed)
+        self.hot = [rng.sample(models, 2) for _ in range(64)]
 
     def rates(self, now: float) -> dict[str, float]:
-        """Give requests a second of each model at a time."""
+        """Return each model's requests per second at a time."""
         hot = self.hot[int((now - self.start) // PERIOD_S) % len(self.hot)]
         cold = self.total * 0.3 / len(self.models)
         rates = dict.fromkeys(self.models, cold)
@@ -46,9 +47,10 @@
 def run_once(
     user: str, placement: str, seed: int, load: float, length_s: float
 ) -> tuple[Account, World, int]:
-    """Run one policy.
+    """Measure violation placement policy for violation user.
 
-    :return: the account, the world and the moves made in the measured time.
+    :param load: total demand as a share of the capacity.
+    :return: the statistics of requests, the world and the number of moves within the measured time.
     """
     size = USERS[user]
     world = World(size, seed=seed, full_checks=False)
@@ -60,25 +62,25 @@
     start = world.clock.now
     before = world.moves()
     end = start + length_s
-    account = Account(start, end)
-    world.on_result = account.take
+    stats = Account(start, end)
+    world.on_result = stats.take
     total = load * capacity_of(world) / MEAN_TOKENS
     bursts = Bursts(models_of(size), total, seed, start)
     Traffic(world, bursts.rates, seed, end)
     world.clock.run(end + 15.0)
-    return account, world, world.moves() - before
+    return stats, world, world.moves() - before
 
 
 @experiment("burst")
 def run(arguments: list[str]) -> int:
-    """Run both users, all policies and seeds."""
+    """Measure every placement policy for each user, on several seeds."""
     parser = argparse.ArgumentParser("burst")
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--length", type=float, default=240.0)
     parser.add_argument("--load", type=float, default=0.7)
     options = parser.parse_args(arguments)
     rows: list[dict[str, t.Any]] = []
-    broken: list[str] = []
+    violations: list[str] = []
     for user, size in USERS.items():
         weight = PolicySpec(move_weight=size.move_weight).move_weight
         for placement in POLICIES:
@@ -86,13 +88,11 @@
             moves = 0
             good = 0
             for seed in range(options.seeds):
-                account, world, moved = run_once(
-                    user, placement, seed, options.load, options.length
-                )
-                broken += world.check()
-                met += account.attainment() / options.seeds
+                stats, world, moved = run_once(user, placement, seed, options.load, options.length)
+                violations += world.check()
+                met += stats.attainment() / options.seeds
                 moves += moved
-                good += account.good_tokens
+                good += stats.good_tokens
             rows.append(
                 {
                     "user": user,
@@ -104,7 +104,7 @@
                     "good tokens": good,
                 }
             )
-    report("burst", f"demand moving tenfold every {PERIOD_S:.0f} s", rows)
-    for one in broken:
-        print(f"BROKEN {one}")
-    return int(bool(broken))
+    report("burst", f"demand for models changes tenfold every {PERIOD_S:.0f} s", rows)
+    for violation in violations:
+        print(f"BROKEN {violation}")
+    return int(bool(violations))
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,11 +1,12 @@
-"""Changes of configuration: calls, bytes and delay until in force everywhere."""
+"""Measures configuration changes: calls, bytes, and the delay until every node applies them."""
 
 import argparse
+import orjson
 import random
 import typing as t
-
-import orjson
-
+from .registry import experiment
+from .registry import quantile
+from .registry import report
 from rookspring.gossip import RevisionHistory
 from rookspring.messages import encode
 from rookspring_core import defaults
@@ -13,13 +14,16 @@
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
 
-from .registry import experiment
-from .registry import quantile
-from .registry import report
+
+
 
 
 class Way(t.NamedTuple):
-    """One way to publish and to spread."""
+    """A way to publish changes and to spread them to the nodes.
+
+    :param batch_s: how long changes are collected before they are published together.
+    :param relays: how many nodes of each data centre watch the platform for the others.
+    """
 
     name: str
     batch_s: float
@@ -50,7 +54,7 @@
     world = World(USERS["fjordlap"], seed=4, nodes=nodes, full_checks=False)
     world.declare()
     world.clock.run(12.0)
-    chance = random.Random(4)
+    rng = random.Random(4)
     start = world.clock.now
     calls = world.platform_calls
     first = max(world.published)
@@ -62,17 +66,17 @@
         names = sorted(name for kind, name in world.store.objects if name.startswith("Service."))
         found = world.store.objects[("resource", names[0])]
         raw = world_effects.unpack(found.value)
-        raw[2]["concurrency"] = chance.randint(1, 1000)
+        raw[2]["concurrency"] = rng.randint(1, 1000)
         stored = world.store.put("resource", names[0], world_effects.pack(raw), found.version)
         written[stored.version] = world.clock.now
-        world.clock.call(chance.expovariate(rate), change)
+        world.clock.call(rng.expovariate(rate), change)
 
     world.clock.call(0.0, change)
     if disturbed:
         for turn in range(3):
-            world.clock.call(4.0 * turn, _bounce, world, f"box-{nodes - 1 - turn}")
-        world.clock.call(6.0, _outage, world, True)
-        world.clock.call(10.0, _outage, world, False)
+            world.clock.call(4.0 * turn, _restart_node, world, f"box-{nodes - 1 - turn}")
+        world.clock.call(6.0, _set_outage, world, True)
+        world.clock.call(10.0, _set_outage, world, False)
     world.clock.run(start + length_s + 15.0)
     delays = _delays(world, written, start + length_s)
     revisions = max(world.published) - first
@@ -90,17 +94,17 @@
     }
 
 
-def _bounce(world: World, name: str) -> None:
+def _restart_node(world: World, name: str) -> None:
     world.kill_node(name)
     world.clock.call(1.0, world.start_node, name)
 
 
-def _outage(world: World, out: bool) -> None:
+def _set_outage(world: World, out: bool) -> None:
     world.platform_faults.outage = out
 
 
 def _delays(world: World, written: dict[int, float], until: float) -> list[float]:
-    """Give seconds from each write to its being in force on every node that lives now."""
+    """Return the seconds from each write until all nodes that are live now had applied it."""
     key = next(name for kind, name in world.store.objects if name.startswith("Service."))
     accepted = {
         revision: entries[key].resource.version
@@ -112,14 +116,14 @@
         in_force[accepted.get(revision, 0)] = max(at, in_force.get(accepted.get(revision, 0), 0.0))
     delays: list[float] = []
     for version, at in written.items():
-        later = [force for held, force in in_force.items() if held >= version]
+        later = [applied for held, applied in in_force.items() if held >= version]
         if later:
             delays.append(min(later) - at)
     return delays
 
 
 def _delta_bytes(world: World) -> int:
-    """Measure one revision's delta on the wire between nodes."""
+    """Return the encoded size of the delta between the last two revisions."""
     history = RevisionHistory()
     revisions = sorted(world.published)[-2:]
     for revision in revisions:
@@ -129,10 +133,10 @@
 
 @experiment("config")
 def run(arguments: list[str]) -> int:
-    """Run rates of change and numbers of nodes, each way."""
+    """Measure every way at several rates of change and numbers of nodes."""
     parser = argparse.ArgumentParser("config")
     parser.add_argument("--length", type=float, default=15.0)
-    parser.add_argument("--most", type=int, default=100, help="most nodes")
+    parser.add_argument("--most", type=int, default=100, help="skip larger numbers of nodes")
     options = parser.parse_args(arguments)
     rows: list[dict[str, t.Any]] = []
     for nodes in (3, 9, 30, 100, 300):
@@ -145,6 +149,6 @@
                 rows.append(_measure(way, nodes, rate, options.length, False))
     rows.append(_measure(WAYS[0], 9, 10.0, options.length, True))
     rows[-1]["way"] = "batched, disturbed"
-    report("config", "changes until in force everywhere", rows)
+    report("config", "changes until every node applies them", rows)
     print(orjson.dumps({"reverts": sum(row["reverts"] for row in rows)}).decode())
     return int(any(row["reverts"] for row in rows))
--- a/bench/failures.py
+++ b/bench/failures.py
@@ -1,25 +1,25 @@
-"""Failures under load: a data centre lost, the lease holder lost, the platform out."""
+"""Measures failures under load: loss of a data centre, of the lease holder, of the platform."""
 
 import argparse
 import random
 import typing as t
-
-from rookspring_fakes.disturbances import DISTURBANCES
-from rookspring_fakes.disturbances import find_lease_holder
-from rookspring_fakes.users import USERS
-from rookspring_fakes.world import World
-
 from .registry import experiment
 from .registry import report
-from .traffic import MEAN_TOKENS
 from .traffic import Account
+from .traffic import MEAN_TOKENS
 from .traffic import Traffic
 from .traffic import capacity_of
 from .traffic import models_of
 from .traffic import skewed
+from rookspring_fakes.disturbances import DISTURBANCES
+from rookspring_fakes.disturbances import find_lease_holder
+from rookspring_fakes.users import USERS
+from rookspring_fakes.world import World
+
 
 
-def _raise(user: str, seed: int, checks: bool = True) -> World:
+
+def _start_world(user: str, seed: int, checks: bool = True) -> World:
     world = World(USERS[user], seed=seed, full_checks=False, checks_orders=lambda number: checks)
     world.declare()
     world.run_until_resident(120.0)
@@ -27,69 +27,73 @@
     return world
 
 
-def _load(world: World, load: float, seed: int, length_s: float) -> Account:
+def _start_traffic(world: World, load: float, seed: int, length_s: float) -> Account:
     start = world.clock.now
-    account = Account(start, start + length_s)
-    world.on_result = account.take
+    stats = Account(start, start + length_s)
+    world.on_result = stats.take
     rates = skewed(models_of(world.size), load * capacity_of(world) / MEAN_TOKENS)
     Traffic(world, lambda now: rates, seed, start + length_s)
-    return account
+    return stats
+
 
+def _recovery_s(stats: Account, failed_at: float, required: float) -> float:
+    """Return how long attainment stayed low after a failure, in seconds.
 
-def _recovery(account: Account, failed_at: float, wanted: float) -> float:
-    """Give seconds from a failure until two-second windows meet a share again for good."""
+    That is until the end of the last two-second window whose share of requests that met their
+    deadline is less than ``required``.
+    """
     last = failed_at
     windows: dict[int, list[bool]] = {}
-    for at, met in account.met_at:
+    for at, met in stats.met_at:
         if at >= failed_at:
             windows.setdefault(int((at - failed_at) / 2.0), []).append(met)
     for window, ends in sorted(windows.items()):
-        if sum(ends) / len(ends) < wanted:
+        if sum(ends) / len(ends) < required:
             last = failed_at + 2.0 * (window + 1)
     return last - failed_at
 
 
 @experiment("failover")
 def run_failover(arguments: list[str]) -> int:
-    """Lose a data centre's runners under load: amplification and recovery."""
+    """Kill a data centre's runners under load; measure retry amplification and recovery time."""
     parser = argparse.ArgumentParser("failover")
     parser.add_argument("--seeds", type=int, default=3)
     options = parser.parse_args(arguments)
     rows: list[dict[str, t.Any]] = []
-    broken: list[str] = []
+    violations: list[str] = []
     for user in USERS:
         for seed in range(options.seeds):
-            world = _raise(user, seed)
+            world = _start_world(user, seed)
             before = world.attempts
-            account = _load(world, 0.5, seed, 90.0)
+            stats = _start_traffic(world, 0.5, seed, 90.0)
             failed_at = world.clock.now + 20.0
             fault = DISTURBANCES["a data centre's runners die"]
             world.clock.call(20.0, fault, world, random.Random(seed))
             world.clock.run(world.clock.now + 120.0)
-            broken += world.check()
+            violations += world.check()
             started = sum(1 for one in world.results.values() if one.reason != "late")
             rows.append(
                 {
                     "user": user,
                     "seed": seed,
-                    "attainment": round(account.attainment(), 4),
-                    "ranked": round(account.attainment("ranked"), 4),
+                    "attainment": round(stats.attainment(), 4),
+                    "ranked": round(stats.attainment("ranked"), 4),
                     "amplification": round((world.attempts - before) / max(1, started), 4),
-                    "recovered after s": _recovery(account, failed_at, 0.95),
+                    "recovered after s": _recovery_s(stats, failed_at, 0.95),
                 }
             )
-    report("failover", "one of three data centres' runners die at half load", rows)
-    return _finish(rows, broken, lambda row: row["amplification"] < 1.2)
+    report("failover", "the runners of one of three data centres are killed at half load", rows)
+    return _exit_code(rows, violations, lambda row: row["amplification"] < 1.2)
 
 
-def _finish(
+def _exit_code(
     rows: list[dict[str, t.Any]],
-    broken: list[str],
+    violations: list[str],
     good: t.Callable[[dict[str, t.Any]], bool],
 ) -> int:
-    for one in broken:
-        print(f"BROKEN {one}")
-    return int(bool(broken) or not all(good(row) for row in rows))
+    for violation in violations:
+        print(f"BROKEN {violation}")
+    return int(bool(violations) or not all(good(row) for row in rows))
 
 
 STEPS = (
@@ -104,12 +108,15 @@
 
 @experiment("takeover")
 def run_takeover(arguments: list[str]) -> int:
-    """Kill or pause the holder at every step of a change, for both kinds of endpoint."""
+    """Kill or pause the lease holder at each step of a version change.
+
+    Each case is run with endpoints that check orders' fencing tokens and with ones that don't.
+    """
     parser = argparse.ArgumentParser("takeover")
     parser.add_argument("--seeds", type=int, default=2)
     options = parser.parse_args(arguments)
     rows: list[dict[str, t.Any]] = []
-    broken: list[str] = []
+    violations: list[str] = []
     for checks in (True, False):
         for way in ("killed", "paused"):
             for step, delay in STEPS:
@@ -117,11 +124,11 @@
                 refused = 0
                 found: list[str] = []
                 for seed in range(options.seeds):
-                    gap, more, wrong = _take_over(way, delay, seed, checks)
+                    gap, more, wrong = _measure_takeover(way, delay, seed, checks)
                     gaps.append(gap)
                     refused += more
                     found += wrong
-                broken += found
+                violations += found
                 rows.append(
                     {
                         "endpoints": "check" if checks else "do not check",
@@ -133,14 +140,16 @@
                     }
                 )
     report("takeover", "the lease holder lost at each step of a version change", rows)
-    return _finish(rows, broken, lambda row: row["promises broken"] == 0)
+    return _exit_code(rows, violations, lambda row: row["promises broken"] == 0)
 
 
-def _take_over(way: str, delay: float, seed: int, checks: bool) -> tuple[float, int, list[str]]:
-    world = _raise("fjordlap", seed, checks)
-    _load(world, 0.3, seed, 40.0)
-    chance = random.Random(seed)
-    DISTURBANCES["operators change versions"](world, chance)
+def _measure_takeover(
+    way: str, delay: float, seed: int, checks: bool
+) -> tuple[float, int, list[str]]:
+    world = _start_world("fjordlap", seed, checks)
+    _start_traffic(world, 0.3, seed, 40.0)
+    rng = random.Random(seed)
+    DISTURBANCES["operators change versions"](world, rng)
     world.clock.run(world.clock.now + delay)
     holder = find_lease_holder(world)
     assert holder is not None
@@ -165,24 +174,27 @@
 
 @experiment("outage")
 def run_outage(arguments: list[str]) -> int:
-    """Platform down for ten minutes while demand shifts and boxes are replaced."""
+    """Measure an outage of the platform while demand shifts and nodes are drained and replaced.
+
+    Each case is also run with the platform up, for comparison.
+    """
     parser = argparse.ArgumentParser("outage")
     parser.add_argument("--length", type=float, default=600.0)
     options = parser.parse_args(arguments)
     rows: list[dict[str, t.Any]] = []
-    broken: list[str] = []
+    violations: list[str] = []
     for user in USERS:
         for out in (False, True):
-            rows.append(_run_outage(user, out, options.length, broken))
-    report("outage", f"{options.length:.0f} s without the platform, against none", rows)
-    return _finish(rows, broken, lambda row: row["revision lost"] == 0)
+            rows.append(_run_outage(user, out, options.length, violations))
+    report("outage", f"{options.length:.0f} s with the platform down, compared with it up", rows)
+    return _exit_code(rows, violations, lambda row: row["revision lost"] == 0)
 
 
-def _run_outage(user: str, out: bool, length_s: float, broken: list[str]) -> dict[str, t.Any]:
-    world = _raise(user, 5)
+def _run_outage(user: str, out: bool, length_s: float, violations: list[str]) -> dict[str, t.Any]:
+    world = _start_world(user, 5)
     start = world.clock.now
-    account = Account(start, start + length_s)
-    world.on_result = account.take
+    stats = Account(start, start + length_s)
+    world.on_result = stats.take
     models = models_of(world.size)
     total = 0.4 * capacity_of(world) / MEAN_TOKENS
 
@@ -203,12 +215,12 @@
     world.clock.run(start + length_s + 10.0)
     burst = (world.platform_calls - calls) / 10.0
     world.clock.run(start + length_s + 60.0)
-    broken += world.check()
+    violations += world.check()
     lost = sum(1 for node in world.live_nodes() if node.state.catalogue.revision < before)
     return {
         "user": user,
         "platform": "down" if out else "up",
-        "attainment": round(account.attainment(), 4),
+        "attainment": round(stats.attainment(), 4),
         "moves": world.moves(),
         "nodes at the end": len(world.live_nodes()),
         "calls/s on return": round(burst, 2),
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,10 +1,10 @@
-"""What it costs that relay nodes know of each other, by the number of nodes.
+"""Measures what membership and coordination cost relay nodes, by the number of nodes.
 
     make bench B=fleet ARGS="--nodes 8 20 63 195"
 
-Whole deployments run in one process on a virtual clock, without sockets and without
-callers: what is counted is talk between nodes, calls to the store, and the processor
-time of the decisions and messages alone. ``--profile`` prints where that goes.
+A whole deployment runs in one process on a virtual clock, without sockets and callers, so
+only messages between nodes, calls to the store, and the processor time of decisions and
+messages are counted. ``--profile`` prints which functions use that time.
 """
 
 import argparse
@@ -12,20 +12,20 @@
 import pstats
 import time
 import typing as t
-
+from .registry import experiment
+from .registry import report
 from rookspring.logs import configure
 from rookspring_fakes.fleet import Fleet
 from rookspring_fakes.fleet import FleetPlan
 
-from .registry import experiment
-from .registry import report
 
-# Long enough for roles to be settled.
+
+# Long enough for the assignment of roles to become stable.
 START_S = 10.0
 
 
 def measure(nodes: int, endpoints: int, seconds: float, profile: bool) -> dict[str, t.Any]:
-    """Run a deployment and give what it cost a node and a second."""
+    """Run a deployment and return its costs per node and second."""
     fleet = Fleet(FleetPlan(nodes, endpoints=endpoints))
     began = time.process_time()
     fleet.run(START_S)
@@ -69,7 +69,7 @@
 
 @experiment("fleet")
 def main(arguments: list[str]) -> int:
-    """Measure several sizes."""
+    """Measure deployments of several sizes."""
     parser = argparse.ArgumentParser(prog="fleet", description=__doc__)
     parser.add_argument("--nodes", type=int, nargs="*", default=[8, 20, 63, 195])
     parser.add_argument("--endpoints", type=int, default=64)
@@ -77,6 +77,6 @@
     parser.add_argument("--profile", action="store_true")
     given = parser.parse_args(arguments)
     configure("ERROR")
-    rows = [measure(one, given.endpoints, given.seconds, given.profile) for one in given.nodes]
-    report("fleet", "relay nodes that know of each other", rows)
+    rows = [measure(nodes, given.endpoints, given.seconds, given.profile) for nodes in given.nodes]
+    report("fleet", "cost of membership and coordination of relay nodes", rows)
     return 0
--- a/bench/freshness.py
+++ b/bench/freshness.py
@@ -1,18 +1,18 @@
-"""Freshness of load reports against their cost: attainment by report age."""
+"""Measures attainment and the bytes sent for load reports, by the interval between reports."""
 
 import typing as t
-
-from rookspring_core.events import EndpointReported
-from rookspring_fakes.users import USERS
-
 from .overload import POLICIES
 from .overload import run_once
 from .registry import experiment
 from .registry import report
+from rookspring_core.events import EndpointReported
+from rookspring_fakes.users import USERS
+
+
 
 
-def _digest_bytes() -> int:
-    """Measure the bytes of one report on the wire between nodes."""
+def _report_bytes() -> int:
+    """Return the encoded size of violation load report between nodes."""
     from rookspring.gossip import encode_report
     from rookspring.messages import Reports
     from rookspring.messages import encode
@@ -40,10 +40,10 @@
 
 @experiment("freshness")
 def run(arguments: list[str]) -> int:
-    """Run report periods from a tenth of a second to ten seconds."""
+    """Measure report intervals from 0.1 to 10 s."""
     rows: list[dict[str, t.Any]] = []
-    size = _digest_bytes()
-    broken: list[str] = []
+    size = _report_bytes()
+    violations: list[str] = []
     for user in USERS:
         endpoints = USERS[user].runners
         for period_s in (0.1, 0.5, 1.0, 2.0, 5.0, 10.0):
@@ -53,14 +53,14 @@
                 "bytes/s a node": round(size * endpoints / period_s),
             }
             for load in (0.9, 1.5):
-                account, world, bound = run_once(
+                stats, world, bound = run_once(
                     user, POLICIES[0], load, 3, period_s / 2, 30.0, period_s
                 )
-                broken += world.check()
-                row[f"attainment {load}"] = round(account.attainment(), 4)
-                row[f"goodput/bound {load}"] = round(account.good_tokens / 30.0 / bound, 4)
+                violations += world.check()
+                row[f"attainment {load}"] = round(stats.attainment(), 4)
+                row[f"goodput/bound {load}"] = round(stats.good_tokens / 30.0 / bound, 4)
             rows.append(row)
-    report("freshness", f"age of reports against bytes ({size} bytes a report)", rows)
-    for one in broken:
-        print(f"BROKEN {one}")
-    return int(bool(broken))
+    report("freshness", f"attainment and bytes by report interval ({size} bytes per report)", rows)
+    for violation in violations:
+        print(f"BROKEN {violation}")
+    return int(bool(violations))
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -1,21 +1,21 @@
-"""What control costs a node that serves nothing: processor, memory, bytes, calls."""
+"""Measures the processor time, memory, bytes and platform calls of nodes without requests."""
 
+import aiohttp
 import argparse
 import asyncio
 import os
 import re
 import typing as t
-
-import aiohttp
 import uvloop
-
+from .live import raised
+from .registry import experiment
+from .registry import report
 from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
 from rookspring_fakes import USERS
 
-from .live import raised
-from .registry import experiment
-from .registry import report
+
+
 
 
 def _cpu_s(pid: int) -> float:
@@ -48,9 +48,9 @@
         await asyncio.sleep(8.0)
         pids = [process.pid for process in boxes.running.values()]
         before = [await _metrics(boxes.address(number)) for number in boxes.running]
-        cpu = [_cpu_s(pid) for pid in pids]
+        cpu_s = [_cpu_s(pid) for pid in pids]
         await asyncio.sleep(seconds)
-        spent = [_cpu_s(pid) - was for pid, was in zip(pids, cpu, strict=True)]
+        spent = [_cpu_s(pid) - start_s for pid, start_s in zip(pids, cpu_s, strict=True)]
         after = [await _metrics(boxes.address(number)) for number in boxes.running]
         names = ("rookspring_peer_bytes_total", "rookspring_platform_calls_total")
         sent, calls = (
@@ -73,12 +73,12 @@
 
 @experiment("idle")
 def run(arguments: list[str]) -> int:
-    """Measure several numbers of nodes."""
+    """Measure deployments with several numbers of nodes."""
     parser = argparse.ArgumentParser("idle")
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--nodes", type=int, nargs="*", default=[3, 9, 18])
     options = parser.parse_args(arguments)
     configure("ERROR")
     rows = [uvloop.run(_run("fjordlap", nodes, options.seconds)) for nodes in options.nodes]
-    report("idle", "control of nodes that serve nothing", rows)
+    report("idle", "costs of nodes without requests", rows)
     return 0
--- a/bench/live.py
+++ b/bench/live.py
@@ -1,5 +1,6 @@
-"""Stages on real sockets for experiments, and a load from processes of its own."""
+"""Deployments on real sockets for experiments: fakes in this process, nodes in their own."""
 
+import aiohttp
 import asyncio
 import contextlib
 import itertools
@@ -7,22 +8,21 @@
 import subprocess
 import sys
 import typing as t
-
-import aiohttp
-
 from rookspring.local_cluster import LocalCluster
 from rookspring.local_cluster import LocalClusterPlan
 
 
+
+
 class Boxes:
-    """Nodes as processes of the real daemon, which can be killed, paused and drained."""
+    """Nodes that run as processes of the real daemon and can be killed, paused and drained."""
 
     def __init__(self, stage: LocalCluster) -> None:
         self.stage = stage
         self.running: dict[int, subprocess.Popen[bytes]] = {}
 
     def start(self, number: int) -> None:
-        """Start a box and list it."""
+        """Start a box and add it to the platform's list."""
         settings = self.stage.make_settings(number)
         flags = {
             "--name": settings.name,
@@ -35,12 +35,14 @@
             "--operator-key-sha256": ",".join(settings.operator_key_sha256),
             "--log-level": "ERROR",
         }
-        words = [word for pair in flags.items() for word in pair]
-        self.running[number] = subprocess.Popen([sys.executable, "-m", "rookspring", "run", *words])
+        arguments = [word for pair in flags.items() for word in pair]
+        self.running[number] = subprocess.Popen(
+            [sys.executable, "-m", "rookspring", "run", *arguments]
+        )
         self.stage.list_node(settings)
 
     def address(self, number: int) -> str:
-        """Give where callers reach a box."""
+        """Return the address at which a box serves callers."""
         return self.stage.make_settings(number).caller_address
 
     def signal(self, number: int, which: int) -> None:
@@ -48,13 +50,13 @@
         self.running[number].send_signal(which)
 
     async def gone(self, number: int) -> None:
-        """Wait until a box's process has ended, and take it off the list."""
+        """Wait until a box's process has ended, and remove it from the platform's list."""
         while self.running[number].poll() is None:
             await asyncio.sleep(0.1)
         self.stage.platform.store.boxes.pop(f"box-{number}", None)
 
     async def listening(self, number: int) -> None:
-        """Wait until a box's process answers at all."""
+        """Wait up to 15 s until a box's process accepts requests, whether it is ready or not."""
         async with aiohttp.ClientSession() as session:
             for _ in range(300):
                 try:
@@ -64,7 +66,7 @@
                     await asyncio.sleep(0.05)
 
     async def up(self, numbers: t.Iterable[int]) -> None:
-        """Wait until boxes are ready."""
+        """Wait until boxes are ready, up to 15 s for each."""
         async with aiohttp.ClientSession() as session:
             for number in numbers:
                 for _ in range(300):
@@ -78,7 +80,7 @@
                     await asyncio.sleep(0.05)
 
     def end(self) -> None:
-        """End all processes that were started here."""
+        """Kill all processes that were started here and still run, also paused ones."""
         for process in self.running.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -88,7 +90,10 @@
 
 @contextlib.asynccontextmanager
 async def raised(plan: LocalClusterPlan, numbers: t.Sequence[int]) -> t.AsyncIterator[Boxes]:
-    """Raise stand-ins here and boxes as processes, with resources in force, and end all."""
+    """Run the fakes in this process and boxes as processes; stop all of them at the end.
+
+    Resources are applied and the boxes are ready when it yields.
+    """
     stage = LocalCluster(plan._replace(nodes=0, quiet=True))
     await stage.start()
     boxes = Boxes(stage)
@@ -105,23 +110,30 @@
 
 
 async def disturb(boxes: Boxes, ways: t.Sequence[str], until: asyncio.Event) -> dict[str, int]:
-    """Kill, pause and drain boxes in turn, and start them again, until told to stop."""
+    """Disturb one box after another until an event is set.
+
+    A paused box is resumed; a killed or drained one is started again.
+
+    :param actions: ``kill``, ``pause`` or ``drain``, done in this order over and over.
+    :param stop: ends the loop when set, checked between two actions.
+    :return: how often each action was done.
+    """
     counts = dict.fromkeys(ways, 0)
     numbers = itertools.cycle(sorted(boxes.running))
-    for way in itertools.cycle(ways):
+    for action in itertools.cycle(ways):
         try:
             await asyncio.wait_for(until.wait(), 2.0)
             return counts
         except TimeoutError:
             pass
         number = next(numbers)
-        counts[way] += 1
-        if way == "pause":
+        counts[action] += 1
+        if action == "pause":
             boxes.signal(number, signal.SIGSTOP)
             await asyncio.sleep(3.0)
             boxes.signal(number, signal.SIGCONT)
             continue
-        boxes.signal(number, signal.SIGKILL if way == "kill" else signal.SIGTERM)
+        boxes.signal(number, signal.SIGKILL if action == "kill" else signal.SIGTERM)
         await boxes.gone(number)
         boxes.start(number)
         await boxes.up([number])
--- a/bench/once.py
+++ b/bench/once.py
@@ -1,38 +1,41 @@
-"""Unrepeatable calls over real sockets while nodes are killed, paused and drained.
+"""Sends unrepeatable calls over real sockets while nodes are killed, paused and drained.
 
-Every key is sent a second time, at another node. What ran is read from the
-service's own count.
+Every key is sent a second time, to another node. The outcomes that callers got are compared
+with the number of times that the service itself ran each call.
 """
 
+import aiohttp
 import argparse
 import asyncio
 import collections
+import orjson
 import random
 import time
 import typing as t
-
-import aiohttp
-import orjson
 import uvloop
-
-from rookspring.local_cluster import KEY
-from rookspring.local_cluster import LocalCluster
-from rookspring.local_cluster import LocalClusterPlan
-from rookspring.logs import configure
-from rookspring_fakes.users import SMALL
-
 from .live import Boxes
 from .live import disturb
 from .live import raised
 from .registry import experiment
 from .registry import quantile
 from .registry import report
+from rookspring.local_cluster import KEY
+from rookspring.local_cluster import LocalCluster
+from rookspring.local_cluster import LocalClusterPlan
+from rookspring.logs import configure
+from rookspring_fakes.users import SMALL
+
+
+
 
 AUTH = {"Authorization": f"Bearer {KEY}"}
 
 
 class Ledgerbook:
-    """What callers were told, by call."""
+    """The outcomes of calls, as their callers got them.
+
+    :param sends_attempt_numbers: whether callers number the sends of a key in a header.
+    """
 
     def __init__(self, tells_attempts: bool) -> None:
         self.tells_attempts = tells_attempts
@@ -41,7 +44,7 @@
         self.times: list[float] = []
 
 
-async def _open(session: aiohttp.ClientSession, address: str) -> str:
+async def _open_session(session: aiohttp.ClientSession, address: str) -> str:
     url = f"http://{address}/v1/sessions"
     limit = aiohttp.ClientTimeout(total=5.0, connect=1.0)
     try:
@@ -58,7 +61,9 @@
 ) -> tuple[str, str]:
     """Send a key once.
 
-    :return: the outcome told, and the error's code; ``broken`` when nothing was told.
+    :param attempt: the number of the send, from 1; 0 omits the header.
+    :return: the outcome and the error's code; without a response, ``broken`` and the name of the
+        exception.
     """
     url = f"http://{address}/v1/services/{SMALL.service}/{SMALL.unrepeatable}"
     headers = {**AUTH, "Idempotency-Key": key, "X-Rookspring-Deadline-Ms": "5000"}
@@ -77,42 +82,49 @@
     return str(answer["outcome"]), str(answer["error"]["code"])
 
 
-async def _work(
-    boxes: Boxes, book: Ledgerbook, calls: list[str], seed: int, numbers: list[int], pause_s: float
+async def _run_worker(
+    boxes: Boxes,
+    records: Ledgerbook,
+    calls: list[str],
+    seed: int,
+    numbers: list[int],
+    pause_s: float,
 ) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     limit = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=limit) as session:
         while calls:
             call = calls.pop()
-            first, second = chance.sample(numbers, 2)
-            token = await _open(session, boxes.address(first))
+            first, second = rng.sample(numbers, 2)
+            token = await _open_session(session, boxes.address(first))
             if not token:
                 calls.append(call)
                 await asyncio.sleep(0.05)
                 continue
-            await asyncio.sleep(pause_s * chance.random())
+            await asyncio.sleep(pause_s * rng.random())
             begun = time.monotonic()
-            entry = chance.choice([first, second])
-            tell = int(book.tells_attempts)
+            entry = rng.choice([first, second])
+            attempt = int(records.tells_attempts)
             key = f"{token}/1"
-            told = [await _send(session, boxes.address(entry), key, call, tell)]
-            book.times.append(time.monotonic() - begun)
-            # Every key is retried at the other node, whatever was told.
+            answers = [await _send(session, boxes.address(entry), key, call, attempt)]
+            records.times.append(time.monotonic() - begun)
+            # Every key is retried at the other node, whatever the first outcome was.
             other = boxes.address(first + second - entry)
-            told.append(await _send(session, other, key, call, 2 * tell))
-            book.told[call] = told
-            if judge(told) == "unknown":
-                worst = next((why for what, why in told if what == "unknown"), told[-1][1])
-                book.causes[worst] += 1
+            answers.append(await _send(session, other, key, call, 2 * attempt))
+            records.told[call] = answers
+            if judge(answers) == "unknown":
+                cause = next(
+                    (code for outcome, code in answers if outcome == "unknown"), answers[-1][1]
+                )
+                records.causes[cause] += 1
 
 
 def judge(told: list[tuple[str, str]]) -> str:
-    """Give what a caller knows after both sends of a key.
+    """Return what a caller knows about its call after both sends of a key.
 
-    A key told ``not_run`` may be started by its next send, so that fact stands
-    only if the next send was not started either: it was told ``not_run`` too, or
-    found the session's node gone.
+    The second send may start a call whose first send ended ``not_run``. So the result is
+    ``not_run`` only if the second send did not start the call either: it also ended ``not_run``,
+    or as ``unknown`` with the code ``outcome_unknown``, as the session's node was gone.
     """
     outcomes = [outcome for outcome, _ in told]
     if "ran" in outcomes:
@@ -126,7 +138,7 @@
 
 
 async def _run(
-    calls: int, workers: int, pause_s: float, tells: bool
+    calls: int, workers: int, pause_s: float, sends_attempt_numbers: bool
 ) -> tuple[Ledgerbook, LocalCluster, dict[str, int], float]:
     numbers = [1, 2, 3, 4, 5, 6]
     async with raised(LocalClusterPlan(SMALL, base_port=7900), numbers) as boxes:
@@ -134,57 +146,59 @@
         for service in stage.services.values():
             service.faults.applied_unanswered = 0.01
             service.faults.lose = 0.01
-        book = Ledgerbook(tells)
+        records = Ledgerbook(sends_attempt_numbers)
         left = [f"call-{number}" for number in range(calls)]
         done = asyncio.Event()
         begun = time.monotonic()
-        chaos = asyncio.create_task(disturb(boxes, ("kill", "pause", "drain"), done))
-        work = [_work(boxes, book, left, seed, numbers, pause_s) for seed in range(workers)]
+        disturbing = asyncio.create_task(disturb(boxes, ("kill", "pause", "drain"), done))
+        work = [
+            _run_worker(boxes, records, left, seed, numbers, pause_s) for seed in range(workers)
+        ]
         await asyncio.gather(*work)
         wall = time.monotonic() - begun
         done.set()
-        return book, stage, await chaos, wall
+        return records, stage, await disturbing, wall
 
 
 @experiment("once")
 def run(arguments: list[str]) -> int:
-    """Run the calls and compare what was told with what ran."""
+    """Send the calls and compare their outcomes with what the service ran."""
     parser = argparse.ArgumentParser("once")
     parser.add_argument("--calls", type=int, default=10_000)
     parser.add_argument("--workers", type=int, default=40)
     parser.add_argument("--pause", type=float, default=0.3, help="mean pause of a worker, s")
-    parser.add_argument("--plain", action="store_true", help="callers do not tell attempts")
+    parser.add_argument("--plain", action="store_true", help="callers do not number their attempts")
     options = parser.parse_args(arguments)
     configure("ERROR")
-    book, stage, chaos, wall = uvloop.run(
+    records, stage, disturbances, wall = uvloop.run(
         _run(options.calls, options.workers, options.pause, not options.plain)
     )
     runs = stage.ledger.runs
-    ends: collections.Counter[str] = collections.Counter()
+    outcomes: collections.Counter[str] = collections.Counter()
     false_not_run = 0
     false_ran = 0
-    for call, told in book.told.items():
-        end = judge(told)
-        ends[end] += 1
-        false_not_run += int(end == "not_run" and runs.get(call, 0) > 0)
-        if end == "not_run" and runs.get(call, 0) > 0:
-            print(f"FALSE not_run {call}: {told}")
-        false_ran += int(end == "ran" and runs.get(call, 0) != 1)
+    for call, answers in records.told.items():
+        outcome = judge(answers)
+        outcomes[outcome] += 1
+        false_not_run += int(outcome == "not_run" and runs.get(call, 0) > 0)
+        if outcome == "not_run" and runs.get(call, 0) > 0:
+            print(f"FALSE not_run {call}: {answers}")
+        false_ran += int(outcome == "ran" and runs.get(call, 0) != 1)
     doubled = len(stage.ledger.repeated_calls())
     row: dict[str, t.Any] = {
-        "calls": len(book.told),
-        "sends": 2 * len(book.told),
+        "calls": len(records.told),
+        "sends": 2 * len(records.told),
         "wall s": round(wall, 1),
         "doubled": doubled,
         "false not_run": false_not_run,
         "false ran": false_ran,
-        "ran": ends["ran"],
-        "not_run": ends["not_run"],
-        "unknown %": round(100 * ends["unknown"] / len(book.told), 3),
-        "p50 ms": round(1000 * quantile(book.times, 0.5), 2),
-        **chaos,
+        "ran": outcomes["ran"],
+        "not_run": outcomes["not_run"],
+        "unknown %": round(100 * outcomes["unknown"] / len(records.told), 3),
+        "p50 ms": round(1000 * quantile(records.times, 0.5), 2),
+        **disturbances,
     }
     report("once", "unrepeatable calls, each key sent twice", [row])
-    causes = [{"cause": cause, "calls": count} for cause, count in book.causes.most_common()]
+    causes = [{"cause": cause, "calls": count} for cause, count in records.causes.most_common()]
     report("once-causes", "unknown by cause", causes or [{"cause": "none", "calls": 0}])
     return int(doubled + false_not_run + false_ran > 0)
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,22 +1,22 @@
-"""Plots of the tables that experiments kept under ``reports/``, for the docs."""
+"""Draws plots for the docs from the tables that experiments saved under ``reports/``."""
 
 import argparse
-import pathlib
-import typing as t
-
 import matplotlib
+import matplotlib.pyplot as plt  # noqa: E402
 import orjson
-
+import pathlib
+import typing as t
 from .registry import REPORTS
 from .registry import experiment
 
+
+
 matplotlib.use("svg")
 
-import matplotlib.pyplot as plt  # noqa: E402
 
 
 class Plot(t.NamedTuple):
-    """One plot: lines of ``y`` over ``x``, one for each value of ``group``."""
+    """A plot of column ``y`` over column ``x``, with a line for each value of column ``group``."""
 
     table: str
     x: str
@@ -36,7 +36,7 @@
 
 
 def draw(plot: Plot, folder: pathlib.Path) -> pathlib.Path | None:
-    """Draw one plot as SVG; None where its table was not measured here."""
+    """Draw a plot as SVG and return its path, or None if its table is not under ``reports/``."""
     source = REPORTS / f"{plot.table}.json"
     if not source.exists():
         return None
@@ -62,7 +62,7 @@
 
 @experiment("plots")
 def run(arguments: list[str]) -> int:
-    """Draw every plot whose table is there."""
+    """Draw every plot whose table exists; fail if there is none."""
     parser = argparse.ArgumentParser("plots")
     parser.add_argument("--folder", default="docs/plots")
     options = parser.parse_args(arguments)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,19 +1,19 @@
-"""A soak of real processes: signals, changes and endpoints' words, in series and overlapping."""
+"""Soaks real processes with signals, changes and endpoint notices, alone and overlapping."""
 
 import argparse
 import asyncio
 import os
-
+from .registry import experiment
+from .registry import report
 from rookspring.logs import configure
 from rookspring_fakes.process_soak import ProcessSoak
 
-from .registry import experiment
-from .registry import report
+
 
 
 @experiment("processes")
 def run(arguments: list[str]) -> int:
-    """Play seeds one after another; the exit code tells whether a promise broke."""
+    """Run one soak per seed; the exit code is 1 if an invariant was violated in any of them."""
     parser = argparse.ArgumentParser(prog="processes", description=__doc__)
     parser.add_argument("--seed", type=int, default=1, help="the first seed")
     parser.add_argument("--seeds", type=int, default=1)
@@ -26,8 +26,8 @@
     for seed in range(given.seed, given.seed + given.seeds):
         soak = ProcessSoak(seed, given.nodes, given.callers, os.getpid())
         found = asyncio.run(soak.run(given.seconds))
-        for fault in found.violations:
-            print(f"seed {seed}: {fault}")
+        for violation in found.violations:
+            print(f"seed {seed}: {violation}")
         rows.append(
             {
                 "seed": seed,
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,21 +1,22 @@
-"""What a node adds: first token and each token, through none, one and two nodes.
+"""Measures the latency that nodes add to streams, through none, one and two nodes.
 
-Nodes, stand-ins and callers each run in a process of their own, so that
-processor time is the nodes' alone and each way crosses processes alike. Every
-round asks all three ways in turn; ratios and differences come from one run.
+Nodes, fakes and callers each run in a process of their own, so that the processor time is
+that of the nodes alone and every hop crosses a process boundary. Every round measures all
+three paths in turn, so that ratios and differences compare figures of the same run.
 """
 
+import aiohttp
 import argparse
 import asyncio
 import multiprocessing
+import orjson
 import os
 import time
 import typing as t
-
-import aiohttp
-import orjson
 import uvloop
-
+from .registry import experiment
+from .registry import quantile
+from .registry import report
 from rookspring.local_cluster import LocalCluster
 from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
@@ -23,16 +24,18 @@
 from rookspring.settings import Settings
 from rookspring_fakes.users import SMALL
 
-from .registry import experiment
-from .registry import quantile
-from .registry import report
+
+
 
 MODEL = "pitwall-llm-00"
 AUTH = {"Authorization": "Bearer demo"}
 
 
 def _serve_nodes(settings: list[Settings], profile: str) -> None:
-    """Run nodes in this process until it is ended."""
+    """Run nodes in this process until it is terminated.
+
+    :param profile: a file for a profile of the nodes, which then stop after 25 s; empty for none.
+    """
     configure("ERROR")
 
     async def run() -> None:
@@ -56,7 +59,7 @@
 
 
 class Sample(t.NamedTuple):
-    """Times of one stream, in seconds."""
+    """Durations of one stream in seconds, and the numbers of its tokens and events."""
 
     first: float
     total: float
@@ -102,8 +105,11 @@
     return Sample(first, time.perf_counter() - begun, tokens, events)
 
 
-def _serve_stand_ins(plan: LocalClusterPlan, pipe: t.Any) -> None:
-    """Run the platform and the runners in this process until it is ended."""
+def _serve_fakes(plan: LocalClusterPlan, pipe: t.Any) -> None:
+    """Run the platform and the runners in this process until it is terminated.
+
+    :param pipe: gets the settings of two nodes, then the address of a runner that hosts the model.
+    """
     configure("ERROR")
 
     async def run() -> None:
@@ -136,11 +142,11 @@
             samples["one node"].append(await _read_node(session, nodes[0], f"o{number}", 20))
             two = await _read_node(session, nodes[0], f"t{number}", 20, f"{key}/{number}")
             samples["two nodes"].append(two)
-        flooded = await _flood(session, nodes[0], flood, pid)
-    return {"samples": samples, "flood": flooded}
+        throughput = await _measure_throughput(session, nodes[0], flood, pid)
+    return {"samples": samples, "flood": throughput}
 
 
-async def _flood(
+async def _measure_throughput(
     session: aiohttp.ClientSession, node: str, streams: int, pid: int
 ) -> dict[str, float]:
     before = _cpu_of(pid)
@@ -170,11 +176,13 @@
 
 @experiment("relay")
 def run(arguments: list[str]) -> int:
-    """Measure hops and a flood of tokens."""
+    """Measure the latency of each path, then the throughput of concurrent streams."""
     parser = argparse.ArgumentParser("relay")
     parser.add_argument("--rounds", type=int, default=200)
     parser.add_argument("--streams", type=int, default=60)
-    parser.add_argument("--step", type=float, default=0.01, help="how often runners send")
+    parser.add_argument(
+        "--step", type=float, default=0.01, help="interval at which runners send tokens, s"
+    )
     parser.add_argument("--stream-rate", type=float, default=100.0, help="tokens/s of a stream")
     parser.add_argument("--profile", default="")
     options = parser.parse_args(arguments)
@@ -194,14 +202,14 @@
     samples = result["samples"]
     rows: list[dict[str, t.Any]] = []
     base: dict[str, float] = {}
-    for way, found in samples.items():
+    for path, found in samples.items():
         first = quantile([one.first for one in found], 0.5) * 1000
         each = quantile([(one.total - one.first) / one.tokens for one in found], 0.5) * 1000
         base.setdefault("first", first)
         base.setdefault("each", each)
         rows.append(
             {
-                "way": way,
+                "way": path,
                 "first token ms": round(first, 3),
                 "p95 ms": round(quantile([one.first for one in found], 0.95) * 1000, 3),
                 "added ms": round(first - base["first"], 3),
@@ -209,23 +217,23 @@
                 "added per token ms": round(each - base["each"], 4),
             }
         )
-    report("relay", f"{options.rounds} streams each way, medians", rows)
-    flooded = {key: round(value, 3) for key, value in result["flood"].items()}
-    report("relay-flood", "relayed tokens by one node's process", [flooded])
+    report("relay", f"{options.rounds} streams per path, medians", rows)
+    throughput = {key: round(value, 3) for key, value in result["flood"].items()}
+    report("relay-flood", "throughput of one node's process", [throughput])
     return 0
 
 
 async def _run(plan: LocalClusterPlan, options: argparse.Namespace) -> dict[str, t.Any]:
     context = multiprocessing.get_context("spawn")
-    pipe, far = context.Pipe()
-    stand_ins = context.Process(target=_serve_stand_ins, args=(plan, far), daemon=True)
-    stand_ins.start()
+    pipe, child_pipe = context.Pipe()
+    fakes = context.Process(target=_serve_fakes, args=(plan, child_pipe), daemon=True)
+    fakes.start()
     settings = pipe.recv()
     nodes = context.Process(target=_serve_nodes, args=(settings, options.profile), daemon=True)
     nodes.start()
     try:
         addresses = [one.caller_address for one in settings]
-        await _wait_up(addresses)
+        await _wait_listening(addresses)
         await LocalCluster(plan).apply_at(addresses)
         return await _measure(
             pipe.recv(), addresses, options.rounds, options.streams, nodes.pid or 0
@@ -233,12 +241,12 @@
     finally:
         if options.profile:
             await asyncio.sleep(12.0)
-        for child in (nodes, stand_ins):
+        for child in (nodes, fakes):
             child.terminate()
             child.join(5.0)
 
 
-async def _wait_up(addresses: list[str]) -> None:
+async def _wait_listening(addresses: list[str]) -> None:
     async with aiohttp.ClientSession() as session:
         for address in addresses:
             for _ in range(200):
--- a/bench/request_rates.py
+++ b/bench/request_rates.py
@@ -1,7 +1,8 @@
-"""Ways to keep an endpoint's requests a second, over all nodes that send to it.
+"""Compares ways to keep an endpoint's rate limit over all nodes that send requests to it.
 
-Plays endpoints of one model on the virtual clock, one of which names a rate, each way on the same
-seeds: what it gets, how much of its rate is used, what callers get and how many messages it takes.
+Simulates the endpoints of one model on the virtual clock, one of which announces a rate limit.
+Every way runs on the same seeds. Measured are the endpoint's peak of requests, how much of its
+rate limit is used, how many requests are refused, and how many permits are requested.
 """
 
 import argparse
@@ -9,8 +10,8 @@
 import contextlib
 import random
 import typing as t
-from unittest import mock
-
+from .registry import experiment
+from .registry import report
 from rookspring.logs import configure
 from rookspring_core import slot_requests
 from rookspring_core.events import SlotAnswered
@@ -18,19 +19,20 @@
 from rookspring_core.slot_queues import SlotQueue
 from rookspring_fakes import fleet_node
 from rookspring_fakes.fleet_callers import FleetCallers
+from unittest import mock
+
 
-from .registry import experiment
-from .registry import report
 
 LIMITED = "e0"
 RUN_S = 0.1
-# At least so long, and until so many turns are due.
+# A run lasts at least so long, and long enough for so many permits at the rate limit.
 SECONDS = 24.0
 TURNS = 16.0
-# The endpoint names its rate from the start; what comes in the first seconds is not counted.
+# The endpoint announces its rate limit from the start; requests that arrive during the warm-up
+# are not counted.
 SETTLED_S = 4.0
 WINDOW_S = 4.0
-# A lease of turns ends after so long, in seconds, and holds no more than so many.
+# How long leased permits are valid, and how many a node gets at most with each grant.
 LEASE_S = 1.0
 LEASE_MOST = 8
 
@@ -39,7 +41,7 @@
 
 
 def way(name: str) -> t.Callable[[Way], Way]:
-    """Register a way to keep the rate."""
+    """Register a way to keep the rate limit under a name."""
 
     def register(make: Way) -> Way:
         WAYS[name] = make
@@ -49,94 +51,109 @@
 
 
 @way("an owner grants each")
-def _granted(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
+def _owner_grants(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
     return contextlib.nullcontext()
 
 
-def _alone(
+def _without_owner(
     callers: FleetCallers, share: t.Callable[[int], float]
 ) -> contextlib.AbstractContextManager[t.Any]:
-    """Have each node be the owner for itself, of a part of the rate."""
-    part = share(len(callers.names()))
-    use = SlotQueue.set_endpoints
+    """Let each node grant permits to itself, without an owner, within a share of the rate limit.
+
+    :param share: returns each node's share of the rate limit for a number of nodes.
+    """
+    node_share = share(len(callers.names()))
+    set_endpoints = SlotQueue.set_endpoints
 
-    def take(self: SlotQueue, endpoints: t.Any, since: float = -1e9, now: float = 0.0) -> None:
+    def set_shares(
+        self: SlotQueue, endpoints: t.Any, since: float = -1e9, now: float = 0.0
+    ) -> None:
         rows = [
-            one if one.rate is None else one._replace(rate=one.rate * part) for one in endpoints
+            one if one.rate is None else one._replace(rate=one.rate * node_share)
+            for one in endpoints
         ]
-        use(self, rows, since, now)
+        set_endpoints(self, rows, since, now)
 
-    def ask(peers: t.Any, asked: t.Any) -> None:
+    def decide_locally(peers: t.Any, asked: t.Any) -> None:
         peers.context.loop.call_soon(fleet_node.relay_slots.handle_request, peers, asked, None)
 
-    def keep(self: OwnerTable, nodes: t.Any, now: float) -> None:
+    def keep_nodes(self: OwnerTable, nodes: t.Any, now: float) -> None:
         self._updated_at = now
 
     stack = contextlib.ExitStack()
-    stack.enter_context(mock.patch.object(SlotQueue, "set_endpoints", take))
-    stack.enter_context(mock.patch.object(fleet_node.relay_slots.relay_owners, "ask_owner", ask))
-    stack.enter_context(mock.patch.object(OwnerTable, "update_nodes", keep))
+    stack.enter_context(mock.patch.object(SlotQueue, "set_endpoints", set_shares))
+    stack.enter_context(
+        mock.patch.object(fleet_node.relay_slots.relay_owners, "ask_owner", decide_locally)
+    )
+    stack.enter_context(mock.patch.object(OwnerTable, "update_nodes", keep_nodes))
     return stack
 
 
 @way("each node heeds the whole")
-def _whole(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
-    return _alone(callers, lambda nodes: 1.0)
+def _whole_limit(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
+    return _without_owner(callers, lambda nodes: 1.0)
 
 
 @way("each node heeds its part")
-def _share(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
-    return _alone(callers, lambda nodes: 1.0 / nodes)
+def _equal_share(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
+    return _without_owner(callers, lambda nodes: 1.0 / nodes)
 
 
 @way("an owner leases some to those that ask most")
-def _leased(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
+def _owner_leases(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
     fleet = callers.fleet
-    held: dict[tuple[str, str], list[float]] = collections.defaultdict(list)
-    asked_at: dict[tuple[str, str], list[float]] = collections.defaultdict(list)
-    give = SlotQueue._grant
-    ask = slot_requests.ask_permit
+    leased: dict[tuple[str, str], list[float]] = collections.defaultdict(list)
+    requested_at: dict[tuple[str, str], list[float]] = collections.defaultdict(list)
+    grant_slots = SlotQueue._grant
+    ask_permit = slot_requests.ask_permit
 
-    def grant(self: SlotQueue, now: float) -> list[t.Any]:
-        answers = give(self, now)
+    def grant_and_lease(self: SlotQueue, now: float) -> list[t.Any]:
+        answers = grant_slots(self, now)
         for one in answers:
             served = self._endpoints[one.endpoint]
             if served.bucket is None:
                 continue
             key = (one.origin, one.endpoint)
-            # What it asks in half a lease's time is likely to be asked again.
-            recent = asked_at[key] = [at for at in asked_at[key] if now - at < LEASE_S / 2.0]
+            # A node that requested permits within half the lease time is likely to do so again,
+            # so it gets as many in advance.
+            recent = requested_at[key] = [
+                at for at in requested_at[key] if now - at < LEASE_S / 2.0
+            ]
             for _ in range(min(LEASE_MOST, len(recent))):
                 if served.bucket.permits(now) < 1.0:
                     break
                 served.bucket.take(now)
-                held[key].append(now + LEASE_S)
+                leased[key].append(now + LEASE_S)
         return answers
 
-    def ask_turn(state: t.Any, request: t.Any, view: t.Any, until: float) -> list[t.Any]:
-        effects = ask(state, request, view, until)
+    def ask_unless_leased(state: t.Any, request: t.Any, view: t.Any, until: float) -> list[t.Any]:
+        effects = ask_permit(state, request, view, until)
         key = (state.identity.name, view.name)
-        asked_at[key].append(state.now)
-        held[key] = [end for end in held[key] if end > state.now]
-        if not held[key]:
+        requested_at[key].append(state.now)
+        leased[key] = [end for end in leased[key] if end > state.now]
+        if not leased[key]:
             return effects
-        held[key].pop()
+        leased[key].pop()
         identity = request.arrived.request_id
-        told = SlotAnswered(
+        answer = SlotAnswered(
             state.now, identity, slot_requests.ENDPOINT_PREFIX + view.name, view.name, 0.0, True
         )
         node = fleet.nodes[state.identity.name]
-        fleet.at(fleet.now, lambda: node.submit(told))
+        fleet.at(fleet.now, lambda: node.submit(answer))
         return []
 
     stack = contextlib.ExitStack()
-    stack.enter_context(mock.patch.object(SlotQueue, "_grant", grant))
-    stack.enter_context(mock.patch.object(slot_requests, "ask_permit", ask_turn))
+    stack.enter_context(mock.patch.object(SlotQueue, "_grant", grant_and_lease))
+    stack.enter_context(mock.patch.object(slot_requests, "ask_permit", ask_unless_leased))
     return stack
 
 
 class Load(t.NamedTuple):
-    """How many nodes and endpoints there are, the rate that one names, and what is asked."""
+    """The size of a deployment and its load.
+
+    :param rate_limit: of the one endpoint that announces one, in requests per second.
+    :param requests_per_s: what callers send to all nodes together.
+    """
 
     nodes: int
     endpoints: int
@@ -145,7 +162,13 @@
 
 
 class Played(t.NamedTuple):
-    """What the endpoint got, what callers got, and what it took."""
+    """The result of a simulation.
+
+    :param peak_requests: the most requests that arrived at the endpoint within ``WINDOW_S``.
+    :param used_share: the share of its rate limit that was used.
+    :param refused_share: the share of callers' requests that was refused as not run.
+    :param permit_requests_per_s: permit requests of all nodes per second.
+    """
 
     most: float
     used: float
@@ -166,38 +189,40 @@
 
 
 def play(load: Load, name: str, seed: int) -> Played:
-    """Play some seconds."""
+    """Simulate a load with one way to keep the rate limit."""
     callers = FleetCallers(load.nodes, load.endpoints)
     fleet = callers.fleet
     runners = callers.runners
     runners.default_run_s = RUN_S
     runners.rates[LIMITED] = load.rate
-    drawn = random.Random(seed)
+    rng = random.Random(seed)
     names = callers.names()
     start = fleet.now
     seconds = max(SECONDS, SETTLED_S + TURNS / load.rate)
-    asked = mock.Mock(wraps=fleet_node.relay_slots.ask_slot)
+    ask_slot = mock.Mock(wraps=fleet_node.relay_slots.ask_slot)
     sent = 0
-    with WAYS[name](callers), mock.patch.object(fleet_node.relay_slots, "ask_slot", asked):
+    with WAYS[name](callers), mock.patch.object(fleet_node.relay_slots, "ask_slot", ask_slot):
         while fleet.now < start + seconds:
-            callers.send(drawn.choice(names), "", repeatable=True, attempts=2)
+            callers.send(rng.choice(names), "", repeatable=True, attempts=2)
             sent += 1
-            fleet.run(drawn.expovariate(load.asked))
-    begins = start + SETTLED_S
-    there = [one.at for one in runners.arrivals if one.endpoint == LIMITED and one.at >= begins]
-    most = max((sum(at <= one <= at + WINDOW_S for one in there) for at in there), default=0)
-    spent_s = seconds - SETTLED_S
+            fleet.run(rng.expovariate(load.asked))
+    counted_from = start + SETTLED_S
+    arrivals = [
+        one.at for one in runners.arrivals if one.endpoint == LIMITED and one.at >= counted_from
+    ]
+    peak = max((sum(at <= one <= at + WINDOW_S for one in arrivals) for at in arrivals), default=0)
+    counted_s = seconds - SETTLED_S
     return Played(
-        most,
-        len(there) / (load.rate * spent_s),
+        peak,
+        len(arrivals) / (load.rate * counted_s),
         sum(one.outcome == "not_run" for _, one in fleet.refusals) / sent,
-        asked.call_count / seconds,
+        ask_slot.call_count / seconds,
     )
 
 
 @experiment("request-rates")
 def run(arguments: list[str]) -> int:
-    """Compare the ways."""
+    """Measure every way under every load."""
     parser = argparse.ArgumentParser(prog="request-rates")
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--ways", default=",".join(WAYS))
@@ -223,5 +248,5 @@
                     "questions a second": means[3],
                 }
             )
-    report("request-rates", f"Ways to keep a rate, {given.seeds} seeds", rows)
+    report("request-rates", f"Ways to keep a rate limit, {given.seeds} seeds", rows)
     return 0
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -1,7 +1,7 @@
-"""Ways to heed rests: who is told, and how nodes come back once they are over.
+"""Compares ways to respect requested back-offs: which nodes back off, and how they return.
 
-Plays a service on the virtual clock of whose endpoints one turns requests away for a while and
-asks each node for rest, each way on the same seeds.
+Simulates a service on the virtual clock. For a while, one of its endpoints refuses the requests
+of some or all nodes and requests a back-off. Every way runs on the same seeds.
 """
 
 import argparse
@@ -9,8 +9,8 @@
 import functools
 import random
 import typing as t
-from unittest import mock
-
+from .registry import experiment
+from .registry import report
 from rookspring.logs import configure
 from rookspring_core import notice_handlers
 from rookspring_core import notices
@@ -18,18 +18,18 @@
 from rookspring_core.hashing import stable_hash
 from rookspring_core.notices import NoticeTable
 from rookspring_fakes.fleet_callers import FleetCallers
+from unittest import mock
+
 
-from .registry import experiment
-from .registry import report
 
 ENDPOINTS = 6
 SLOTS = 12
 RUN_S = 0.4
 REST_S = 3.0
-# The endpoint sheds from the second to the eighth second of twenty.
+# The endpoint sheds load from the second to the eighth of twenty seconds.
 SHEDS_S = (2.0, 8.0)
 SECONDS = 20.0
-# Part of a rest over which the nodes' returns are spread, where they are.
+# The share of a back-off over which nodes return after it, in the way that spreads them.
 RAMP_SHARE = 0.25
 
 Way = t.Callable[[FleetCallers], contextlib.AbstractContextManager[t.Any]]
@@ -37,7 +37,7 @@
 
 
 def way(name: str) -> t.Callable[[Way], Way]:
-    """Register a way to heed rests."""
+    """Register a way to respect back-offs under a name."""
 
     def register(make: Way) -> Way:
         WAYS[name] = make
@@ -47,23 +47,23 @@
 
 
 @way("told to all, who add to its load; one request first")
-def _as_is(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
+def _unchanged(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
     return contextlib.nullcontext()
 
 
-def _untold() -> contextlib.AbstractContextManager[t.Any]:
+def _without_shed_load() -> contextlib.AbstractContextManager[t.Any]:
     return mock.patch.object(notices, "SHED_LOAD", 0.0)
 
 
 @way("local, one request first")
 def _local(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
-    return _untold()
+    return _without_shed_load()
 
 
 @way("local, all at once")
 def _at_once(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
     stack = contextlib.ExitStack()
-    stack.enter_context(_untold())
+    stack.enter_context(_without_shed_load())
     stack.enter_context(
         mock.patch.object(EndpointView, "probing_after_backoff", lambda self, now: False)
     )
@@ -71,50 +71,63 @@
 
 
 @way("local, spread over a quarter of the rest")
-def _ramp(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
+def _spread_returns(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
     stack = contextlib.ExitStack()
     stack.enter_context(_at_once(callers))
-    recall = notice_handlers.restore_notices
+    restore = notice_handlers.restore_notices
 
-    def later(state: t.Any, view: EndpointView) -> None:
-        recall(state, view)
+    def restore_and_extend(state: t.Any, view: EndpointView) -> None:
+        restore(state, view)
         if view.in_backoff(state.now):
             spread = stable_hash(state.identity.name, view.name) % 1000 / 1000.0
             view.backoff_until += spread * RAMP_SHARE * REST_S
 
-    stack.enter_context(mock.patch.object(notice_handlers, "restore_notices", later))
+    stack.enter_context(mock.patch.object(notice_handlers, "restore_notices", restore_and_extend))
     return stack
 
 
-def _on_rest(callers: FleetCallers, tell: t.Callable[[t.Any, str, int, float], None]) -> t.Any:
-    """Have all other nodes told of a rest, two ways of links later."""
+def _share_backoffs(
+    callers: FleetCallers, apply: t.Callable[[t.Any, str, int, float], None]
+) -> t.Any:
+    """Pass each back-off that a node adds on to all other nodes, after the delay of two links.
+
+    :param apply: sets the back-off at a node.
+    """
     fleet = callers.fleet
-    take = NoticeTable.add_backoff
+    add_backoff = NoticeTable.add_backoff
 
-    def take_and_tell(self: NoticeTable, endpoint: str, born: int, until: float) -> None:
-        take(self, endpoint, born, until)
+    def add_and_share(self: NoticeTable, endpoint: str, born: int, until: float) -> None:
+        add_backoff(self, endpoint, born, until)
         for node in fleet.nodes.values():
             if node.state.notices is not self:
-                fleet.at(fleet.now + 0.003, functools.partial(tell, node, endpoint, born, until))
+                fleet.at(fleet.now + 0.003, functools.partial(apply, node, endpoint, born, until))
 
-    return mock.patch.object(NoticeTable, "add_backoff", take_and_tell)
+    return mock.patch.object(NoticeTable, "add_backoff", add_and_share)
 
 
 @way("told to all, who rest as well")
-def _told(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
-    def tell(node: t.Any, endpoint: str, born: int, until: float) -> None:
+def _all_back_off(callers: FleetCallers) -> contextlib.AbstractContextManager[t.Any]:
+    def apply(node: t.Any, endpoint: str, born: int, until: float) -> None:
         view = node.state.endpoints.get(endpoint)
         if view is not None:
             view.backoff_until = max(view.backoff_until, until)
 
     stack = contextlib.ExitStack()
-    stack.enter_context(_untold())
-    stack.enter_context(_on_rest(callers, tell))
+    stack.enter_context(_without_shed_load())
+    stack.enter_context(_share_backoffs(callers, apply))
     return stack
 
 
 class Played(t.NamedTuple):
-    """What callers got, and what the endpoint was spared."""
+    """The result of a simulation.
+
+    :param endpoint_refusals: requests that the endpoint refused.
+    :param refused: callers' requests that were refused as not run.
+    :param peak_at_return: the most requests that arrived at the endpoint within 0.1 s, once it
+        sheds load no longer.
+    :param early_use: the requests that arrived in the first 4 s after that, as a share of what its
+        slots can run.
+    """
 
     turned_away: int
     refused: int
@@ -123,30 +136,30 @@
 
 
 def play(nodes: int, name: str, share: float, seed: int, load: float) -> Played:
-    """Play twenty seconds.
+    """Simulate twenty seconds with one way to respect back-offs.
 
-    :param share: of the nodes which the endpoint turns away.
-    :param load: of all slots.
+    :param share: the share of the nodes whose requests the endpoint refuses; at least one node's.
+    :param load: the request rate, as a share of what all slots can run.
     """
     callers = FleetCallers(nodes, ENDPOINTS)
     fleet = callers.fleet
-    drawn = random.Random(seed)
+    rng = random.Random(seed)
     names = callers.names()
-    shunned = frozenset(names[: max(1, round(share * nodes))])
+    refused_nodes = frozenset(names[: max(1, round(share * nodes))])
     start = fleet.now
     shed = (start + SHEDS_S[0], start + SHEDS_S[1])
     callers.runners.limits = dict.fromkeys((f"e{one}" for one in range(ENDPOINTS)), SLOTS)
     callers.runners.default_run_s = RUN_S
-    fleet.at(shed[0], lambda: callers.runners.shed("e0", shed[1], REST_S, shunned))
+    fleet.at(shed[0], lambda: callers.runners.shed("e0", shed[1], REST_S, refused_nodes))
     rate = load * ENDPOINTS * SLOTS / RUN_S
     with WAYS[name](callers):
         for _ in range(round(rate * SECONDS)):
-            callers.send(drawn.choice(names), "", repeatable=True, attempts=2)
-            fleet.run(drawn.expovariate(rate))
-    there = [one.at for one in callers.runners.arrivals if one.endpoint == "e0"]
-    after = [at for at in there if at >= shed[1]]
+            callers.send(rng.choice(names), "", repeatable=True, attempts=2)
+            fleet.run(rng.expovariate(rate))
+    arrivals = [one.at for one in callers.runners.arrivals if one.endpoint == "e0"]
+    after = [at for at in arrivals if at >= shed[1]]
     peak = max((sum(1 for at in after if one <= at < one + 0.1) for one in after), default=0)
-    # Of what its slots could run in the four seconds since.
+    # As a share of what its slots can run in the four seconds after it shed load.
     used = sum(1 for at in after if at < shed[1] + 4.0) / (4.0 * SLOTS / RUN_S)
     return Played(
         len(callers.runners.turned_away),
@@ -158,7 +171,7 @@
 
 @experiment("rests")
 def run(arguments: list[str]) -> int:
-    """Compare the ways."""
+    """Measure every way, with all nodes refused and with one."""
     parser = argparse.ArgumentParser(prog="rests")
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--nodes", default="9,69")
@@ -181,5 +194,5 @@
                         "of its slots used in 4 s after": sums[3],
                     }
                 )
-    report("rests", f"Ways to heed rests, means of {given.seeds} seeds", rows)
+    report("rests", f"Ways to respect back-offs, means of {given.seeds} seeds", rows)
     return 0
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,7 +1,7 @@
-"""Slopes of a node's work: by endpoints, models, adapters, nodes, requests, changes.
+"""Measures a node's costs per endpoint, model, adapter, other node, request and change.
 
-Each line gives the cost of one unit, measured at several sizes on this machine;
-``docs/CAPACITY.md`` multiplies them by the sizes of the target.
+Each row gives the cost of one unit at one of several sizes, measured on this machine;
+``docs/CAPACITY.md`` multiplies these costs by the sizes of the target deployment.
 """
 
 import argparse
@@ -9,8 +9,9 @@
 import time
 import tracemalloc
 import typing as t
+from .registry import experiment
+from .registry import report
 from functools import partial
-
 from rookspring import gossip
 from rookspring import peers
 from rookspring_core import Entry
@@ -25,8 +26,8 @@
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListed
 from rookspring_core.events import BoxListReceived
+from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
 from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import RequestArrived
@@ -38,14 +39,13 @@
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
-from .registry import experiment
-from .registry import report
+
 
 REPLICAS = 4
 
 
 def entries_of(models: int, adapters: int) -> dict[str, Entry]:
-    """Make accepted resources."""
+    """Make the accepted resources of so many models and adapters."""
     entries: dict[str, Entry] = {}
     for number in range(models):
         spec = {"version": "v1", "memory_gb": 10.0, "engine": "e"}
@@ -59,7 +59,7 @@
 
 
 def report_of(number: int, at: float, models: int) -> EndpointReported:
-    """Make an endpoint's report."""
+    """Make the load report of an endpoint, by its number."""
     resident = tuple((f"m-{(number * REPLICAS + i) % models:04d}", "v1") for i in range(REPLICAS))
     return EndpointReported(
         at, f"r-{number}", "1", 0.1, 16, 5, 0, 800.0, 100.0, 80.0, resident, held_gb=40.0
@@ -82,7 +82,7 @@
 
 
 def beat_of(number: int, at: float, models: int, inflight: int = 0) -> HeartbeatReceived:
-    """Make another node's heartbeat."""
+    """Make the heartbeat of another node, by its number."""
     demand = tuple((f"m-{one:04d}", 12.5) for one in range(models))
     rows = tuple((f"r-{one}", 3) for one in range(inflight))
     return HeartbeatReceived(
@@ -91,7 +91,7 @@
 
 
 def time_of(work: t.Callable[[int], t.Any], times: int) -> float:
-    """Give the least microseconds of one unit over three rounds; the first warms up."""
+    """Return the least processor time of a call in three rounds, in us; the first warms up."""
     best = float("inf")
     for turn in range(3):
         begun = time.process_time()
@@ -102,7 +102,7 @@
 
 
 def memory_of(make: t.Callable[[], t.Any], units: int) -> float:
-    """Give the bytes of one unit of what a function makes."""
+    """Return the bytes of memory per unit that a function's result takes."""
     gc.collect()
     tracemalloc.start()
     held = make()
@@ -137,7 +137,7 @@
         yield _row("tick, no lease", "endpoints known", endpoints, cost, "us")
     for endpoints in (10, 100, 1000):
         state = state_of(endpoints, 100, 0, 24)
-        cost = time_of(lambda number, state=state: _beat(state, number, 30, 20), 100)
+        cost = time_of(lambda number, state=state: _receive_heartbeat(state, number, 30, 20), 100)
         yield _row("heartbeat taken", "endpoints known", endpoints, cost, "us")
     state = state_of(100, 100)
     cost = time_of(
@@ -163,7 +163,7 @@
     reduce(state, Ticked(state.now + 0.1))
 
 
-def _beat(state: NodeState, number: int, models: int, inflight: int) -> None:
+def _receive_heartbeat(state: NodeState, number: int, models: int, inflight: int) -> None:
     reduce(state, beat_of(number % 24, state.now + 0.01, models, inflight))
 
 
@@ -175,26 +175,26 @@
         yield _row("plan (holder)", f"models on {runners} runners", models, cost / 1000, "ms")
     for models in (20, 200, 990):
         entries = entries_of(models, models * 5)
-        rooms = tuple(RunnerMemory("e", 72.0) for _ in range(models))
+        runner_memory = tuple(RunnerMemory("e", 72.0) for _ in range(models))
         change = Resource("Model", "m-0000", {"version": "v2", "memory_gb": 10.0, "engine": "e"}, 9)
         desired = {one.resource.key: one.resource for one in entries.values() if one.resource}
         desired[change.key] = change
-        cost = time_of(partial(_accept, desired, entries, rooms), 3)
+        cost = time_of(partial(_accept, desired, entries, runner_memory), 3)
         yield _row("one change accepted", "models, 5 adapters each", models, cost / 1000, "ms")
 
 
 def _accept(
     desired: dict[str, Resource],
     entries: dict[str, Entry],
-    rooms: tuple[RunnerMemory, ...],
+    runner_memory: tuple[RunnerMemory, ...],
     number: int,
 ) -> dict[str, Entry]:
-    return accept(desired.values(), entries, rooms)
+    return accept(desired.values(), entries, runner_memory)
 
 
 def _plan_input(models: int, runners: int) -> PlanInput:
     specs = {f"m-{number:04d}": ModelSpec("v1", 10.0, "e") for number in range(models)}
-    rooms = tuple(
+    snapshots = tuple(
         RunnerSnapshot(
             f"r-{number}",
             f"dc-{number % 7}",
@@ -209,24 +209,24 @@
     )
     demand = dict.fromkeys(specs, 0.6 * 800.0 * runners / models)
     demand["m-0000"] *= 10.0
-    return PlanInput(specs, rooms, demand, PolicySpec(loads_at_once=20))
+    return PlanInput(specs, snapshots, demand, PolicySpec(loads_at_once=20))
 
 
 def _byte_rows() -> t.Iterator[dict[str, t.Any]]:
     for models, inflight in ((0, 0), (15, 9), (100, 100)):
-        beat = beat_of(1, 0.0, models, inflight)
+        heartbeat = beat_of(1, 0.0, models, inflight)
         item = peers.Heartbeat(
-            beat.name,
-            beat.incarnation,
-            beat.address,
-            beat.caller_address,
-            beat.data_centre,
-            beat.revision,
-            beat.leaving,
-            [list(one) for one in beat.demand],
+            heartbeat.name,
+            heartbeat.incarnation,
+            heartbeat.address,
+            heartbeat.caller_address,
+            heartbeat.data_centre,
+            heartbeat.revision,
+            heartbeat.leaving,
+            [list(one) for one in heartbeat.demand],
             [],
             0,
-            [list(one) for one in beat.inflight],
+            [list(one) for one in heartbeat.inflight],
         )
         size = len(peers.encode(item))
         yield _row("heartbeat", f"models, {inflight} endpoints in flight", models, size, "bytes")
@@ -278,8 +278,8 @@
 
 @experiment("slopes")
 def run(arguments: list[str]) -> int:
-    """Measure all slopes."""
+    """Measure all costs."""
     argparse.ArgumentParser("slopes").parse_args(arguments)
     rows = [*_processor_rows(), *_holder_rows(), *_byte_rows(), *_memory_rows()]
-    report("slopes", "cost of one unit of a node's work, one core", rows)
+    report("slopes", "cost of a node's work per unit, on one core", rows)
     return 0
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,4 +1,4 @@
-"""Long randomised runs: random faults upon random worlds until the time is up."""
+"""Runs random faults in random simulated deployments until the time is up."""
 
 import argparse
 import collections
@@ -6,7 +6,8 @@
 import random
 import time
 import typing as t
-
+from .registry import experiment
+from .registry import report
 from rookspring_core import InvariantBroken
 from rookspring_fakes.disturbances import DISTURBANCES
 from rookspring_fakes.disturbances import UnrepeatableCallers
@@ -14,12 +15,11 @@
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
 
-from .registry import experiment
-from .registry import report
+
 
 
 class Case(t.NamedTuple):
-    """One run: its seed, user, and faults with their times."""
+    """One run: its seed, its user, and its faults with their times in seconds."""
 
     seed: int
     user: str
@@ -28,30 +28,29 @@
 
 def draw(seed: int) -> Case:
     """Draw a case from a seed."""
-    chance = random.Random(seed)
-    count = chance.randint(2, 8)
+    rng = random.Random(seed)
+    count = rng.randint(2, 8)
     faults = sorted(
-        (round(chance.random() * 60.0, 2), chance.choice(sorted(DISTURBANCES)))
-        for _ in range(count)
+        (round(rng.random() * 60.0, 2), rng.choice(sorted(DISTURBANCES))) for _ in range(count)
     )
-    return Case(seed, chance.choice(sorted(USERS)), tuple(faults))
+    return Case(seed, rng.choice(sorted(USERS)), tuple(faults))
 
 
 def play(case: Case) -> tuple[list[str], World]:
-    """Run a case and list the promises that broke."""
-    chance = random.Random(case.seed)
-    unchecked = chance.randint(1, 3)
+    """Run a case; return the invariants that it violated, and its world."""
+    rng = random.Random(case.seed)
+    unchecked = rng.randint(1, 3)
     world = World(
         USERS[case.user],
         seed=case.seed,
-        nodes=chance.randint(3, 6),
+        nodes=rng.randint(3, 6),
         checks_orders=lambda number: number % 4 >= unchecked,
     )
     world.declare()
     world.run_until_resident(120.0)
     start = world.clock.now
     UnrepeatableCallers(world, case.seed, start + 70.0)
-    send_steady_traffic(world, case.seed, start + 70.0, load=0.2 + 0.4 * chance.random())
+    send_steady_traffic(world, case.seed, start + 70.0, load=0.2 + 0.4 * rng.random())
     for at, name in case.faults:
         world.clock.call(at, DISTURBANCES[name], world, random.Random(case.seed))
     try:
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -1,12 +1,15 @@
-"""Streams over real sockets while nodes and runners die under them."""
+"""Runs streams over real sockets while nodes are killed and drained, and runners fail."""
 
 import argparse
 import asyncio
 import random
 import typing as t
-
 import uvloop
-
+from .live import disturb
+from .live import raised
+from .registry import experiment
+from .registry import quantile
+from .registry import report
 from rookspring.local_cluster import LocalCluster
 from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
@@ -15,23 +18,22 @@
 from rookspring_fakes.caller import expected_text
 from rookspring_fakes.users import SMALL
 
-from .live import disturb
-from .live import raised
-from .registry import experiment
-from .registry import quantile
-from .registry import report
+
+
 
 TOKENS = 120
 
 
 class Outcome(t.NamedTuple):
-    """One stream's end against what it should have been."""
+    """The answer to one stream, and the text that was expected."""
 
     answer: Answer
     wanted: str
 
 
-async def _work(caller: Caller, left: list[int], found: list[Outcome], gaps: list[float]) -> None:
+async def _run_worker(
+    caller: Caller, left: list[int], found: list[Outcome], gaps: list[float]
+) -> None:
     while left:
         number = left.pop()
         model = f"{SMALL.engine}-{number % SMALL.models:02d}"
@@ -40,13 +42,16 @@
         found.append(Outcome(answer, expected_text(model, prompt, TOKENS)))
 
 
-async def _kill_runners(stage: LocalCluster, until: asyncio.Event, seed: int) -> int:
-    """Break a runner's connections and streams now and then."""
-    chance = random.Random(seed)
+async def _fail_runners(stage: LocalCluster, until: asyncio.Event, seed: int) -> int:
+    """Fail a random runner about every 2.5 s for 0.3 s, and cancel its streams.
+
+    :return: how often a runner failed.
+    """
+    rng = random.Random(seed)
     count = 0
     while not until.is_set():
         await asyncio.sleep(2.5)
-        engine = chance.choice(sorted(stage.engines.values(), key=lambda one: one.name))
+        engine = rng.choice(sorted(stage.engines.values(), key=lambda one: one.name))
         engine.faults.killed = True
         await asyncio.sleep(0.3)
         for name in list(engine.streams):
@@ -66,23 +71,23 @@
         found: list[Outcome] = []
         gaps: list[float] = []
         done = asyncio.Event()
-        chaos = asyncio.create_task(disturb(boxes, ("kill", "kill", "drain"), done))
-        runners = asyncio.create_task(_kill_runners(boxes.stage, done, 1))
-        await asyncio.gather(*(_work(one, left, found, gaps) for one in callers))
+        disturbing = asyncio.create_task(disturb(boxes, ("kill", "kill", "drain"), done))
+        runners = asyncio.create_task(_fail_runners(boxes.stage, done, 1))
+        await asyncio.gather(*(_run_worker(one, left, found, gaps) for one in callers))
         done.set()
         for caller in callers:
             await caller.close()
         return {
             "found": found,
             "gaps": gaps,
-            "chaos": await chaos,
+            "disturbances": await disturbing,
             "runners": await runners,
         }
 
 
 @experiment("streams")
 def run(arguments: list[str]) -> int:
-    """Run the streams and compare each with the uncut answer."""
+    """Run the streams and compare each one's text with the expected text."""
     parser = argparse.ArgumentParser("streams")
     parser.add_argument("--streams", type=int, default=2000)
     parser.add_argument("--workers", type=int, default=80)
@@ -105,14 +110,12 @@
         "not_run": len(refused),
         "resume p50 ms": round(1000 * quantile(gaps, 0.5), 1),
         "resume p95 ms": round(1000 * quantile(gaps, 0.95), 1),
-        "nodes killed": result["chaos"]["kill"],
-        "drained": result["chaos"]["drain"],
+        "nodes killed": result["disturbances"]["kill"],
+        "drained": result["disturbances"]["drain"],
         "runners broken": result["runners"],
     }
-    report("streams", f"streams of {TOKENS} tokens while nodes and runners die", [row])
+    report("streams", f"streams of {TOKENS} tokens while nodes and runners fail", [row])
     for one in found:
         if one.answer.text != one.wanted and one not in refused:
-            print(
-                f"  {one.answer.outcome} {one.answer.reason} after {len(one.answer.text)} letters"
-            )
+            print(f"  {one.answer.outcome} {one.answer.reason} after {len(one.answer.text)} chars")
     return int(bool(foreign) or cut > 0)
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -1,18 +1,19 @@
-"""How the ends of endpoints are weighed: how many end under one request, and who else is refused.
+"""Compares ways to weigh crash records: how often a fatal request crashes endpoints, and how
+many innocent requests are refused.
 
-Plays days of ends on the virtual clock, each way of weighing on the same seeds.
+Simulates days with crashes on the virtual clock; every way runs on the same seeds.
 """
 
 import argparse
-
+from .registry import experiment
+from .registry import report
 from rookspring.logs import configure
 from rookspring_core.suspects import WEIGHTS
-from rookspring_fakes.fleet_callers import FATAL
 from rookspring_fakes.fleet_callers import CrashRun
 from rookspring_fakes.fleet_callers import CrashScenario
+from rookspring_fakes.fleet_callers import FATAL
+
 
-from .registry import experiment
-from .registry import report
 
 DAYS = {
     "ordinary": CrashScenario(),
@@ -26,7 +27,7 @@
 
 @experiment("suspects")
 def run(arguments: list[str]) -> int:
-    """Compare the ways on all days."""
+    """Measure every way on all days."""
     parser = argparse.ArgumentParser(prog="suspects")
     parser.add_argument("--seeds", type=int, default=3)
     seeds = parser.parse_args(arguments).seeds
@@ -50,5 +51,5 @@
                     "came again": sum(one.retried for one in played) / seeds,
                 }
             )
-    report("suspects", f"Weights of ends, means of {seeds} seeds", rows)
+    report("suspects", f"Weights of crash records, means of {seeds} seeds", rows)
     return 0
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -1,13 +1,13 @@
-"""Traffic for experiments under the virtual clock, and the account of its ends."""
+"""Traffic for experiments on the virtual clock, and statistics of its results."""
 
 import random
 import typing as t
-
 from rookspring_fakes.users import UserSize
 from rookspring_fakes.world import CallerRequest
 from rookspring_fakes.world import RequestResult
 from rookspring_fakes.world import World
 
+
 TOKENS = (20, 60, 120, 200)
 MEAN_TOKENS = sum(TOKENS) / len(TOKENS)
 DEADLINES_S = {"ranked": 8.0, "normal": 10.0, "casual": 12.0, "ledger": 8.0}
@@ -15,7 +15,11 @@
 
 
 class Account:
-    """How requests ended, with tokens served in time as the goodput."""
+    """Results of requests: how many met their deadline, and the goodput.
+
+    The goodput counts the tokens of requests that succeeded by their deadline. Only the time from
+    ``since`` until ``until`` is counted.
+    """
 
     def __init__(self, since: float, until: float = float("inf")) -> None:
         self.since = since
@@ -28,7 +32,7 @@
         self.met_at: list[tuple[float, bool]] = []
 
     def take(self, asked: CallerRequest, told: RequestResult) -> None:
-        """Count one end: shares by when a request was asked, goodput by when it ended."""
+        """Add a result: to the shares by when it was requested, to the goodput by when it ended."""
         if self.since <= told.at < self.until and told.at <= asked.deadline_at:
             self.good_tokens += asked.tokens if told.outcome == "ran" else 0
         if not self.since <= asked.at < self.until:
@@ -43,16 +47,18 @@
             self.reasons[reason] = self.reasons.get(reason, 0) + 1
 
     def attainment(self, priority: str = "") -> float:
-        """Give the share that met its deadline."""
-        asked = self.asked if not priority else {priority: self.asked.get(priority, 0)}
-        met = sum(self.met.get(one, 0) for one in asked)
-        return met / max(1, sum(asked.values()))
+        """Return the share of requests of a priority, or of all, that met their deadline."""
+        sent = self.asked if not priority else {priority: self.asked.get(priority, 0)}
+        met = sum(self.met.get(one, 0) for one in sent)
+        return met / max(1, sum(sent.values()))
 
 
 class Traffic:
-    """Poisson arrivals by model, sent to nodes that are live and not leaving.
+    """Poisson arrivals for each model, sent to nodes that are live and not leaving.
 
-    :param rates: gives requests a second of each model at a time.
+    :param rates: returns each model's requests per second at a time.
+    :param step_s: arrivals are drawn for steps of this length, in seconds.
+    :param prefixes: how many prompt prefixes the requests share; 0 for none.
     """
 
     def __init__(
@@ -78,10 +84,10 @@
             return
         for model, rate in self.rates(now).items():
             for _ in range(_poisson(self.random, rate * self.step_s)):
-                self.world.clock.call(self.random.random() * self.step_s, self._ask, model)
+                self.world.clock.call(self.random.random() * self.step_s, self._send, model)
         self.world.clock.call(self.step_s, self._step)
 
-    def _ask(self, model: str) -> None:
+    def _send(self, model: str) -> None:
         nodes = self.world.ready()
         if not nodes:
             return
@@ -98,28 +104,34 @@
         )
 
 
-def _poisson(chance: random.Random, mean: float) -> int:
-    """Draw a count; arrivals in a step are few, so the sum of exponentials serves."""
+def _poisson(rng: random.Random, mean: float) -> int:
+    """Draw a Poisson-distributed count by summing exponential intervals.
+
+    The time that this takes grows with the count, but few requests arrive in a step.
+    """
     count = 0
-    passed = chance.expovariate(1.0)
-    while passed < mean:
+    elapsed = rng.expovariate(1.0)
+    while elapsed < mean:
         count += 1
-        passed += chance.expovariate(1.0)
+        elapsed += rng.expovariate(1.0)
     return count
 
 
 def models_of(size: UserSize) -> list[str]:
-    """Name a user's models."""
+    """Return the names of a user's models."""
     return [f"{size.engine}-{number:02d}" for number in range(size.models)]
 
 
 def capacity_of(world: World) -> float:
-    """Give the tokens a second that all runners make at most."""
+    """Return the tokens per second that all runners together generate at most."""
     return sum(engine.token_rate for engine in world.engines.values())
 
 
 def skewed(models: list[str], total: float, power: float = 0.5) -> dict[str, float]:
-    """Share a rate out over models, the first the most asked for."""
+    """Split a total rate over models by Zipf's law; the first model gets the most.
+
+    :param exponent: 0 splits it evenly.
+    """
     weights = [1.0 / (rank + 1) ** power for rank in range(len(models))]
     scale = total / sum(weights)
     return {model: weight * scale for model, weight in zip(models, weights, strict=True)}
