--- a/bench/burst.py
+++ b/bench/burst.py
@@ -3,25 +3,27 @@
 import argparse
 import random
 import typing as t
+
+from rookspring_core.resources import PolicySpec
+from rookspring_fakes.users import USERS
+from rookspring_fakes.world import World
+
 from .registry import experiment
 from .registry import report
-from .traffic import Account
 from .traffic import MEAN_TOKENS
+from .traffic import RequestStats
 from .traffic import Traffic
 from .traffic import capacity_of
 from .traffic import models_of
-from rookspring_core.resources import PolicySpec
-from rookspring_fakes.users import USERS
-from rookspring_fakes.world import World
-
-
 
 POLICIES = ("gain", "static", "greedy", "proportional")
 PERIOD_S = 40.0
 
 
 class Bursts:
-    """Demand of which two models get 70 %; every ``PERIOD_S`` it moves to another two.
+    """Demand of which two models get 70 %, and all models together the rest.
+
+    The two are drawn anew every ``PERIOD_S``, without warning.
 
     :param total: total demand, in requests per second.
     :param start: when the first period begins, in seconds of the virtual clock.
@@ -46,8 +48,8 @@
 
 def run_once(
     user: str, placement: str, seed: int, load: float, length_s: float
-) -> tuple[Account, World, int]:
-    """Measure violation placement policy for violation user.
+) -> tuple[RequestStats, World, int]:
+    """Measure one placement policy for one user.
 
     :param load: total demand as a share of the capacity.
     :return: the statistics of requests, the world and the number of moves within the measured time.
@@ -62,8 +64,8 @@
     start = world.clock.now
     before = world.moves()
     end = start + length_s
-    stats = Account(start, end)
-    world.on_result = stats.take
+    stats = RequestStats(start, end)
+    world.on_result = stats.add_result
     total = load * capacity_of(world) / MEAN_TOKENS
     bursts = Bursts(models_of(size), total, seed, start)
     Traffic(world, bursts.rates, seed, end)
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,12 +1,11 @@
 """Measures configuration changes: calls, bytes, and the delay until every node applies them."""
 
 import argparse
-import orjson
 import random
 import typing as t
-from .registry import experiment
-from .registry import quantile
-from .registry import report
+
+import orjson
+
 from rookspring.gossip import RevisionHistory
 from rookspring.messages import encode
 from rookspring_core import defaults
@@ -14,8 +13,9 @@
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
 
-
-
+from .registry import experiment
+from .registry import quantile
+from .registry import report
 
 
 class Way(t.NamedTuple):
--- a/bench/failures.py
+++ b/bench/failures.py
@@ -3,20 +3,20 @@
 import argparse
 import random
 import typing as t
+
+from rookspring_fakes.disturbances import DISTURBANCES
+from rookspring_fakes.disturbances import find_lease_holder
+from rookspring_fakes.users import USERS
+from rookspring_fakes.world import World
+
 from .registry import experiment
 from .registry import report
-from .traffic import Account
 from .traffic import MEAN_TOKENS
+from .traffic import RequestStats
 from .traffic import Traffic
 from .traffic import capacity_of
 from .traffic import models_of
-from .traffic import skewed
-from rookspring_fakes.disturbances import DISTURBANCES
-from rookspring_fakes.disturbances import find_lease_holder
-from rookspring_fakes.users import USERS
-from rookspring_fakes.world import World
-
-
+from .traffic import zipf_rates
 
 
 def _start_world(user: str, seed: int, checks: bool = True) -> World:
@@ -27,16 +27,16 @@
     return world
 
 
-def _start_traffic(world: World, load: float, seed: int, length_s: float) -> Account:
+def _start_traffic(world: World, load: float, seed: int, length_s: float) -> RequestStats:
     start = world.clock.now
-    stats = Account(start, start + length_s)
-    world.on_result = stats.take
-    rates = skewed(models_of(world.size), load * capacity_of(world) / MEAN_TOKENS)
+    stats = RequestStats(start, start + length_s)
+    world.on_result = stats.add_result
+    rates = zipf_rates(models_of(world.size), load * capacity_of(world) / MEAN_TOKENS)
     Traffic(world, lambda now: rates, seed, start + length_s)
     return stats
 
 
-def _recovery_s(stats: Account, failed_at: float, required: float) -> float:
+def _recovery_s(stats: RequestStats, failed_at: float, required: float) -> float:
     """Return how long attainment stayed low after a failure, in seconds.
 
     That is until the end of the last two-second window whose share of requests that met their
@@ -44,7 +44,7 @@
     """
     last = failed_at
     windows: dict[int, list[bool]] = {}
-    for at, met in stats.met_at:
+    for at, met in stats.deadline_results:
         if at >= failed_at:
             windows.setdefault(int((at - failed_at) / 2.0), []).append(met)
     for window, ends in sorted(windows.items()):
@@ -96,7 +96,7 @@
     return int(bool(violations) or not all(good(row) for row in rows))
 
 
-STEPS = (
+LOSS_DELAYS_S = (
     ("before any change", 0.0),
     ("operators' write", 0.1),
     ("publication", 0.5),
@@ -119,7 +119,7 @@
     violations: list[str] = []
     for checks in (True, False):
         for way in ("killed", "paused"):
-            for step, delay in STEPS:
+            for step, delay in LOSS_DELAYS_S:
                 gaps: list[float] = []
                 refused = 0
                 found: list[str] = []
@@ -193,14 +193,14 @@
 def _run_outage(user: str, out: bool, length_s: float, violations: list[str]) -> dict[str, t.Any]:
     world = _start_world(user, 5)
     start = world.clock.now
-    stats = Account(start, start + length_s)
-    world.on_result = stats.take
+    stats = RequestStats(start, start + length_s)
+    world.on_result = stats.add_result
     models = models_of(world.size)
     total = 0.4 * capacity_of(world) / MEAN_TOKENS
 
     def rates(now: float) -> dict[str, float]:
         turn = int((now - start) // 60.0)
-        return skewed(models[turn % len(models) :] + models[: turn % len(models)], total, 1.0)
+        return zipf_rates(models[turn % len(models) :] + models[: turn % len(models)], total, 1.0)
 
     Traffic(world, rates, 5, start + length_s)
     before = max(world.published)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -12,13 +12,13 @@
 import pstats
 import time
 import typing as t
-from .registry import experiment
-from .registry import report
+
 from rookspring.logs import configure
 from rookspring_fakes.fleet import Fleet
 from rookspring_fakes.fleet import FleetPlan
 
-
+from .registry import experiment
+from .registry import report
 
 # Long enough for the assignment of roles to become stable.
 START_S = 10.0
--- a/bench/freshness.py
+++ b/bench/freshness.py
@@ -1,18 +1,18 @@
 """Measures attainment and the bytes sent for load reports, by the interval between reports."""
 
 import typing as t
+
+from rookspring_core.events import EndpointReported
+from rookspring_fakes.users import USERS
+
 from .overload import POLICIES
 from .overload import run_once
 from .registry import experiment
 from .registry import report
-from rookspring_core.events import EndpointReported
-from rookspring_fakes.users import USERS
-
-
 
 
 def _report_bytes() -> int:
-    """Return the encoded size of violation load report between nodes."""
+    """Return the encoded size of a load report between nodes."""
     from rookspring.gossip import encode_report
     from rookspring.messages import Reports
     from rookspring.messages import encode
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -1,21 +1,21 @@
 """Measures the processor time, memory, bytes and platform calls of nodes without requests."""
 
-import aiohttp
 import argparse
 import asyncio
 import os
 import re
 import typing as t
+
+import aiohttp
 import uvloop
-from .live import raised
-from .registry import experiment
-from .registry import report
+
 from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
 from rookspring_fakes import USERS
 
-
-
+from .live import run_deployment
+from .registry import experiment
+from .registry import report
 
 
 def _cpu_s(pid: int) -> float:
@@ -44,14 +44,14 @@
 
 async def _run(user: str, nodes: int, seconds: float) -> dict[str, t.Any]:
     plan = LocalClusterPlan(USERS[user], base_port=8300)
-    async with raised(plan, range(1, nodes + 1)) as boxes:
+    async with run_deployment(plan, range(1, nodes + 1)) as boxes:
         await asyncio.sleep(8.0)
-        pids = [process.pid for process in boxes.running.values()]
-        before = [await _metrics(boxes.address(number)) for number in boxes.running]
+        pids = [process.pid for process in boxes.processes.values()]
+        before = [await _metrics(boxes.address(number)) for number in boxes.processes]
         cpu_s = [_cpu_s(pid) for pid in pids]
         await asyncio.sleep(seconds)
         spent = [_cpu_s(pid) - start_s for pid, start_s in zip(pids, cpu_s, strict=True)]
-        after = [await _metrics(boxes.address(number)) for number in boxes.running]
+        after = [await _metrics(boxes.address(number)) for number in boxes.processes]
         names = ("rookspring_peer_bytes_total", "rookspring_platform_calls_total")
         sent, calls = (
             [
--- a/bench/live.py
+++ b/bench/live.py
@@ -1,6 +1,5 @@
 """Deployments on real sockets for experiments: fakes in this process, nodes in their own."""
 
-import aiohttp
 import asyncio
 import contextlib
 import itertools
@@ -8,18 +7,19 @@
 import subprocess
 import sys
 import typing as t
-from rookspring.local_cluster import LocalCluster
-from rookspring.local_cluster import LocalClusterPlan
 
+import aiohttp
 
+from rookspring.local_cluster import LocalCluster
+from rookspring.local_cluster import LocalClusterPlan
 
 
-class Boxes:
+class NodeProcesses:
     """Nodes that run as processes of the real daemon and can be killed, paused and drained."""
 
     def __init__(self, stage: LocalCluster) -> None:
         self.stage = stage
-        self.running: dict[int, subprocess.Popen[bytes]] = {}
+        self.processes: dict[int, subprocess.Popen[bytes]] = {}
 
     def start(self, number: int) -> None:
         """Start a box and add it to the platform's list."""
@@ -36,7 +36,7 @@
             "--log-level": "ERROR",
         }
         arguments = [word for pair in flags.items() for word in pair]
-        self.running[number] = subprocess.Popen(
+        self.processes[number] = subprocess.Popen(
             [sys.executable, "-m", "rookspring", "run", *arguments]
         )
         self.stage.list_node(settings)
@@ -47,16 +47,16 @@
 
     def signal(self, number: int, which: int) -> None:
         """Send a signal to a box."""
-        self.running[number].send_signal(which)
+        self.processes[number].send_signal(which)
 
-    async def gone(self, number: int) -> None:
+    async def wait_ended(self, number: int) -> None:
         """Wait until a box's process has ended, and remove it from the platform's list."""
-        while self.running[number].poll() is None:
+        while self.processes[number].poll() is None:
             await asyncio.sleep(0.1)
         self.stage.platform.store.boxes.pop(f"box-{number}", None)
 
-    async def listening(self, number: int) -> None:
-        """Wait up to 15 s until a box's process accepts requests, whether it is ready or not."""
+    async def wait_listening(self, number: int) -> None:
+        """Wait until a box's process answers requests, ready or not; give up after 300 tries."""
         async with aiohttp.ClientSession() as session:
             for _ in range(300):
                 try:
@@ -65,8 +65,8 @@
                 except aiohttp.ClientError:
                     await asyncio.sleep(0.05)
 
-    async def up(self, numbers: t.Iterable[int]) -> None:
-        """Wait until boxes are ready, up to 15 s for each."""
+    async def wait_ready(self, numbers: t.Iterable[int]) -> None:
+        """Wait until boxes are ready; give up on a box after 300 tries."""
         async with aiohttp.ClientSession() as session:
             for number in numbers:
                 for _ in range(300):
@@ -79,9 +79,9 @@
                         pass
                     await asyncio.sleep(0.05)
 
-    def end(self) -> None:
+    def kill_all(self) -> None:
         """Kill all processes that were started here and still run, also paused ones."""
-        for process in self.running.values():
+        for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.kill()
@@ -89,27 +89,31 @@
 
 
 @contextlib.asynccontextmanager
-async def raised(plan: LocalClusterPlan, numbers: t.Sequence[int]) -> t.AsyncIterator[Boxes]:
+async def run_deployment(
+    plan: LocalClusterPlan, numbers: t.Sequence[int]
+) -> t.AsyncIterator[NodeProcesses]:
     """Run the fakes in this process and boxes as processes; stop all of them at the end.
 
     Resources are applied and the boxes are ready when it yields.
     """
     stage = LocalCluster(plan._replace(nodes=0, quiet=True))
     await stage.start()
-    boxes = Boxes(stage)
+    boxes = NodeProcesses(stage)
     try:
         for number in numbers:
             boxes.start(number)
-        await boxes.listening(numbers[0])
+        await boxes.wait_listening(numbers[0])
         await stage.apply_at([boxes.address(numbers[0])])
-        await boxes.up(numbers)
+        await boxes.wait_ready(numbers)
         yield boxes
     finally:
-        boxes.end()
+        boxes.kill_all()
         await stage.close()
 
 
-async def disturb(boxes: Boxes, ways: t.Sequence[str], until: asyncio.Event) -> dict[str, int]:
+async def disturb(
+    boxes: NodeProcesses, actions: t.Sequence[str], stop: asyncio.Event
+) -> dict[str, int]:
     """Disturb one box after another until an event is set.
 
     A paused box is resumed; a killed or drained one is started again.
@@ -118,11 +122,11 @@
     :param stop: ends the loop when set, checked between two actions.
     :return: how often each action was done.
     """
-    counts = dict.fromkeys(ways, 0)
-    numbers = itertools.cycle(sorted(boxes.running))
-    for action in itertools.cycle(ways):
+    counts = dict.fromkeys(actions, 0)
+    numbers = itertools.cycle(sorted(boxes.processes))
+    for action in itertools.cycle(actions):
         try:
-            await asyncio.wait_for(until.wait(), 2.0)
+            await asyncio.wait_for(stop.wait(), 2.0)
             return counts
         except TimeoutError:
             pass
@@ -134,7 +138,7 @@
             boxes.signal(number, signal.SIGCONT)
             continue
         boxes.signal(number, signal.SIGKILL if action == "kill" else signal.SIGTERM)
-        await boxes.gone(number)
+        await boxes.wait_ended(number)
         boxes.start(number)
-        await boxes.up([number])
+        await boxes.wait_ready([number])
     return counts
--- a/bench/once.py
+++ b/bench/once.py
@@ -4,44 +4,44 @@
 with the number of times that the service itself ran each call.
 """
 
-import aiohttp
 import argparse
 import asyncio
 import collections
-import orjson
 import random
 import time
 import typing as t
+
+import aiohttp
+import orjson
 import uvloop
-from .live import Boxes
-from .live import disturb
-from .live import raised
-from .registry import experiment
-from .registry import quantile
-from .registry import report
+
 from rookspring.local_cluster import KEY
 from rookspring.local_cluster import LocalCluster
 from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
 from rookspring_fakes.users import SMALL
 
-
-
+from .live import NodeProcesses
+from .live import disturb
+from .live import run_deployment
+from .registry import experiment
+from .registry import quantile
+from .registry import report
 
 AUTH = {"Authorization": f"Bearer {KEY}"}
 
 
-class Ledgerbook:
+class CallRecords:
     """The outcomes of calls, as their callers got them.
 
     :param sends_attempt_numbers: whether callers number the sends of a key in a header.
     """
 
-    def __init__(self, tells_attempts: bool) -> None:
-        self.tells_attempts = tells_attempts
-        self.told: dict[str, list[tuple[str, str]]] = {}
-        self.causes: collections.Counter[str] = collections.Counter()
-        self.times: list[float] = []
+    def __init__(self, sends_attempt_numbers: bool) -> None:
+        self.sends_attempt_numbers = sends_attempt_numbers
+        self.answers: dict[str, list[tuple[str, str]]] = {}
+        self.unknown_causes: collections.Counter[str] = collections.Counter()
+        self.first_send_times: list[float] = []
 
 
 async def _open_session(session: aiohttp.ClientSession, address: str) -> str:
@@ -83,8 +83,8 @@
 
 
 async def _run_worker(
-    boxes: Boxes,
-    records: Ledgerbook,
+    boxes: NodeProcesses,
+    records: CallRecords,
     calls: list[str],
     seed: int,
     numbers: list[int],
@@ -104,34 +104,34 @@
             await asyncio.sleep(pause_s * rng.random())
             begun = time.monotonic()
             entry = rng.choice([first, second])
-            attempt = int(records.tells_attempts)
+            attempt = int(records.sends_attempt_numbers)
             key = f"{token}/1"
             answers = [await _send(session, boxes.address(entry), key, call, attempt)]
-            records.times.append(time.monotonic() - begun)
+            records.first_send_times.append(time.monotonic() - begun)
             # Every key is retried at the other node, whatever the first outcome was.
             other = boxes.address(first + second - entry)
             answers.append(await _send(session, other, key, call, 2 * attempt))
-            records.told[call] = answers
-            if judge(answers) == "unknown":
+            records.answers[call] = answers
+            if classify_outcome(answers) == "unknown":
                 cause = next(
                     (code for outcome, code in answers if outcome == "unknown"), answers[-1][1]
                 )
-                records.causes[cause] += 1
+                records.unknown_causes[cause] += 1
 
 
-def judge(told: list[tuple[str, str]]) -> str:
+def classify_outcome(answers: list[tuple[str, str]]) -> str:
     """Return what a caller knows about its call after both sends of a key.
 
     The second send may start a call whose first send ended ``not_run``. So the result is
     ``not_run`` only if the second send did not start the call either: it also ended ``not_run``,
     or as ``unknown`` with the code ``outcome_unknown``, as the session's node was gone.
     """
-    outcomes = [outcome for outcome, _ in told]
+    outcomes = [outcome for outcome, _ in answers]
     if "ran" in outcomes:
         return "ran"
-    if outcomes[0] == "not_run" and told[1] in (
+    if outcomes[0] == "not_run" and answers[1] in (
         ("unknown", "outcome_unknown"),
-        ("not_run", told[1][1]),
+        ("not_run", answers[1][1]),
     ):
         return "not_run"
     return "unknown"
@@ -139,14 +139,14 @@
 
 async def _run(
     calls: int, workers: int, pause_s: float, sends_attempt_numbers: bool
-) -> tuple[Ledgerbook, LocalCluster, dict[str, int], float]:
+) -> tuple[CallRecords, LocalCluster, dict[str, int], float]:
     numbers = [1, 2, 3, 4, 5, 6]
-    async with raised(LocalClusterPlan(SMALL, base_port=7900), numbers) as boxes:
+    async with run_deployment(LocalClusterPlan(SMALL, base_port=7900), numbers) as boxes:
         stage = boxes.stage
         for service in stage.services.values():
             service.faults.applied_unanswered = 0.01
             service.faults.lose = 0.01
-        records = Ledgerbook(sends_attempt_numbers)
+        records = CallRecords(sends_attempt_numbers)
         left = [f"call-{number}" for number in range(calls)]
         done = asyncio.Event()
         begun = time.monotonic()
@@ -177,8 +177,8 @@
     outcomes: collections.Counter[str] = collections.Counter()
     false_not_run = 0
     false_ran = 0
-    for call, answers in records.told.items():
-        outcome = judge(answers)
+    for call, answers in records.answers.items():
+        outcome = classify_outcome(answers)
         outcomes[outcome] += 1
         false_not_run += int(outcome == "not_run" and runs.get(call, 0) > 0)
         if outcome == "not_run" and runs.get(call, 0) > 0:
@@ -186,19 +186,21 @@
         false_ran += int(outcome == "ran" and runs.get(call, 0) != 1)
     doubled = len(stage.ledger.repeated_calls())
     row: dict[str, t.Any] = {
-        "calls": len(records.told),
-        "sends": 2 * len(records.told),
+        "calls": len(records.answers),
+        "sends": 2 * len(records.answers),
         "wall s": round(wall, 1),
         "doubled": doubled,
         "false not_run": false_not_run,
         "false ran": false_ran,
         "ran": outcomes["ran"],
         "not_run": outcomes["not_run"],
-        "unknown %": round(100 * outcomes["unknown"] / len(records.told), 3),
-        "p50 ms": round(1000 * quantile(records.times, 0.5), 2),
+        "unknown %": round(100 * outcomes["unknown"] / len(records.answers), 3),
+        "p50 ms": round(1000 * quantile(records.first_send_times, 0.5), 2),
         **disturbances,
     }
     report("once", "unrepeatable calls, each key sent twice", [row])
-    causes = [{"cause": cause, "calls": count} for cause, count in records.causes.most_common()]
+    causes = [
+        {"cause": cause, "calls": count} for cause, count in records.unknown_causes.most_common()
+    ]
     report("once-causes", "unknown by cause", causes or [{"cause": "none", "calls": 0}])
     return int(doubled + false_not_run + false_ran > 0)
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -2,18 +2,18 @@
 
 import argparse
 import typing as t
+
+from rookspring_fakes.users import USERS
+from rookspring_fakes.world import World
+
 from .registry import experiment
 from .registry import report
-from .traffic import Account
 from .traffic import MEAN_TOKENS
+from .traffic import RequestStats
 from .traffic import Traffic
 from .traffic import capacity_of
 from .traffic import models_of
-from .traffic import skewed
-from rookspring_fakes.users import USERS
-from rookspring_fakes.world import World
-
-
+from .traffic import zipf_rates
 
 LOADS = (0.5, 0.9, 1.2, 1.5, 2.0)
 
@@ -42,7 +42,7 @@
     lag_s: float = 0.2,
     length_s: float = 40.0,
     report_s: float = 0.5,
-) -> tuple[Account, World, float]:
+) -> tuple[RequestStats, World, float]:
     """Measure one policy at one load.
 
     :param load: demand as a share of the capacity.
@@ -62,10 +62,10 @@
         node.state.admission_on = policy.admission
     start = world.clock.now
     end = start + 10.0 + length_s
-    stats = Account(start + 10.0, end)
-    world.on_result = stats.take
+    stats = RequestStats(start + 10.0, end)
+    world.on_result = stats.add_result
     capacity = capacity_of(world)
-    rates = skewed(models_of(size), load * capacity / MEAN_TOKENS)
+    rates = zipf_rates(models_of(size), load * capacity / MEAN_TOKENS)
     Traffic(world, lambda now: rates, seed, end)
     world.clock.run(end + 15.0)
     return stats, world, min(1.0, load) * capacity
@@ -97,7 +97,7 @@
 def _measure(
     user: str, policy: Policy, load: float, seeds: int, length_s: float, violations: list[str]
 ) -> dict[str, t.Any]:
-    all_stats: list[Account] = []
+    all_stats: list[RequestStats] = []
     good = 0.0
     bound = 0.0
     for seed in range(seeds):
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,20 +1,19 @@
 """Draws plots for the docs from the tables that experiments saved under ``reports/``."""
 
 import argparse
+import pathlib
+import typing as t
+
 import matplotlib
 import matplotlib.pyplot as plt  # noqa: E402
 import orjson
-import pathlib
-import typing as t
+
 from .registry import REPORTS
 from .registry import experiment
 
-
-
 matplotlib.use("svg")
 
 
-
 class Plot(t.NamedTuple):
     """A plot of column ``y`` over column ``x``, with a line for each value of column ``group``."""
 
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -3,12 +3,12 @@
 import argparse
 import asyncio
 import os
-from .registry import experiment
-from .registry import report
+
 from rookspring.logs import configure
 from rookspring_fakes.process_soak import ProcessSoak
 
-
+from .registry import experiment
+from .registry import report
 
 
 @experiment("processes")
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -5,18 +5,17 @@
 three paths in turn, so that ratios and differences compare figures of the same run.
 """
 
-import aiohttp
 import argparse
 import asyncio
 import multiprocessing
-import orjson
 import os
 import time
 import typing as t
+
+import aiohttp
+import orjson
 import uvloop
-from .registry import experiment
-from .registry import quantile
-from .registry import report
+
 from rookspring.local_cluster import LocalCluster
 from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
@@ -24,8 +23,9 @@
 from rookspring.settings import Settings
 from rookspring_fakes.users import SMALL
 
-
-
+from .registry import experiment
+from .registry import quantile
+from .registry import report
 
 MODEL = "pitwall-llm-00"
 AUTH = {"Authorization": "Bearer demo"}
@@ -58,18 +58,18 @@
     uvloop.run(run())
 
 
-class Sample(t.NamedTuple):
+class StreamTiming(t.NamedTuple):
     """Durations of one stream in seconds, and the numbers of its tokens and events."""
 
-    first: float
-    total: float
+    first_token_s: float
+    total_s: float
     tokens: int
     events: int = 0
 
 
 async def _read_direct(
     session: aiohttp.ClientSession, address: str, name: str, tokens: int
-) -> Sample:
+) -> StreamTiming:
     body = {"id": name, "model": MODEL, "prompt": name, "max_tokens": tokens}
     begun = time.perf_counter()
     first = 0.0
@@ -77,12 +77,12 @@
         async for line in response.content:
             if not first and b"tokens" in line:
                 first = time.perf_counter() - begun
-    return Sample(first, time.perf_counter() - begun, tokens)
+    return StreamTiming(first, time.perf_counter() - begun, tokens)
 
 
 async def _read_node(
     session: aiohttp.ClientSession, address: str, name: str, tokens: int, key: str = ""
-) -> Sample:
+) -> StreamTiming:
     body = {
         "model": MODEL,
         "messages": [{"role": "user", "content": name}],
@@ -102,7 +102,7 @@
                 first = first or time.perf_counter() - begun
             done = done or line.startswith(b"data: [DONE]")
     assert done, name
-    return Sample(first, time.perf_counter() - begun, tokens, events)
+    return StreamTiming(first, time.perf_counter() - begun, tokens, events)
 
 
 def _serve_fakes(plan: LocalClusterPlan, pipe: t.Any) -> None:
@@ -133,7 +133,7 @@
 async def _measure(
     runner: str, nodes: list[str], rounds: int, flood: int, pid: int
 ) -> dict[str, t.Any]:
-    samples: dict[str, list[Sample]] = {"direct": [], "one node": [], "two nodes": []}
+    samples: dict[str, list[StreamTiming]] = {"direct": [], "one node": [], "two nodes": []}
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         async with session.post(f"http://{nodes[1]}/v1/sessions", headers=AUTH) as response:
             key = orjson.loads(await response.read())["session"]
@@ -203,15 +203,17 @@
     rows: list[dict[str, t.Any]] = []
     base: dict[str, float] = {}
     for path, found in samples.items():
-        first = quantile([one.first for one in found], 0.5) * 1000
-        each = quantile([(one.total - one.first) / one.tokens for one in found], 0.5) * 1000
+        first = quantile([one.first_token_s for one in found], 0.5) * 1000
+        each = (
+            quantile([(one.total_s - one.first_token_s) / one.tokens for one in found], 0.5) * 1000
+        )
         base.setdefault("first", first)
         base.setdefault("each", each)
         rows.append(
             {
                 "way": path,
                 "first token ms": round(first, 3),
-                "p95 ms": round(quantile([one.first for one in found], 0.95) * 1000, 3),
+                "p95 ms": round(quantile([one.first_token_s for one in found], 0.95) * 1000, 3),
                 "added ms": round(first - base["first"], 3),
                 "per token ms": round(each, 3),
                 "added per token ms": round(each - base["each"], 4),
--- a/bench/request_rates.py
+++ b/bench/request_rates.py
@@ -10,8 +10,8 @@
 import contextlib
 import random
 import typing as t
-from .registry import experiment
-from .registry import report
+from unittest import mock
+
 from rookspring.logs import configure
 from rookspring_core import slot_requests
 from rookspring_core.events import SlotAnswered
@@ -19,29 +19,29 @@
 from rookspring_core.slot_queues import SlotQueue
 from rookspring_fakes import fleet_node
 from rookspring_fakes.fleet_callers import FleetCallers
-from unittest import mock
-
 
+from .registry import experiment
+from .registry import report
 
-LIMITED = "e0"
+LIMITED_ENDPOINT = "e0"
 RUN_S = 0.1
 # A run lasts at least so long, and long enough for so many permits at the rate limit.
-SECONDS = 24.0
-TURNS = 16.0
+LENGTH_MIN_S = 24.0
+PERMITS_MIN = 16.0
 # The endpoint announces its rate limit from the start; requests that arrive during the warm-up
 # are not counted.
-SETTLED_S = 4.0
+WARM_UP_S = 4.0
 WINDOW_S = 4.0
 # How long leased permits are valid, and how many a node gets at most with each grant.
 LEASE_S = 1.0
-LEASE_MOST = 8
+LEASED_PERMITS_MAX = 8
 
 Way = t.Callable[[FleetCallers], contextlib.AbstractContextManager[t.Any]]
 WAYS: dict[str, Way] = {}
 
 
 def way(name: str) -> t.Callable[[Way], Way]:
-    """Register a way to keep the rate limit under a name."""
+    """Register a way to keep the rate limit."""
 
     def register(make: Way) -> Way:
         WAYS[name] = make
@@ -119,7 +119,7 @@
             recent = requested_at[key] = [
                 at for at in requested_at[key] if now - at < LEASE_S / 2.0
             ]
-            for _ in range(min(LEASE_MOST, len(recent))):
+            for _ in range(min(LEASED_PERMITS_MAX, len(recent))):
                 if served.bucket.permits(now) < 1.0:
                     break
                 served.bucket.take(now)
@@ -157,11 +157,11 @@
 
     nodes: int
     endpoints: int
-    rate: float
-    asked: float
+    rate_limit: float
+    requests_per_s: float
 
 
-class Played(t.NamedTuple):
+class RateResult(t.NamedTuple):
     """The result of a simulation.
 
     :param peak_requests: the most requests that arrived at the endpoint within ``WINDOW_S``.
@@ -170,10 +170,10 @@
     :param permit_requests_per_s: permit requests of all nodes per second.
     """
 
-    most: float
-    used: float
-    refused: float
-    questions: float
+    peak_requests: float
+    used_share: float
+    refused_share: float
+    permit_requests_per_s: float
 
 
 LOADS = (
@@ -188,33 +188,35 @@
 )
 
 
-def play(load: Load, name: str, seed: int) -> Played:
+def simulate(load: Load, name: str, seed: int) -> RateResult:
     """Simulate a load with one way to keep the rate limit."""
     callers = FleetCallers(load.nodes, load.endpoints)
     fleet = callers.fleet
     runners = callers.runners
     runners.default_run_s = RUN_S
-    runners.rates[LIMITED] = load.rate
+    runners.rates[LIMITED_ENDPOINT] = load.rate_limit
     rng = random.Random(seed)
     names = callers.names()
     start = fleet.now
-    seconds = max(SECONDS, SETTLED_S + TURNS / load.rate)
+    seconds = max(LENGTH_MIN_S, WARM_UP_S + PERMITS_MIN / load.rate_limit)
     ask_slot = mock.Mock(wraps=fleet_node.relay_slots.ask_slot)
     sent = 0
     with WAYS[name](callers), mock.patch.object(fleet_node.relay_slots, "ask_slot", ask_slot):
         while fleet.now < start + seconds:
             callers.send(rng.choice(names), "", repeatable=True, attempts=2)
             sent += 1
-            fleet.run(rng.expovariate(load.asked))
-    counted_from = start + SETTLED_S
+            fleet.run(rng.expovariate(load.requests_per_s))
+    counted_from = start + WARM_UP_S
     arrivals = [
-        one.at for one in runners.arrivals if one.endpoint == LIMITED and one.at >= counted_from
+        one.at
+        for one in runners.arrivals
+        if one.endpoint == LIMITED_ENDPOINT and one.at >= counted_from
     ]
     peak = max((sum(at <= one <= at + WINDOW_S for one in arrivals) for at in arrivals), default=0)
-    counted_s = seconds - SETTLED_S
-    return Played(
+    counted_s = seconds - WARM_UP_S
+    return RateResult(
         peak,
-        len(arrivals) / (load.rate * counted_s),
+        len(arrivals) / (load.rate_limit * counted_s),
         sum(one.outcome == "not_run" for _, one in fleet.refusals) / sent,
         ask_slot.call_count / seconds,
     )
@@ -232,17 +234,17 @@
     rows = []
     for load in LOADS[: given.loads]:
         for name in given.ways.split(","):
-            found = [play(load, name, seed) for seed in range(given.seeds)]
+            found = [simulate(load, name, seed) for seed in range(given.seeds)]
             means = [sum(column) / given.seeds for column in zip(*found, strict=True)]
             rows.append(
                 {
                     "nodes": load.nodes,
                     "endpoints": load.endpoints,
-                    "rate": load.rate,
-                    "asked a second": load.asked,
+                    "rate": load.rate_limit,
+                    "asked a second": load.requests_per_s,
                     "way": name,
-                    "borne in 4 s": 1.5 * load.rate * WINDOW_S + 5,
-                    "most in 4 s": max(one.most for one in found),
+                    "borne in 4 s": 1.5 * load.rate_limit * WINDOW_S + 5,
+                    "most in 4 s": max(one.peak_requests for one in found),
                     "used of its rate": means[1],
                     "refused": means[2],
                     "questions a second": means[3],
--- a/bench/rests.py
+++ b/bench/rests.py
@@ -9,8 +9,8 @@
 import functools
 import random
 import typing as t
-from .registry import experiment
-from .registry import report
+from unittest import mock
+
 from rookspring.logs import configure
 from rookspring_core import notice_handlers
 from rookspring_core import notices
@@ -18,26 +18,26 @@
 from rookspring_core.hashing import stable_hash
 from rookspring_core.notices import NoticeTable
 from rookspring_fakes.fleet_callers import FleetCallers
-from unittest import mock
-
 
+from .registry import experiment
+from .registry import report
 
 ENDPOINTS = 6
 SLOTS = 12
 RUN_S = 0.4
-REST_S = 3.0
+BACKOFF_S = 3.0
 # The endpoint sheds load from the second to the eighth of twenty seconds.
-SHEDS_S = (2.0, 8.0)
-SECONDS = 20.0
+SHEDDING_S = (2.0, 8.0)
+LENGTH_S = 20.0
 # The share of a back-off over which nodes return after it, in the way that spreads them.
-RAMP_SHARE = 0.25
+RETURN_SPREAD_SHARE = 0.25
 
 Way = t.Callable[[FleetCallers], contextlib.AbstractContextManager[t.Any]]
 WAYS: dict[str, Way] = {}
 
 
 def way(name: str) -> t.Callable[[Way], Way]:
-    """Register a way to respect back-offs under a name."""
+    """Register a way to respect back-offs."""
 
     def register(make: Way) -> Way:
         WAYS[name] = make
@@ -80,7 +80,7 @@
         restore(state, view)
         if view.in_backoff(state.now):
             spread = stable_hash(state.identity.name, view.name) % 1000 / 1000.0
-            view.backoff_until += spread * RAMP_SHARE * REST_S
+            view.backoff_until += spread * RETURN_SPREAD_SHARE * BACKOFF_S
 
     stack.enter_context(mock.patch.object(notice_handlers, "restore_notices", restore_and_extend))
     return stack
@@ -118,7 +118,7 @@
     return stack
 
 
-class Played(t.NamedTuple):
+class BackoffResult(t.NamedTuple):
     """The result of a simulation.
 
     :param endpoint_refusals: requests that the endpoint refused.
@@ -129,13 +129,13 @@
         slots can run.
     """
 
-    turned_away: int
+    endpoint_refusals: int
     refused: int
-    most_at_return: int
+    peak_at_return: int
     early_use: float
 
 
-def play(nodes: int, name: str, share: float, seed: int, load: float) -> Played:
+def simulate(nodes: int, name: str, share: float, seed: int, load: float) -> BackoffResult:
     """Simulate twenty seconds with one way to respect back-offs.
 
     :param share: the share of the nodes whose requests the endpoint refuses; at least one node's.
@@ -147,13 +147,13 @@
     names = callers.names()
     refused_nodes = frozenset(names[: max(1, round(share * nodes))])
     start = fleet.now
-    shed = (start + SHEDS_S[0], start + SHEDS_S[1])
+    shed = (start + SHEDDING_S[0], start + SHEDDING_S[1])
     callers.runners.limits = dict.fromkeys((f"e{one}" for one in range(ENDPOINTS)), SLOTS)
     callers.runners.default_run_s = RUN_S
-    fleet.at(shed[0], lambda: callers.runners.shed("e0", shed[1], REST_S, refused_nodes))
+    fleet.at(shed[0], lambda: callers.runners.shed("e0", shed[1], BACKOFF_S, refused_nodes))
     rate = load * ENDPOINTS * SLOTS / RUN_S
     with WAYS[name](callers):
-        for _ in range(round(rate * SECONDS)):
+        for _ in range(round(rate * LENGTH_S)):
             callers.send(rng.choice(names), "", repeatable=True, attempts=2)
             fleet.run(rng.expovariate(rate))
     arrivals = [one.at for one in callers.runners.arrivals if one.endpoint == "e0"]
@@ -161,7 +161,7 @@
     peak = max((sum(1 for at in after if one <= at < one + 0.1) for one in after), default=0)
     # As a share of what its slots can run in the four seconds after it shed load.
     used = sum(1 for at in after if at < shed[1] + 4.0) / (4.0 * SLOTS / RUN_S)
-    return Played(
+    return BackoffResult(
         len(callers.runners.turned_away),
         sum(1 for at, one in fleet.refusals if one.outcome == "not_run"),
         peak,
@@ -181,7 +181,7 @@
     for nodes in map(int, given.nodes.split(",")):
         for share, who in ((1.0, "all nodes"), (0.0, "one node")):
             for name in WAYS:
-                found = [play(nodes, name, share, seed, 0.6) for seed in range(given.seeds)]
+                found = [simulate(nodes, name, share, seed, 0.6) for seed in range(given.seeds)]
                 sums = [sum(column) / given.seeds for column in zip(*found, strict=True)]
                 rows.append(
                     {
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -9,9 +9,8 @@
 import time
 import tracemalloc
 import typing as t
-from .registry import experiment
-from .registry import report
 from functools import partial
+
 from rookspring import gossip
 from rookspring import peers
 from rookspring_core import Entry
@@ -26,8 +25,8 @@
 from rookspring_core.events import AttemptProgressed
 from rookspring_core.events import AttemptStarted
 from rookspring_core.events import AttemptSucceeded
-from rookspring_core.events import BoxListReceived
 from rookspring_core.events import BoxListed
+from rookspring_core.events import BoxListReceived
 from rookspring_core.events import EndpointReported
 from rookspring_core.events import HeartbeatReceived
 from rookspring_core.events import RequestArrived
@@ -39,12 +38,13 @@
 from rookspring_core.resources import ModelSpec
 from rookspring_core.resources import PolicySpec
 
-
+from .registry import experiment
+from .registry import report
 
 REPLICAS = 4
 
 
-def entries_of(models: int, adapters: int) -> dict[str, Entry]:
+def make_entries(models: int, adapters: int) -> dict[str, Entry]:
     """Make the accepted resources of so many models and adapters."""
     entries: dict[str, Entry] = {}
     for number in range(models):
@@ -58,7 +58,7 @@
     return entries
 
 
-def report_of(number: int, at: float, models: int) -> EndpointReported:
+def make_report(number: int, at: float, models: int) -> EndpointReported:
     """Make the load report of an endpoint, by its number."""
     resident = tuple((f"m-{(number * REPLICAS + i) % models:04d}", "v1") for i in range(REPLICAS))
     return EndpointReported(
@@ -66,22 +66,22 @@
     )
 
 
-def state_of(endpoints: int, models: int, adapters: int = 0, nodes: int = 0) -> NodeState:
+def make_state(endpoints: int, models: int, adapters: int = 0, nodes: int = 0) -> NodeState:
     """Make a node that knows so many endpoints, models, adapters and other nodes."""
     state = NodeState(Identity("n", "n#1", "dc"), 0.0)
-    reduce(state, RevisionSeen(1.0, 1, 1, entries_of(models, adapters)))
+    reduce(state, RevisionSeen(1.0, 1, 1, make_entries(models, adapters)))
     rows = tuple(
         BoxListed(f"r-{number}", "a", "dc", "runner", "live", "e") for number in range(endpoints)
     )
     reduce(state, BoxListReceived(1.0, rows))
     for number in range(endpoints):
-        reduce(state, report_of(number, 1.0, models))
+        reduce(state, make_report(number, 1.0, models))
     for number in range(nodes):
-        reduce(state, beat_of(number, 1.0, 0))
+        reduce(state, make_heartbeat(number, 1.0, 0))
     return state
 
 
-def beat_of(number: int, at: float, models: int, inflight: int = 0) -> HeartbeatReceived:
+def make_heartbeat(number: int, at: float, models: int, inflight: int = 0) -> HeartbeatReceived:
     """Make the heartbeat of another node, by its number."""
     demand = tuple((f"m-{one:04d}", 12.5) for one in range(models))
     rows = tuple((f"r-{one}", 3) for one in range(inflight))
@@ -90,7 +90,7 @@
     )
 
 
-def time_of(work: t.Callable[[int], t.Any], times: int) -> float:
+def measure_time_us(work: t.Callable[[int], t.Any], times: int) -> float:
     """Return the least processor time of a call in three rounds, in us; the first warms up."""
     best = float("inf")
     for turn in range(3):
@@ -101,7 +101,7 @@
     return best * 1e6
 
 
-def memory_of(make: t.Callable[[], t.Any], units: int) -> float:
+def measure_memory(make: t.Callable[[], t.Any], units: int) -> float:
     """Return the bytes of memory per unit that a function's result takes."""
     gc.collect()
     tracemalloc.start()
@@ -124,34 +124,36 @@
 
 def _processor_rows() -> t.Iterator[dict[str, t.Any]]:
     for endpoints in (10, 100, 1000):
-        state = state_of(endpoints, 100)
-        cost = time_of(lambda number, state=state: _request(state, number), 300)
+        state = make_state(endpoints, 100)
+        cost = measure_time_us(lambda number, state=state: _request(state, number), 300)
         yield _row("request, all events", "endpoints known", endpoints, cost, "us")
     for endpoints, models, adapters, nodes in (
         (10, 20, 100, 8),
         (100, 100, 500, 24),
         (1000, 990, 5000, 24),
     ):
-        state = state_of(endpoints, models, adapters, nodes)
-        cost = time_of(lambda number, state=state: _tick(state), 30)
+        state = make_state(endpoints, models, adapters, nodes)
+        cost = measure_time_us(lambda number, state=state: _tick(state), 30)
         yield _row("tick, no lease", "endpoints known", endpoints, cost, "us")
     for endpoints in (10, 100, 1000):
-        state = state_of(endpoints, 100, 0, 24)
-        cost = time_of(lambda number, state=state: _receive_heartbeat(state, number, 30, 20), 100)
+        state = make_state(endpoints, 100, 0, 24)
+        cost = measure_time_us(
+            lambda number, state=state: _receive_heartbeat(state, number, 30, 20), 100
+        )
         yield _row("heartbeat taken", "endpoints known", endpoints, cost, "us")
-    state = state_of(100, 100)
-    cost = time_of(
-        lambda number: reduce(state, report_of(number % 100, state.now + 0.01, 100)), 500
+    state = make_state(100, 100)
+    cost = measure_time_us(
+        lambda number: reduce(state, make_report(number % 100, state.now + 0.01, 100)), 500
     )
     yield _row("report taken", "endpoints known", 100, cost, "us")
     for models in (20, 200, 990):
-        entries = entries_of(models, models * 5)
+        entries = make_entries(models, models * 5)
         before = build_catalogue(1, entries)
         changed = dict(entries)
         spec = {"version": "v2", "memory_gb": 10.0, "engine": "e"}
         changed["Model.m-0000"] = Entry(Resource("Model", "m-0000", spec, 99999))
         work = partial(_apply, changed, before)
-        cost = time_of(work, 3)
+        cost = measure_time_us(work, 3)
         yield _row("revision applied", "models, 5 adapters each", models, cost, "us")
 
 
@@ -164,22 +166,22 @@
 
 
 def _receive_heartbeat(state: NodeState, number: int, models: int, inflight: int) -> None:
-    reduce(state, beat_of(number % 24, state.now + 0.01, models, inflight))
+    reduce(state, make_heartbeat(number % 24, state.now + 0.01, models, inflight))
 
 
 def _holder_rows() -> t.Iterator[dict[str, t.Any]]:
     for models, runners in ((20, 9), (200, 200), (990, 1015), (990, 7100)):
         given = _plan_input(models, runners)
         planner = find_placement("gain")
-        cost = time_of(lambda number, given=given, planner=planner: planner(given), 1)
+        cost = measure_time_us(lambda number, given=given, planner=planner: planner(given), 1)
         yield _row("plan (holder)", f"models on {runners} runners", models, cost / 1000, "ms")
     for models in (20, 200, 990):
-        entries = entries_of(models, models * 5)
+        entries = make_entries(models, models * 5)
         runner_memory = tuple(RunnerMemory("e", 72.0) for _ in range(models))
         change = Resource("Model", "m-0000", {"version": "v2", "memory_gb": 10.0, "engine": "e"}, 9)
         desired = {one.resource.key: one.resource for one in entries.values() if one.resource}
         desired[change.key] = change
-        cost = time_of(partial(_accept, desired, entries, runner_memory), 3)
+        cost = measure_time_us(partial(_accept, desired, entries, runner_memory), 3)
         yield _row("one change accepted", "models, 5 adapters each", models, cost / 1000, "ms")
 
 
@@ -214,7 +216,7 @@
 
 def _byte_rows() -> t.Iterator[dict[str, t.Any]]:
     for models, inflight in ((0, 0), (15, 9), (100, 100)):
-        heartbeat = beat_of(1, 0.0, models, inflight)
+        heartbeat = make_heartbeat(1, 0.0, models, inflight)
         item = peers.Heartbeat(
             heartbeat.name,
             heartbeat.incarnation,
@@ -230,14 +232,14 @@
         )
         size = len(peers.encode(item))
         yield _row("heartbeat", f"models, {inflight} endpoints in flight", models, size, "bytes")
-    size = len(peers.encode(peers.Reports([gossip.encode_report(report_of(1, 0.0, 100), 0.0)])))
+    size = len(peers.encode(peers.Reports([gossip.encode_report(make_report(1, 0.0, 100), 0.0)])))
     yield _row("report digest", "endpoint", 1, size, "bytes")
     log = gossip.ReportLog()
-    log.row_for(report_of(1, 0.0, 100), 0.0)
-    size = len(peers.encode(peers.Reports([log.row_for(report_of(1, 0.0, 100), 1.0)])))
+    log.row_for(make_report(1, 0.0, 100), 0.0)
+    size = len(peers.encode(peers.Reports([log.row_for(make_report(1, 0.0, 100), 1.0)])))
     yield _row("report digest, unchanged", "endpoint", 1, size, "bytes")
     history = gossip.RevisionHistory()
-    entries = entries_of(990, 4950)
+    entries = make_entries(990, 4950)
     history.add(1, 1, entries)
     whole = len(peers.encode(history.delta(0)))
     yield _row("revision, whole", "models, 5 adapters each", 990, whole, "bytes")
@@ -248,22 +250,26 @@
 
 
 def _memory_rows() -> t.Iterator[dict[str, t.Any]]:
-    base = memory_of(lambda: state_of(0, 1), 1)
-    cost = (memory_of(lambda: state_of(500, 100), 1) - memory_of(lambda: state_of(0, 100), 1)) / 500
+    base = measure_memory(lambda: make_state(0, 1), 1)
+    cost = (
+        measure_memory(lambda: make_state(500, 100), 1)
+        - measure_memory(lambda: make_state(0, 100), 1)
+    ) / 500
     yield _row("endpoint known", "endpoint", 500, cost, "bytes")
-    cost = (memory_of(lambda: state_of(0, 500), 1) - base) / 500
+    cost = (measure_memory(lambda: make_state(0, 500), 1) - base) / 500
     yield _row("model in force", "model", 500, cost, "bytes")
     cost = (
-        memory_of(lambda: state_of(0, 10, 1000), 1) - memory_of(lambda: state_of(0, 10), 1)
+        measure_memory(lambda: make_state(0, 10, 1000), 1)
+        - measure_memory(lambda: make_state(0, 10), 1)
     ) / 1000
     yield _row("adapter in force", "adapter", 1000, cost, "bytes")
-    cost = (memory_of(lambda: state_of(0, 1, 0, 200), 1) - base) / 200
+    cost = (measure_memory(lambda: make_state(0, 1, 0, 200), 1) - base) / 200
     yield _row("node heard", "node", 200, cost, "bytes")
-    yield _row("request waiting", "request", 1000, memory_of(_waiting, 1000), "bytes")
+    yield _row("request waiting", "request", 1000, measure_memory(_waiting, 1000), "bytes")
 
 
 def _waiting() -> NodeState:
-    state = state_of(0, 1)
+    state = make_state(0, 1)
     for number in range(1000):
         now = state.now
         reduce(
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -6,8 +6,7 @@
 import random
 import time
 import typing as t
-from .registry import experiment
-from .registry import report
+
 from rookspring_core import InvariantBroken
 from rookspring_fakes.disturbances import DISTURBANCES
 from rookspring_fakes.disturbances import UnrepeatableCallers
@@ -15,7 +14,8 @@
 from rookspring_fakes.users import USERS
 from rookspring_fakes.world import World
 
-
+from .registry import experiment
+from .registry import report
 
 
 class Case(t.NamedTuple):
@@ -36,7 +36,7 @@
     return Case(seed, rng.choice(sorted(USERS)), tuple(faults))
 
 
-def play(case: Case) -> tuple[list[str], World]:
+def simulate(case: Case) -> tuple[list[str], World]:
     """Run a case; return the invariants that it violated, and its world."""
     rng = random.Random(case.seed)
     unchecked = rng.randint(1, 3)
@@ -64,7 +64,7 @@
     """Take faults out of a failing case one by one, as long as it still fails."""
     for position in reversed(range(len(case.faults))):
         fewer = case._replace(faults=case.faults[:position] + case.faults[position + 1 :])
-        if play(fewer)[0]:
+        if simulate(fewer)[0]:
             case = fewer
     return case
 
@@ -85,7 +85,7 @@
     failures: list[tuple[Case, list[str]]] = []
     while time.monotonic() < end:
         case = draw(seed)
-        found, world = play(case)
+        found, world = simulate(case)
         faults.update(name for _, name in case.faults)
         steps += world.clock.steps
         requests += len(world.sent_requests)
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -4,12 +4,9 @@
 import asyncio
 import random
 import typing as t
+
 import uvloop
-from .live import disturb
-from .live import raised
-from .registry import experiment
-from .registry import quantile
-from .registry import report
+
 from rookspring.local_cluster import LocalCluster
 from rookspring.local_cluster import LocalClusterPlan
 from rookspring.logs import configure
@@ -18,28 +15,31 @@
 from rookspring_fakes.caller import expected_text
 from rookspring_fakes.users import SMALL
 
-
-
+from .live import disturb
+from .live import run_deployment
+from .registry import experiment
+from .registry import quantile
+from .registry import report
 
 TOKENS = 120
 
 
-class Outcome(t.NamedTuple):
+class StreamResult(t.NamedTuple):
     """The answer to one stream, and the text that was expected."""
 
     answer: Answer
-    wanted: str
+    expected: str
 
 
 async def _run_worker(
-    caller: Caller, left: list[int], found: list[Outcome], gaps: list[float]
+    caller: Caller, left: list[int], found: list[StreamResult], gaps: list[float]
 ) -> None:
     while left:
         number = left.pop()
         model = f"{SMALL.engine}-{number % SMALL.models:02d}"
         prompt = f"stream {number}"
         answer = await caller.stream(model, prompt, TOKENS, gaps=gaps)
-        found.append(Outcome(answer, expected_text(model, prompt, TOKENS)))
+        found.append(StreamResult(answer, expected_text(model, prompt, TOKENS)))
 
 
 async def _fail_runners(stage: LocalCluster, until: asyncio.Event, seed: int) -> int:
@@ -64,11 +64,11 @@
 async def _run(streams: int, workers: int) -> dict[str, t.Any]:
     plan = LocalClusterPlan(SMALL, base_port=8100, slots=64, token_rate=8000.0)
     numbers = [1, 2, 3, 4, 5]
-    async with raised(plan, numbers) as boxes:
+    async with run_deployment(plan, numbers) as boxes:
         seeds = [boxes.address(number) for number in numbers]
         callers = [Caller(seeds, seed=number) for number in range(workers)]
         left = list(range(streams))
-        found: list[Outcome] = []
+        found: list[StreamResult] = []
         gaps: list[float] = []
         done = asyncio.Event()
         disturbing = asyncio.create_task(disturb(boxes, ("kill", "kill", "drain"), done))
@@ -94,10 +94,10 @@
     options = parser.parse_args(arguments)
     configure("ERROR")
     result = uvloop.run(_run(options.streams, options.workers))
-    found: list[Outcome] = result["found"]
+    found: list[StreamResult] = result["found"]
     gaps: list[float] = result["gaps"]
-    whole = [one for one in found if one.answer.text == one.wanted]
-    foreign = [one for one in found if not one.wanted.startswith(one.answer.text)]
+    whole = [one for one in found if one.answer.text == one.expected]
+    foreign = [one for one in found if not one.expected.startswith(one.answer.text)]
     refused = [one for one in found if one.answer.outcome == "not_run" and not one.answer.text]
     cut = len(found) - len(whole) - len(foreign) - len(refused)
     resumed = [one for one in whole if one.answer.resumed]
@@ -116,6 +116,6 @@
     }
     report("streams", f"streams of {TOKENS} tokens while nodes and runners fail", [row])
     for one in found:
-        if one.answer.text != one.wanted and one not in refused:
+        if one.answer.text != one.expected and one not in refused:
             print(f"  {one.answer.outcome} {one.answer.reason} after {len(one.answer.text)} chars")
     return int(bool(foreign) or cut > 0)
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -5,15 +5,15 @@
 """
 
 import argparse
-from .registry import experiment
-from .registry import report
+
 from rookspring.logs import configure
 from rookspring_core.suspects import WEIGHTS
+from rookspring_fakes.fleet_callers import FATAL
 from rookspring_fakes.fleet_callers import CrashRun
 from rookspring_fakes.fleet_callers import CrashScenario
-from rookspring_fakes.fleet_callers import FATAL
-
 
+from .registry import experiment
+from .registry import report
 
 DAYS = {
     "ordinary": CrashScenario(),
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -2,19 +2,19 @@
 
 import random
 import typing as t
+
 from rookspring_fakes.users import UserSize
 from rookspring_fakes.world import CallerRequest
 from rookspring_fakes.world import RequestResult
 from rookspring_fakes.world import World
 
-
 TOKENS = (20, 60, 120, 200)
 MEAN_TOKENS = sum(TOKENS) / len(TOKENS)
 DEADLINES_S = {"ranked": 8.0, "normal": 10.0, "casual": 12.0, "ledger": 8.0}
-MIX = (("ranked", 0.3), ("normal", 0.3), ("casual", 0.4))
+PRIORITY_MIX = (("ranked", 0.3), ("normal", 0.3), ("casual", 0.4))
 
 
-class Account:
+class RequestStats:
     """Results of requests: how many met their deadline, and the goodput.
 
     The goodput counts the tokens of requests that succeeded by their deadline. Only the time from
@@ -24,32 +24,32 @@
     def __init__(self, since: float, until: float = float("inf")) -> None:
         self.since = since
         self.until = until
-        self.asked: dict[str, int] = {}
-        self.met: dict[str, int] = {}
+        self.sent: dict[str, int] = {}
+        self.met_deadline: dict[str, int] = {}
         self.good_tokens = 0
         self.reasons: dict[str, int] = {}
         self.waits: list[float] = []
-        self.met_at: list[tuple[float, bool]] = []
+        self.deadline_results: list[tuple[float, bool]] = []
 
-    def take(self, asked: CallerRequest, told: RequestResult) -> None:
-        """Add a result: to the shares by when it was requested, to the goodput by when it ended."""
-        if self.since <= told.at < self.until and told.at <= asked.deadline_at:
-            self.good_tokens += asked.tokens if told.outcome == "ran" else 0
-        if not self.since <= asked.at < self.until:
+    def add_result(self, request: CallerRequest, result: RequestResult) -> None:
+        """Add a result; shares count it by its request's time, the goodput by its own."""
+        if self.since <= result.at < self.until and result.at <= request.deadline_at:
+            self.good_tokens += request.tokens if result.outcome == "ran" else 0
+        if not self.since <= request.at < self.until:
             return
-        self.asked[asked.priority] = self.asked.get(asked.priority, 0) + 1
-        good = told.outcome == "ran" and told.at <= asked.deadline_at
-        self.met_at.append((asked.at, good))
+        self.sent[request.priority] = self.sent.get(request.priority, 0) + 1
+        good = result.outcome == "ran" and result.at <= request.deadline_at
+        self.deadline_results.append((request.at, good))
         if good:
-            self.met[asked.priority] = self.met.get(asked.priority, 0) + 1
+            self.met_deadline[request.priority] = self.met_deadline.get(request.priority, 0) + 1
         else:
-            reason = told.reason if told.outcome != "ran" else "ran late"
+            reason = result.reason if result.outcome != "ran" else "ran late"
             self.reasons[reason] = self.reasons.get(reason, 0) + 1
 
     def attainment(self, priority: str = "") -> float:
         """Return the share of requests of a priority, or of all, that met their deadline."""
-        sent = self.asked if not priority else {priority: self.asked.get(priority, 0)}
-        met = sum(self.met.get(one, 0) for one in sent)
+        sent = self.sent if not priority else {priority: self.sent.get(priority, 0)}
+        met = sum(self.met_deadline.get(one, 0) for one in sent)
         return met / max(1, sum(sent.values()))
 
 
@@ -91,7 +91,9 @@
         nodes = self.world.ready()
         if not nodes:
             return
-        priority = self.random.choices([one for one, _ in MIX], [part for _, part in MIX])[0]
+        priority = self.random.choices(
+            [one for one, _ in PRIORITY_MIX], [part for _, part in PRIORITY_MIX]
+        )[0]
         tokens = self.random.choice(TOKENS)
         prefix = self.random.randrange(1, self.prefixes + 1) if self.prefixes else 0
         self.world.send_request(
@@ -127,11 +129,11 @@
     return sum(engine.token_rate for engine in world.engines.values())
 
 
-def skewed(models: list[str], total: float, power: float = 0.5) -> dict[str, float]:
+def zipf_rates(models: list[str], total: float, exponent: float = 0.5) -> dict[str, float]:
     """Split a total rate over models by Zipf's law; the first model gets the most.
 
     :param exponent: 0 splits it evenly.
     """
-    weights = [1.0 / (rank + 1) ** power for rank in range(len(models))]
+    weights = [1.0 / (rank + 1) ** exponent for rank in range(len(models))]
     scale = total / sum(weights)
     return {model: weight * scale for model, weight in zip(models, weights, strict=True)}
