--- a/packages/rookspring-ctl/src/rookspring_ctl/cli.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/cli.py
@@ -2,10 +2,8 @@
 
 import importlib.metadata
 import time
-import typing as t
-
 import typer
-
+import typing as t
 from . import timelines
 from .client import ApiServers
 from .client import call
@@ -22,6 +20,8 @@
 from .tables import print_output
 from .tables import print_table
 
+
+
 app = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False)
 EXIT_DIFFERS = 1
 
@@ -286,7 +286,7 @@
 
 
 def _print_decisions(server: ApiServers, subject: str) -> int:
-    """Print the decisions that any node remembers about a subject, and return their number."""
+    """Print the decisions that any node has recorded about a subject, and return their number."""
     found: list[tuple[str, ...]] = []
     for address in _all_addresses(server):
         try:
--- a/packages/rookspring-fakes/src/rookspring_fakes/effect_registry.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/effect_registry.py
@@ -1,8 +1,8 @@
-"""Registry of the functions that perform effects in the simulation, and encoding of objects."""
+"""Registry of the functions that carry out effects in the simulation, and encoding of objects."""
 
+import orjson
 import typing as t
 
-import orjson
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -15,7 +15,7 @@
 
 
 def performs(effect_type: type[t.Any]) -> t.Callable[[F], F]:
-    """Register the function that performs effects of a type."""
+    """Register the function that carries out effects of a type."""
 
     def register(function: F) -> F:
         PERFORMERS[effect_type] = function
@@ -25,10 +25,10 @@
 
 
 def perform(world: "World", node: "VirtualNode", effect: t.Any) -> None:
-    """Perform an effect; one without a registered function has no effect in the simulation."""
-    performer = PERFORMERS.get(type(effect))
-    if performer is not None:
-        performer(world, node, effect)
+    """Carry out an effect; one without a registered function has no effect in the simulation."""
+    handler = PERFORMERS.get(type(effect))
+    if handler is not None:
+        handler(world, node, effect)
 
 
 def pack(value: t.Any) -> bytes:
--- a/packages/rookspring-fakes/src/rookspring_fakes/effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/effects.py
@@ -1,4 +1,4 @@
-"""Functions that perform each effect in the simulation, with latency and faults."""
+"""Functions that carry out each effect in the simulation, with latency and faults."""
 
 from . import order_effects as order_effects
 from . import platform_effects as platform_effects
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -11,11 +11,17 @@
 import functools
 import heapq
 import itertools
-import typing as t
-from unittest import mock
-
 import msgpack
-
+import typing as t
+from .fleet_node import FleetLink
+from .fleet_node import FleetNode
+from .fleet_node import write_table
+from .fleet_runners import FleetRunners
+from .fleet_store import ENDPOINTS
+from .fleet_store import FleetBackup
+from .fleet_store import FleetStore
+from .fleet_store import NODES
+from .fleet_store import TABLE
 from rookspring import clock
 from rookspring import defaults
 from rookspring import relay_heartbeats
@@ -36,16 +42,10 @@
 from rookspring_core.events import Ticked
 from rookspring_core.freshness import NEVER
 from rookspring_core.organisations import Directory
+from unittest import mock
+
+
 
-from .fleet_node import FleetLink
-from .fleet_node import FleetNode
-from .fleet_node import write_table
-from .fleet_runners import FleetRunners
-from .fleet_store import ENDPOINTS
-from .fleet_store import NODES
-from .fleet_store import TABLE
-from .fleet_store import FleetBackup
-from .fleet_store import FleetStore
 
 # The one-way delay of a message between two nodes, in seconds.
 LINK_DELAY_S = 0.001
@@ -145,7 +145,7 @@
     def write_entry(self, name: str, state: str, model: str, started_ms: int = 0) -> None:
         """Write an endpoint's entry.
 
-        :param started_ms: when its process started, in milliseconds; 0 if the entry does not say.
+        :param started_ms: when its process started, in milliseconds; 0 if not stated.
         """
         self._entries[name] = [state, model, started_ms]
         if not self.store.unavailable:
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -2,7 +2,8 @@
 
 import asyncio
 import typing as t
-
+from .fleet_lease import FleetLease
+from .fleet_store import NODES
 from rookspring import defaults
 from rookspring import relay_allotments
 from rookspring import relay_heartbeats
@@ -53,8 +54,7 @@
 from rookspring_core.routes import CallerLimits
 from rookspring_core.routes import RouteTable
 
-from .fleet_lease import FleetLease
-from .fleet_store import NODES
+
 
 if t.TYPE_CHECKING:
     from .fleet import Fleet
@@ -220,7 +220,7 @@
         """Do nothing: the fleet writes no malformed entries."""
 
     def submit(self, event: Event) -> None:
-        """Reduce an event and perform the effects on other nodes, the lease and endpoints."""
+        """Reduce an event and carry out the effects on other nodes, the lease and endpoints."""
         for effect in reduce(self.state, event):
             match effect:
                 case Announce(topic):
@@ -258,7 +258,8 @@
     def renew_proof(self) -> None:
         """Request a proof that the configuration is the newest, if one is due.
 
-        Other nodes are asked first; the store is read once the proof keeper says that it is due.
+        It is requested from other nodes first; the store is read once :class:`ProofRefresher` finds
+        that due.
         """
         fleet = self.fleet
         if not needs_proofs(self.state):
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
@@ -1,12 +1,11 @@
 """Simulated endpoints of a fleet: the requests that each runs, and the crashes that they cause.
 
-When a process ends, its connections close: the attempts of all nodes there fail, and new
+When a process crashes, its connections close: the attempts of all nodes there fail, and new
 connections are refused. Its entry stays in the store for a while; then another process starts in
 its place, with a later start time.
 """
 
 import typing as t
-
 from rookspring_core import notice_handlers
 from rookspring_core.effects import Dispatch
 from rookspring_core.events import AttemptFailed
@@ -17,6 +16,7 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
+
 if t.TYPE_CHECKING:
     from .fleet import Fleet
     from .fleet_node import FleetNode
@@ -25,11 +25,11 @@
 RUN_S = 0.1
 # The time from the start of a run to the first event of its answer, in seconds.
 FIRST_EVENT_S = 0.05
-# The time after which a request that an endpoint turns away is answered, in seconds.
+# The time after which a request that an endpoint rejects is answered, in seconds.
 REFUSE_S = 0.003
 # The time from the start of a fatal request's run to the crash that it causes, in seconds.
 CRASH_AFTER_S = 0.04
-# The times from the end of a process to the deletion of its entry, and to the start of the next
+# The times from the crash of a process to the deletion of its entry, and to the start of the next
 # process, in seconds.
 LAPSE_S = 3.5
 RESTART_S = 4.0
@@ -45,7 +45,7 @@
 
 
 class EndedProcess(t.NamedTuple):
-    """A process that ended, when, and the fingerprints of the requests that it was running."""
+    """A process that crashed, when, and the fingerprints of the requests that it was running."""
 
     at: float
     endpoint: str
@@ -81,9 +81,9 @@
 class Shedding(t.NamedTuple):
     """How an endpoint sheds load.
 
-    :param until: the time until which it turns requests away.
+    :param until: the time until which it rejects requests.
     :param backoff_s: the back-off that it requests, in seconds; None if it gives none.
-    :param nodes: the nodes whose requests it turns away; empty for all nodes.
+    :param nodes: the nodes whose requests it rejects; empty for all nodes.
     """
 
     until: float
@@ -95,7 +95,7 @@
 
 
 class FleetRunners:
-    """The requests that run at the endpoints, and the processes that ended.
+    """The requests that run at the endpoints, and the processes that crashed.
 
     :param fleet: provides the clock and the store.
     """
@@ -112,7 +112,7 @@
         self.ended: list[EndedProcess] = []
         # The requests that reached a process.
         self.arrivals: list[Arrival] = []
-        # Endpoints whose answers state that they are leaving; and those that turn requests away.
+        # Endpoints whose answers state that they are leaving; and those that reject requests.
         self.leaving: set[str] = set()
         self.shedding: dict[str, Shedding] = {}
         # The requests per second, from all nodes together, that endpoints state in their answers.
@@ -122,7 +122,7 @@
         self.default_run_s = RUN_S
         # The notices that nodes received from endpoints.
         self.received_notices: list[ReceivedNotice] = []
-        # The requests that were turned away.
+        # The requests that were rejected.
         self.turned_away: list[Arrival] = []
 
     def run(self, node: "FleetNode", effect: Dispatch, fingerprint: str) -> None:
@@ -174,11 +174,11 @@
         backoff_s: float | None,
         nodes: frozenset[str] = frozenset(),
     ) -> None:
-        """Have an endpoint turn requests away.
+        """Have an endpoint reject requests.
 
         :param until: the time until which it does so.
         :param backoff_s: the back-off that it requests, in seconds; None to give none.
-        :param nodes: the nodes whose requests it turns away; empty for all nodes.
+        :param nodes: the nodes whose requests it rejects; empty for all nodes.
         """
         self.shedding[endpoint] = Shedding(until, backoff_s, nodes)
 
@@ -190,7 +190,7 @@
         turned_away: bool = False,
         backoff_s: float | None = None,
     ) -> None:
-        """Deliver the notice in an answer's headers, if it tells the node something new.
+        """Deliver the notice in an answer's headers, if it contains anything new to the node.
 
         :param asked_at: when the node sent the request.
         :param backoff_s: the back-off that is requested, in seconds; None if none is given.
@@ -245,7 +245,7 @@
             self.end(one.effect.endpoint)
 
     def end(self, endpoint: str) -> None:
-        """End an endpoint's process, which fails its running requests, and schedule a restart."""
+        """Crash an endpoint's process, which fails its running requests; schedule a restart."""
         if endpoint in self._down:
             return
         fleet = self._fleet
@@ -283,5 +283,5 @@
         return self._starts.get(endpoint, 0)
 
     def ends_under(self, fingerprint: str) -> int:
-        """Return how many processes ended while they were running a request."""
+        """Return how many processes crashed while they were running a request."""
         return sum(1 for one in self.ended if fingerprint in one.fingerprints)
--- a/packages/rookspring-fakes/src/rookspring_fakes/model_server.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/model_server.py
@@ -5,12 +5,12 @@
 """
 
 import asyncio
+import orjson
 import socket
 import struct
 import time
 import typing as t
 
-import orjson
 
 STEPS: dict[
     str, t.Callable[["ModelServer", "ReceivedRequest", asyncio.StreamWriter], t.Awaitable[None]]
@@ -133,8 +133,8 @@
         self.connections += 1
         self._writers.add(writer)
         try:
-            while asked := await _read(reader):
-                if not await self._answer(asked, writer):
+            while request := await _read(reader):
+                if not await self._answer(request, writer):
                     return
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             self.disconnects += 1
@@ -142,37 +142,37 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _answer(self, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         if self.refuses_all:
             _send(self, writer, 503, b"", {})
             return True
-        if asked.line.startswith("GET /report"):
+        if request.line.startswith("GET /report"):
             self.reports += 1
             _send(self, writer, 200, orjson.dumps(self._report()), {})
             return True
-        if asked.line.startswith("POST /order"):
-            return self._order(asked, writer)
-        self.received.append(asked)
+        if request.line.startswith("POST /order"):
+            return self._order(request, writer)
+        self.received.append(request)
         if time.monotonic() < self.shed_until:
-            self._shed(asked, writer)
+            self._shed(request, writer)
             return True
-        if self.fatal_body is not None and asked.body == self.fatal_body:
-            _record_run(self, asked)
+        if self.fatal_body is not None and request.body == self.fatal_body:
+            _record_run(self, request)
             self.end()
             return False
-        usual = "stream" if asked.line.startswith("POST /stream/") and self.streams else "answer"
+        usual = "stream" if request.line.startswith("POST /stream/") and self.streams else "answer"
         name = self.script.pop(0) if self.script else usual
-        expected = asked.headers.get("x-rookspring-expect-instance", self.name)
+        expected = request.headers.get("x-rookspring-expect-instance", self.name)
         if expected != self.name:
             name = "elsewhere"
-        await STEPS[name](self, asked, writer)
+        await STEPS[name](self, request, writer)
         await writer.drain()
         return not writer.is_closing()
 
-    def _shed(self, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-        self.backoffs.append((time.monotonic(), asked.request_id, self.backoff_s))
+    def _shed(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        self.backoffs.append((time.monotonic(), request.request_id, self.backoff_s))
         headers = {
-            "X-Rookspring-Request-Id": asked.request_id,
+            "X-Rookspring-Request-Id": request.request_id,
             "X-Rookspring-Not-Executed": "1",
             "Retry-After": f"{self.backoff_s:g}",
         }
@@ -211,8 +211,8 @@
             "handles": 0,
         }
 
-    def _order(self, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-        order = orjson.loads(asked.body)
+    def _order(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+        order = orjson.loads(request.body)
         self.orders.append(order)
         how = self.order_script.pop(0) if self.order_script else "take"
         if how == "lose":
@@ -278,50 +278,52 @@
     writer.write(head.encode() + b"\r\n" + body)
 
 
-def _record_run(server: ModelServer, asked: ReceivedRequest) -> dict[str, str]:
-    server.runs.append(asked.request_id)
+def _record_run(server: ModelServer, request: ReceivedRequest) -> dict[str, str]:
+    server.runs.append(request.request_id)
     stamp = f"{server.name}.{len(server.runs)}"
-    return {"X-Rookspring-Request-Id": asked.request_id, "X-Rookspring-Server-Stamp": stamp}
+    return {"X-Rookspring-Request-Id": request.request_id, "X-Rookspring-Server-Stamp": stamp}
 
 
-def _body(asked: ReceivedRequest) -> bytes:
-    return b"answer to " + asked.request_id.encode()
+def _body(request: ReceivedRequest) -> bytes:
+    return b"answer to " + request.request_id.encode()
 
 
 @step("answer")
 async def _answer(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    _send(server, writer, 200, _body(asked), _record_run(server, asked))
+    _send(server, writer, 200, _body(request), _record_run(server, request))
 
 
 @step("fail")
-async def _fail(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    _send(server, writer, 500, b"failed", _record_run(server, asked))
+async def _fail(
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    _send(server, writer, 500, b"failed", _record_run(server, request))
 
 
 @step("refuse")
 async def _refuse(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    headers = {"X-Rookspring-Request-Id": asked.request_id, "X-Rookspring-Not-Executed": "1"}
+    headers = {"X-Rookspring-Request-Id": request.request_id, "X-Rookspring-Not-Executed": "1"}
     _send(server, writer, 503, b"", headers)
 
 
 @step("refuse quietly")
 async def _refuse_quietly(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Answer 503 without the header that states that the request was not run, after running it."""
-    _send(server, writer, 503, b"", _record_run(server, asked))
+    _send(server, writer, 503, b"", _record_run(server, request))
 
 
 @step("absent")
 async def _absent(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     headers = {
-        "X-Rookspring-Request-Id": asked.request_id,
+        "X-Rookspring-Request-Id": request.request_id,
         "X-Rookspring-Instance-Id": server.name,
     }
     _send(server, writer, 421, b"", headers)
@@ -329,10 +331,10 @@
 
 @step("elsewhere")
 async def _elsewhere(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     headers = {
-        "X-Rookspring-Request-Id": asked.request_id,
+        "X-Rookspring-Request-Id": request.request_id,
         "X-Rookspring-Instance-Id": "another",
     }
     _send(server, writer, 421, b"", headers)
@@ -340,37 +342,43 @@
 
 @step("surplus")
 async def _surplus(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send a whole answer, and a second one that belongs to no request."""
-    await _answer(server, asked, writer)
+    await _answer(server, request, writer)
     _send(server, writer, 200, b"of nobody", {"X-Rookspring-Request-Id": "nobody"})
 
 
 @step("foreign first")
 async def _foreign(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send an answer to another request first, as if it were late."""
     _send(server, writer, 200, b"of another", {"X-Rookspring-Request-Id": "another"})
-    await _answer(server, asked, writer)
+    await _answer(server, request, writer)
 
 
 @step("reset")
-async def _reset(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    _record_run(server, asked)
+async def _reset(
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    _record_run(server, request)
     _reset_connection(writer)
 
 
 @step("close")
-async def _close(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    _record_run(server, asked)
+async def _close(
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    _record_run(server, request)
     writer.close()
 
 
 @step("half")
-async def _half(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    headers = _record_run(server, asked)
+async def _half(
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    headers = _record_run(server, request)
     headers["Content-Length"] = "100"
     _send(server, writer, 200, b"only half", headers)
     await writer.drain()
@@ -379,85 +387,87 @@
 
 @step("nonsense")
 async def _nonsense(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    _record_run(server, asked)
+    _record_run(server, request)
     writer.write(b"\x00\x01 no answer at all\r\n\r\n")
 
 
 @step("unframed")
 async def _unframed(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Send an answer without a length, which ends when the connection closes."""
-    _unframed_head(server, asked, writer)
+    _unframed_head(server, request, writer)
     await writer.drain()
     writer.close()
 
 
 @step("unframed reset")
 async def _unframed_reset(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    _unframed_head(server, asked, writer)
+    _unframed_head(server, request, writer)
     await writer.drain()
     await asyncio.sleep(0.02)
     _reset_connection(writer)
 
 
 def _unframed_head(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    lines = [f"{key}: {value}" for key, value in _record_run(server, asked).items()]
+    lines = [f"{key}: {value}" for key, value in _record_run(server, request).items()]
     rows = "".join(f"{line}\r\n" for line in (*lines, *server.extra_header_lines))
-    writer.write(f"HTTP/1.1 200 OK\r\n{rows}\r\n".encode() + _body(asked))
+    writer.write(f"HTTP/1.1 200 OK\r\n{rows}\r\n".encode() + _body(request))
 
 
 @step("stream")
 async def _stream(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    await _events(server, asked, writer, STREAM_EVENTS)
+    await _events(server, request, writer, STREAM_EVENTS)
     writer.write(b"0\r\n\r\n")
 
 
 @step("break after 3")
 async def _break_3(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
-    await _events(server, asked, writer, 3)
+    await _events(server, request, writer, 3)
     await writer.drain()
     writer.close()
 
 
 @step("tear the 4th")
 async def _tear_4(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
 ) -> None:
     """Close the connection in the middle of an event."""
-    await _events(server, asked, writer, 3)
+    await _events(server, request, writer, 3)
     writer.write(b"8\r\nid: 4\nda\r\n")
     await writer.drain()
     writer.close()
 
 
 @step("hang")
-async def _hang(server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    _record_run(server, asked)
+async def _hang(
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    _record_run(server, request)
     await asyncio.sleep(30.0)
 
 
 async def _events(
-    server: ModelServer, asked: ReceivedRequest, writer: asyncio.StreamWriter, last: int
+    server: ModelServer, request: ReceivedRequest, writer: asyncio.StreamWriter, last: int
 ) -> None:
-    headers = _record_run(server, asked)
+    headers = _record_run(server, request)
     headers |= {
         "Content-Length": "",
         "Transfer-Encoding": "chunked",
         "Content-Type": "text/event-stream",
     }
     _send(server, writer, 200, b"", headers)
-    first = int(asked.headers.get("last-event-id") or 0) + 1
+    first = int(request.headers.get("last-event-id") or 0) + 1
     for number in range(first, last + 1):
         data = f"id: {number}\ndata: token{number}\n\n".encode()
         writer.write(b"%x\r\n%b\r\n" % (len(data), data))
--- a/packages/rookspring-fakes/src/rookspring_fakes/process_callers.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/process_callers.py
@@ -5,11 +5,11 @@
 import random
 import time
 import typing as t
-
 from .model_server import STREAM_EVENTS
 from .processes import NodeProcess
 from .processes import ProcessStage
 
+
 # How long a caller waits for an answer, in seconds: longer than the routes' timeout of 2 s.
 ANSWER_TIMEOUT_S = 3.5
 # Statuses by which a node states that a request was not run; those of an endpoint don't count.
@@ -209,7 +209,7 @@
     ]
 
 
-@checks("one that leaves gets nothing")
+@checks("a leaving endpoint gets no requests")
 def check_leaving(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """No node sends to an endpoint long after it passed on that the endpoint is leaving."""
     known_at: dict[tuple[str, str], float] = {}
@@ -232,15 +232,15 @@
     return found
 
 
-@checks("rest is rest")
+@checks("a back-off that an endpoint requests is observed")
 def check_backoff(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """During a back-off, a node sends at most two requests to the endpoint that requested it."""
     nodes = {one.key: one.node for one in seen}
     found = []
     for server in stage.servers:
-        for refused_at, key, rest_s in server.backoffs:
+        for refused_at, key, backoff_s in server.backoffs:
             node = nodes.get(key)
-            begins, ends = refused_at + BACKOFF_BEGINS_S, refused_at + rest_s
+            begins, ends = refused_at + BACKOFF_BEGINS_S, refused_at + backoff_s
             if node is None or any(refused_at <= at <= ends for at in node.disturbed_at):
                 continue
             late = [
@@ -249,11 +249,11 @@
                 if begins <= one.at < ends and nodes.get(one.request_id) is node
             ]
             if len(late) > BACKOFF_REQUESTS_MAX:
-                found.append(f"{len(late)} from {node.name} to {server.name} in {rest_s} s")
+                found.append(f"{len(late)} from {node.name} to {server.name} in {backoff_s} s")
     return found
 
 
-@checks("a rate is a rate")
+@checks("a rate that an endpoint states is observed")
 def check_rates(stage: ProcessStage, seen: list[CallerRecord]) -> list[str]:
     """All nodes together keep to the rate that an endpoint states, within a tolerance."""
     nodes = {one.key: one.node for one in seen}
--- a/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
@@ -1,7 +1,10 @@
 """Requests at runners and services in the simulation, and the endpoints' reports."""
 
 import typing as t
-
+from .effect_registry import performs
+from .engine import Engine
+from .engine import GenerationRequest
+from .engine import NotRun
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
 from rookspring_core.effects import Dispatch
@@ -20,10 +23,7 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-from .effect_registry import performs
-from .engine import Engine
-from .engine import GenerationRequest
-from .engine import NotRun
+
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
@@ -181,16 +181,16 @@
 def _share_leaving(world: "World", node: "VirtualNode", effect: ShareLeaving) -> None:
     for other in world.nodes.values():
         if other is not node and other.alive and world.reachable(node.name, other.name):
-            heard = LeavingReceived(0.0, effect.rows, node.name)
-            world.clock.call(world.latency_s, other.submit, heard)
+            event = LeavingReceived(0.0, effect.rows, node.name)
+            world.clock.call(world.latency_s, other.submit, event)
 
 
 @performs(ShareEvidence)
 def _share_evidence(world: "World", node: "VirtualNode", effect: ShareEvidence) -> None:
     for other in world.nodes.values():
         if other is not node and other.alive and world.reachable(node.name, other.name):
-            heard = EvidenceReceived(0.0, effect.evidence, node.name)
-            world.clock.call(world.latency_s, other.submit, heard)
+            event = EvidenceReceived(0.0, effect.evidence, node.name)
+            world.clock.call(world.latency_s, other.submit, event)
 
 
 def _run_service(world: "World", node: "VirtualNode", effect: Dispatch, arrived: t.Any) -> None:
--- a/packages/rookspring/src/rookspring/clock.py
+++ b/packages/rookspring/src/rookspring/clock.py
@@ -15,10 +15,10 @@
 
 
 def now() -> float:
-    """Give the time, in seconds since an arbitrary moment before the process started."""
+    """Return the time, in seconds since an arbitrary moment before the process started."""
     return time.clock_gettime(CLOCK)
 
 
 def suspended_s() -> float:
-    """Give the total time that the box was suspended since boot, in seconds."""
+    """Return the total time that the box was suspended since boot, in seconds."""
     return now() - time.monotonic()
--- a/packages/rookspring/src/rookspring/connections.py
+++ b/packages/rookspring/src/rookspring/connections.py
@@ -5,13 +5,13 @@
 was lost would be reported as a conflict.
 """
 
+import aiohttp
 import asyncio
 import contextlib
 import typing as t
+from . import defaults
 
-import aiohttp
 
-from . import defaults
 
 
 class SingleUseConnector(aiohttp.TCPConnector):
@@ -34,7 +34,7 @@
 
 
 async def refuses_connections(address: str) -> bool:
-    """Say whether an address refuses connections; one that is made is closed at once."""
+    """Return whether an address refuses connections; one that is made is closed at once."""
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(defaults.CONNECT_S):
--- a/packages/rookspring/src/rookspring/defaults.py
+++ b/packages/rookspring/src/rookspring/defaults.py
@@ -91,7 +91,7 @@
 # Network bandwidth used by the work that one core can do, in Mbit/s.
 LINK_MBPS_PER_CORE = 50.0
 # Endpoints whose entries expired during an outage of the store write them again within two
-# seconds of its end, if they are up; the rest is for network latency.
+# seconds of its end, if they are up; the remaining 0.2 s are for network latency.
 LAPSE_GRACE_S = 2.2
 LAPSE_CHECK_S = 0.25
 # Interval of reading the store's list of nodes, a fallback for the lists that nodes exchange.
--- a/packages/rookspring/src/rookspring/demonstration.py
+++ b/packages/rookspring/src/rookspring/demonstration.py
@@ -6,19 +6,19 @@
 """
 
 import asyncio
-import random
-import typing as t
-
 import orjson
+import random
 import typer
-
-from rookspring_fakes import USERS as USERS
+import typing as t
+from .local_cluster import LocalCluster
+from .local_cluster import LocalClusterPlan
 from rookspring_fakes import Caller
+from rookspring_fakes import USERS as USERS
 from rookspring_fakes.caller import Answer
 from rookspring_fakes.caller import expected_text
 
-from .local_cluster import LocalCluster
-from .local_cluster import LocalClusterPlan
+
+
 
 STREAMS = 150
 CALLS = 150
@@ -75,11 +75,11 @@
             self.unknown += 1
 
     def failed(self) -> bool:
-        """Say whether any guarantee was violated."""
+        """Return whether any guarantee was violated."""
         return bool(self.cut or self.foreign or self.doubled or self.false_not_run or self.broken)
 
     def table(self) -> dict[str, t.Any]:
-        """Give the counts by name."""
+        """Return the counts by name."""
         return dict(vars(self).items())
 
 
@@ -159,7 +159,7 @@
 
 
 def jitter_s(number: int, turn: int) -> float:
-    """Give a short pause that differs by caller and turn, in seconds."""
+    """Return a short pause that differs by caller and turn, in seconds."""
     return random.Random(number * 1000 + turn).random() * 0.2
 
 
--- a/packages/rookspring/src/rookspring/dialect.py
+++ b/packages/rookspring/src/rookspring/dialect.py
@@ -6,16 +6,16 @@
 
 import abc
 import typing as t
-
+from .http_messages import Header
+from .http_messages import HttpHead
+from .http_messages import HttpRequest
+from .platform import StoredObject
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
 from rookspring_core.notices import Notice
 from rookspring_core.routes import RouteTable
 
-from .http_messages import Header
-from .http_messages import HttpHead
-from .http_messages import HttpRequest
-from .platform import StoredObject
+
 
 
 class RequestFields(t.NamedTuple):
@@ -113,7 +113,7 @@
 
     @abc.abstractmethod
     def forward_headers(self, headers: t.Iterable[Header], fields: ForwardFields) -> list[Header]:
-        """Give the headers with which a request is forwarded to an endpoint."""
+        """Return the headers with which a request is forwarded to an endpoint."""
 
     @abc.abstractmethod
     def match_answer(self, head: HttpHead, request_id: str) -> AnswerMatch:
@@ -125,11 +125,11 @@
 
     @abc.abstractmethod
     def refusal_headers(self, request_id: str, retry_after_s: float) -> list[Header]:
-        """Give the headers of an answer that the relay itself makes."""
+        """Return the headers of an answer that the relay itself makes."""
 
     @abc.abstractmethod
     def read_lookup(self, request: HttpRequest) -> str | None:
-        """Give the data centre in a caller's address lookup; None for other requests."""
+        """Return the data centre in a caller's address lookup; None for other requests."""
 
     @abc.abstractmethod
     def write_lookup(self, addresses: list[str], ttl_s: float) -> tuple[list[Header], bytes]:
@@ -137,7 +137,7 @@
 
     @abc.abstractmethod
     def is_readiness_check(self, request: HttpRequest) -> bool:
-        """Say whether a request is the platform's own readiness check."""
+        """Return whether a request is the platform's own readiness check."""
 
     @abc.abstractmethod
     def read_table(self, stored: StoredObject) -> RouteTable | None:
@@ -170,12 +170,12 @@
 
     @abc.abstractmethod
     def table_kind(self) -> str:
-        """Give the kind of the object with the configuration."""
+        """Return the kind of the object with the configuration."""
 
     @abc.abstractmethod
     def table_name(self) -> str:
-        """Give the name of the object with the configuration."""
+        """Return the name of the object with the configuration."""
 
     @abc.abstractmethod
     def endpoint_kind(self) -> str:
-        """Give the kind of the objects with endpoints' entries."""
+        """Return the kind of the objects with endpoints' entries."""
--- a/packages/rookspring/src/rookspring/dialling.py
+++ b/packages/rookspring/src/rookspring/dialling.py
@@ -1,12 +1,12 @@
 """Dials the nodes to which this node must have a link and has none."""
 
 import typing as t
-
-from rookspring_core.membership import Membership
-
 from . import clock
 from . import defaults
 from .peers import PeerServer
+from rookspring_core.membership import Membership
+
+
 
 Spawn = t.Callable[[t.Coroutine[t.Any, t.Any, None]], t.Any]
 
@@ -37,7 +37,7 @@
     """Dials planned nodes and seeds that are not linked; the lower name of a pair dials first.
 
     :param name: this node's own.
-    :param get_plan: gives the current plan.
+    :param get_plan: returns the current plan.
     :param seeds: addresses to dial in any case, since the node list may be unreachable.
     :param on_unreachable: called with the name of a node that could not be dialled.
     """
--- a/packages/rookspring/src/rookspring/event_streams.py
+++ b/packages/rookspring/src/rookspring/event_streams.py
@@ -16,13 +16,13 @@
 
 
 class EventSplitter:
-    """Buffers bytes and gives complete events; an incomplete one stays in the buffer."""
+    """Buffers bytes and returns complete events; an incomplete one stays in the buffer."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     def feed(self, data: bytes) -> Events:
-        """Add bytes, and give the events that are complete now."""
+        """Add bytes, and return the events that are complete now."""
         text = self._rest + data
         cut = max(_end(text, b"\n\n"), _end(text, b"\r\n\r\n"))
         if cut < 0:
@@ -33,7 +33,7 @@
         return Events(whole, number, _last_id(whole))
 
     def incomplete(self) -> bytes:
-        """Give the bytes of the incomplete event at the end."""
+        """Return the bytes of the incomplete event at the end."""
         return self._rest
 
 
--- a/packages/rookspring/src/rookspring/evidence.py
+++ b/packages/rookspring/src/rookspring/evidence.py
@@ -4,7 +4,9 @@
 """
 
 import typing as t
-
+from .logs import log
+from .messages import EvidenceMessage
+from .metrics import Metrics
 from rookspring_core.effects import VerdictFound
 from rookspring_core.suspects import Cleared
 from rookspring_core.suspects import CrashRecord
@@ -13,9 +15,7 @@
 from rookspring_core.suspects import Trial
 from rookspring_core.suspects import Verdict
 
-from .logs import log
-from .messages import EvidenceMessage
-from .metrics import Metrics
+
 
 
 def encode_evidence(evidence: Evidence, now: float) -> EvidenceMessage:
@@ -49,8 +49,8 @@
 
 
 def _decode_crash_record(row: list[t.Any], now: float) -> CrashRecord:
-    fingerprint, organisation, endpoint, born, age_s, early = row
-    process = EndpointProcess(str(endpoint), int(born))
+    fingerprint, organisation, endpoint, started_ms, age_s, early = row
+    process = EndpointProcess(str(endpoint), int(started_ms))
     return CrashRecord(
         str(fingerprint), str(organisation), process, now - float(age_s), bool(early)
     )
--- a/packages/rookspring/src/rookspring/exceptions.py
+++ b/packages/rookspring/src/rookspring/exceptions.py
@@ -1,10 +1,10 @@
 """Errors of the daemon's layers; each layer converts the errors of the one below."""
 
 import typing as t
-
 from rookspring_core import RookspringError
 
 
+
 class SettingsError(RookspringError):
     """One or more settings are wrong.
 
@@ -95,7 +95,7 @@
         self.outcome = outcome
 
     def body(self) -> dict[str, t.Any]:
-        """Give the error's body in the format that callers' client libraries parse."""
+        """Return the error's body in the format that callers' client libraries parse."""
         return {
             "error": {
                 "message": str(self),
--- a/packages/rookspring/src/rookspring/http_client.py
+++ b/packages/rookspring/src/rookspring/http_client.py
@@ -11,17 +11,17 @@
 
 import asyncio
 import collections
+import httptools
 import socket
 import typing as t
-
-import httptools
-
 from . import clock
 from . import defaults
 from .exceptions import EndpointError
 from .http_messages import Header
 from .http_messages import HttpHead
 
+
+
 AcceptHead = t.Callable[[HttpHead], bool]
 OnHead = t.Callable[[HttpHead], None]
 
@@ -131,11 +131,11 @@
     def send_request(
         self, data: bytes, accept: AcceptHead, on_head: OnHead, no_body: bool = False
     ) -> Reply:
-        """Send a request, given as its bytes, and give its reply.
+        """Send a request, given as its bytes, and return its reply.
 
         :param accept: decides whether the head of an answer belongs to this request.
         :param on_head: called first with the head of each answer, also of other requests.
-        :param no_body: the answer has no body, whatever its headers say (``HEAD``).
+        :param no_body: the answer has no body, whatever its headers state (``HEAD``).
         """
         self._reply = Reply()
         self._accept = accept
@@ -266,7 +266,7 @@
         return self._reply is not None
 
     def is_usable(self, now: float, wide_margin: bool) -> bool:
-        """Say whether the endpoint presumably still keeps the connection open.
+        """Return whether the endpoint presumably still keeps the connection open.
 
         :param wide_margin: assume a shorter idle timeout, for requests that can't be sent twice.
         """
@@ -296,7 +296,7 @@
         self._probes: dict[str, asyncio.Future[bool]] = {}
 
     async def acquire(self, address: str, wide_margin: bool) -> ClientConnection:
-        """Give an idle connection that is usable, else a new one.
+        """Return an idle connection that is usable, else a new one.
 
         :param wide_margin: see :meth:`ClientConnection.is_usable`.
         :raises EndpointError: if no connection can be made; nothing was sent.
@@ -322,7 +322,7 @@
         return made
 
     async def is_down(self, address: str) -> bool:
-        """Say whether nothing listens at an address; concurrent calls share one connection.
+        """Return whether nothing listens at an address; concurrent calls share one connection.
 
         A connection that is made is pooled for the next request.
         """
@@ -379,7 +379,7 @@
 async def call(
     pool: ConnectionPool, address: str, data: bytes, on_head: OnHead, timeout_s: float
 ) -> tuple[HttpHead, bytes]:
-    """Send a request, given as its bytes, once, and give the complete answer.
+    """Send a request, given as its bytes, once, and return the complete answer.
 
     :param on_head: called with the answer's head.
     :param timeout_s: for connection and answer together.
--- a/packages/rookspring/src/rookspring/http_messages.py
+++ b/packages/rookspring/src/rookspring/http_messages.py
@@ -38,7 +38,7 @@
     keep_alive: bool
 
     def header(self, name: bytes) -> bytes:
-        """Give the first value of a header; empty if there is none.
+        """Return the first value of a header; empty if there is none.
 
         :param name: in lower case.
         """
@@ -52,14 +52,14 @@
     headers: tuple[Header, ...]
 
     def header(self, name: bytes) -> bytes:
-        """Give the first value of a header; empty if there is none.
+        """Return the first value of a header; empty if there is none.
 
         :param name: in lower case.
         """
         return find_header(self.headers, name)
 
     def values(self, name: bytes) -> list[bytes]:
-        """Give all values of a header, in their order.
+        """Return all values of a header, in their order.
 
         :param name: in lower case.
         """
@@ -67,7 +67,7 @@
 
 
 def find_header(headers: t.Iterable[Header], name: bytes) -> bytes:
-    """Give the first value of a header; empty if there is none."""
+    """Return the first value of a header; empty if there is none."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -75,7 +75,7 @@
 
 
 def end_to_end_headers(headers: t.Iterable[Header]) -> list[Header]:
-    """Give the headers that are forwarded to the next hop.
+    """Return the headers that are forwarded to the next hop.
 
     Headers that ``Connection`` names are hop-by-hop as well.
     """
@@ -91,7 +91,7 @@
 
 
 def reason_phrase(status: int) -> bytes:
-    """Give the reason phrase of a status."""
+    """Return the reason phrase of a status."""
     try:
         return http.HTTPStatus(status).phrase.encode()
     except ValueError:
--- a/packages/rookspring/src/rookspring/http_platform.py
+++ b/packages/rookspring/src/rookspring/http_platform.py
@@ -1,15 +1,8 @@
 """Platform adapter for rookspring's own HTTP protocol of an object service."""
 
-import typing as t
-
 import aiohttp
 import orjson
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-
-from rookspring_core.events import BoxListed
-
+import typing as t
 from . import defaults
 from .connections import SingleUseConnector
 from .exceptions import PlatformConflict
@@ -24,6 +17,13 @@
 from .platform import PlatformClient
 from .platform import StoredObject
 from .platform import platform_adapter
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+from rookspring_core.events import BoxListed
+
+
+
 
 if t.TYPE_CHECKING:
     from .telemetry import Telemetry
@@ -32,7 +32,7 @@
 class RateLimitedHttpClient:
     """Makes rate-limited HTTP calls; writes are never sent twice by the HTTP library.
 
-    :param count: called with the method and the end of each call.
+    :param count: called with the method and the status or failure of each call.
     """
 
     def __init__(self, base: str, count: t.Callable[[str, str], None]) -> None:
@@ -105,7 +105,7 @@
 class HttpPlatform(PlatformClient):
     """Client of a platform over HTTP.
 
-    :param count: called with the method and the end of each call.
+    :param count: called with the method and the status or failure of each call.
     :param telemetry: records each call as a span in a trace of its own; None records none.
     """
 
--- a/packages/rookspring/src/rookspring/http_server.py
+++ b/packages/rookspring/src/rookspring/http_server.py
@@ -9,10 +9,8 @@
 """
 
 import asyncio
-import typing as t
-
 import httptools
-
+import typing as t
 from . import defaults
 from .exceptions import CallerGone
 from .http_messages import Header
@@ -21,6 +19,8 @@
 from .http_messages import write_head
 
 
+
+
 class ReadLimits(t.NamedTuple):
     """Limits on the size of a request in bytes, and on the time to send it in seconds."""
 
@@ -31,7 +31,7 @@
 
 
 class ServerOptions(t.NamedTuple):
-    """Options of a listening address; the callables give the values in force when called."""
+    """Options of a listening address; the callables return the values in force when called."""
 
     serve: t.Callable[["ServerConnection", HttpRequest], t.Awaitable[None]]
     limits: t.Callable[[], ReadLimits] = ReadLimits
--- a/packages/rookspring/src/rookspring/local_cluster.py
+++ b/packages/rookspring/src/rookspring/local_cluster.py
@@ -1,13 +1,14 @@
 """Fakes and nodes on loopback in one process, for the demo, tests and experiments."""
 
+import aiohttp
 import asyncio
 import hashlib
-import typing as t
-
-import aiohttp
 import orjson
 import typer
-
+import typing as t
+from . import web
+from .node import Node
+from .settings import Settings
 from rookspring_core import InvariantBroken
 from rookspring_fakes import Engine
 from rookspring_fakes import Ledger
@@ -20,9 +21,8 @@
 from rookspring_fakes.users import UserSize
 from rookspring_fakes.users import list_resources
 
-from . import web
-from .node import Node
-from .settings import Settings
+
+
 
 KEY = "demo"
 RESIDENT_WAIT_S = 120.0
@@ -134,7 +134,7 @@
         }
 
     def make_settings(self, number: int) -> Settings:
-        """Give the settings of the node with a number."""
+        """Return the settings of the node with a number."""
         places = self.size.data_centres
         return Settings(
             name=f"box-{number}",
@@ -240,7 +240,7 @@
         self.platform.store.boxes.pop(name, None)
 
     def drain(self, name: str) -> asyncio.Task[None]:
-        """Drain a node; gives the task that waits for its end."""
+        """Drain a node; returns the task that waits until it has stopped."""
         node = self.nodes.pop(name)
         node.drain()
         task = asyncio.create_task(node.run_until_stopped())
--- a/packages/rookspring/src/rookspring/messages.py
+++ b/packages/rookspring/src/rookspring/messages.py
@@ -1,10 +1,10 @@
 """Messages between nodes: ``NamedTuple`` classes in a registry, by their tags on the wire."""
 
+import msgpack
 import typing as t
+from .exceptions import PeerError
 
-import msgpack
 
-from .exceptions import PeerError
 
 M = t.TypeVar("M", bound=type[t.Any])
 MESSAGES: dict[str, type[t.Any]] = {}
@@ -50,7 +50,7 @@
     :param prompts: rows of endpoint and unread prompt tokens.
     :param spent: rows of organisation and units.
     :param merged: digest of the sets that all nodes merge; see :mod:`relay_merged`.
-    :param store_era: how often the store has been restored from an older copy.
+    :param store_era: how often the store has been restored from an older backup.
     """
 
     name: str
@@ -84,9 +84,9 @@
 
 @message("members")
 class Members(t.NamedTuple):
-    """Nodes that the sender vouches for, as rows, and those that it no longer vouches for.
+    """Nodes that the sender reports, as rows, and those that it no longer reports.
 
-    :param complete: the rows are all that it vouches for.
+    :param complete: the rows are all that it reports.
     """
 
     rows: list[t.Any]
@@ -241,7 +241,7 @@
 
 @message("want-model")
 class WantModel(t.NamedTuple):
-    """Ask the lease holder to load what is resident on no endpoint; see ``RequestLoad``.
+    """Request that the lease holder load what is resident on no endpoint; see ``RequestLoad``.
 
     :param latest_retry_s: when the caller will have retried at the latest if its request is
         refused, in seconds from now.
--- a/packages/rookspring/src/rookspring/peers.py
+++ b/packages/rookspring/src/rookspring/peers.py
@@ -8,12 +8,10 @@
 import asyncio
 import hashlib
 import hmac
+import msgpack
 import secrets
 import ssl
 import typing as t
-
-import msgpack
-
 from . import defaults
 from .exceptions import PeerError
 from .logs import log
@@ -23,6 +21,8 @@
 from .messages import encode
 
 
+
+
 class Link:
     """One authenticated stream to another node."""
 
@@ -189,7 +189,7 @@
                 self._closed_link_bytes += link.sent_bytes
 
     def _prefer(self, link: Link, known: Link) -> bool:
-        """Say whether a new link replaces the known one; both ends choose the same link."""
+        """Return whether a new link replaces the known one; both ends choose the same link."""
         if known.closed or known.incarnation != link.incarnation:
             return True
         dialler_wins = self._name < link.name
--- a/packages/rookspring/src/rookspring/platform.py
+++ b/packages/rookspring/src/rookspring/platform.py
@@ -9,13 +9,13 @@
 import asyncio
 import importlib
 import typing as t
-
+from . import clock
+from .exceptions import PlatformError
 from returns.result import Result
-
 from rookspring_core.events import BoxListed
 
-from . import clock
-from .exceptions import PlatformError
+
+
 
 if t.TYPE_CHECKING:
     from .telemetry import Telemetry
@@ -24,7 +24,7 @@
 class StoredObject(t.NamedTuple):
     """One object with its version.
 
-    :param era: how often the store had been restored from a copy when it answered. A restore
+    :param era: how often the store had been restored from a backup when it answered. A restore
         also resets versions to older ones, so they are ordered within an era only.
     """
 
@@ -148,7 +148,7 @@
 ) -> PlatformClient:
     """Create the client for the scheme of an address.
 
-    :param count: called with the method and the end of each call.
+    :param count: called with the method and the status or failure of each call.
     """
     scheme = address.partition("://")[0]
     if scheme in BUILT_IN:
--- a/packages/rookspring/src/rookspring/platform_loops.py
+++ b/packages/rookspring/src/rookspring/platform_loops.py
@@ -2,26 +2,12 @@
 
 Each backs off with jitter while the platform does not answer, so that retries do not
 overload it after an outage. Only relays watch the head and read the box list often. Other
-nodes get revisions and box lists from relays, and read them seldom, as a backstop.
+nodes get revisions and box lists from relays, and read them seldom, as a fallback.
 """
 
 import asyncio
 import random
 import typing as t
-
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-
-from rookspring_core import Resource
-from rookspring_core import control_jobs
-from rookspring_core.events import BoxListReceived
-from rookspring_core.events import DesiredSeen
-from rookspring_core.events import HeadSeen
-from rookspring_core.events import IntentsSeen
-from rookspring_core.events import LeaseSeen
-from rookspring_core.events import PlatformAnswered
-
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -33,9 +19,23 @@
 from .node_context import NodeContext
 from .platform import StoredObject
 from .published import HEAD
-from .published import KIND
 from .published import Head
+from .published import KIND
 from .published import parse_head
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+from rookspring_core import Resource
+from rookspring_core import control_jobs
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import DesiredSeen
+from rookspring_core.events import HeadSeen
+from rookspring_core.events import IntentsSeen
+from rookspring_core.events import LeaseSeen
+from rookspring_core.events import PlatformAnswered
+
+
+
 
 A = t.TypeVar("A")
 
@@ -202,7 +202,7 @@
 
 
 async def read_intents(node: NodeContext, epoch: int) -> None:
-    """Read all stored intents, of earlier lease holders too, and remember their versions."""
+    """Read all stored intents, of earlier lease holders too, and keep their versions."""
     back_off = BackOff()
     while node.state.control.acting_epoch == epoch:
         answer = report_reachability(node, await node.platform.list_kind("intent"))
--- a/packages/rookspring/src/rookspring/relay.py
+++ b/packages/rookspring/src/rookspring/relay.py
@@ -1,13 +1,19 @@
 """Requests of callers, which the relay forwards unchanged to endpoints.
 
 A request is read to its end, matched to a route, checked for its key and submitted to the reducer.
-The reducer's effects for it are performed by :mod:`relay_attempts`.
+The reducer's effects for it are carried out by :mod:`relay_attempts`.
 """
 
 import asyncio
 import itertools
 import typing as t
-
+from . import clock
+from . import defaults
+from .dialect import RequestFields
+from .exceptions import CallerError
+from .http_messages import HttpRequest
+from .http_server import ServerConnection
+from .logs import log
 from rookspring_core import defaults as core_defaults
 from rookspring_core import keys
 from rookspring_core.events import CallerLeft
@@ -20,13 +26,7 @@
 from rookspring_core.routes import RouteTable
 from rookspring_core.routes import pick_service
 
-from . import clock
-from . import defaults
-from .dialect import RequestFields
-from .exceptions import CallerError
-from .http_messages import HttpRequest
-from .http_server import ServerConnection
-from .logs import log
+
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
@@ -100,39 +100,41 @@
     """Serve one request of a caller until it is answered or refused, or its caller left."""
     arrived_at = clock.now()
     try:
-        ask = context.dialect.read_request(request)
+        fields = context.dialect.read_request(request)
     except CallerError as error:
         log("request_malformed", "WARNING", field=error.field, expected=error.expected)
         connection.answer(error.status, context.dialect.refusal_headers("", 0.0), b"")
         return
-    route = _find_route(context, connection, ask)
+    route = _find_route(context, connection, fields)
     if route is None:
         return
-    verdict = await _wait_for_key(context, connection, route, ask, arrived_at)
+    verdict = await _wait_for_key(context, connection, route, fields, arrived_at)
     if verdict.status:
-        _refuse_key(context, connection, ask, route, verdict)
+        _refuse_key(context, connection, fields, route, verdict)
         return
     # If the request waited for its key, a newer configuration may be in force now.
-    route = _find_route(context, connection, ask)
+    route = _find_route(context, connection, fields)
     table = context.state.table
     if route is None or table is None:
         return
-    exchange = RelayExchange(connection, request, ask, route, arrived_at, verdict.organisation)
+    exchange = RelayExchange(connection, request, fields, route, arrived_at, verdict.organisation)
     await _run_exchange(context, exchange, table)
 
 
 def _find_route(
-    context: "RelayContext", connection: ServerConnection, ask: RequestFields
+    context: "RelayContext", connection: ServerConnection, fields: RequestFields
 ) -> Route | None:
     """Return a request's route in the configuration in force; without one, answer an error."""
     table = context.state.table
-    route = table.match(ask.host, ask.path) if table else None
+    route = table.match(fields.host, fields.path) if table else None
     if route is None:
         # Without a configuration the route may exist, so the caller is asked to retry.
         status = 404 if table else 503
         after_s = 0.0 if table else core_defaults.RETRY_AFTER_S
-        log("route_missing", id=ask.request_id, host=ask.host, path=ask.path, status=status)
-        headers = context.dialect.refusal_headers(ask.request_id, after_s)
+        log(
+            "route_missing", id=fields.request_id, host=fields.host, path=fields.path, status=status
+        )
+        headers = context.dialect.refusal_headers(fields.request_id, after_s)
         connection.answer(status, headers, b"")
     return route
 
@@ -141,11 +143,11 @@
     context: "RelayContext",
     connection: ServerConnection,
     route: Route,
-    ask: RequestFields,
+    fields: RequestFields,
     arrived_at: float,
 ) -> KeyVerdict:
     """Check a request's key; if it is unknown, wait for a configuration that may have it."""
-    verdict = keys.check_key(context.state, route, ask.key, arrived_at, arrived_at)
+    verdict = keys.check_key(context.state, route, fields.key, arrived_at, arrived_at)
     if not verdict.may_wait or context.requests_awaiting_key >= defaults.KEY_WAITS_MAX:
         return verdict
     context.requests_awaiting_key += 1
@@ -156,7 +158,7 @@
             if now - arrived_at > defaults.KEY_WAIT_S:
                 break
             await asyncio.sleep(defaults.KEY_WAIT_STEP_S)
-            verdict = keys.check_key(context.state, route, ask.key, arrived_at, now)
+            verdict = keys.check_key(context.state, route, fields.key, arrived_at, now)
     finally:
         context.requests_awaiting_key -= 1
     return verdict
@@ -165,7 +167,7 @@
 def _refuse_key(
     context: "RelayContext",
     connection: ServerConnection,
-    ask: RequestFields,
+    fields: RequestFields,
     route: Route,
     verdict: KeyVerdict,
 ) -> None:
@@ -174,14 +176,14 @@
     context.metrics.refusals.inc({"reason": verdict.reason, "outcome": "not_run"})
     log(
         "key_refused",
-        id=ask.request_id,
+        id=fields.request_id,
         route=route.name,
         status=verdict.status,
         reason=verdict.reason,
         table=state.revision,
         proved_age_s=state.freshness.age_s(clock.now()),
     )
-    headers = context.dialect.refusal_headers(ask.request_id, after_s)
+    headers = context.dialect.refusal_headers(fields.request_id, after_s)
     connection.answer(verdict.status, headers, b"")
 
 
@@ -206,22 +208,22 @@
 
 def make_arrival_event(exchange: RelayExchange, table: RouteTable) -> RequestArrived:
     """Return the event that submits a request to the reducer."""
-    ask = exchange.ask
+    fields = exchange.ask
     route = exchange.route
-    service = pick_service(route, ask.request_id)
-    model = ask.model if table.engine_of(ask.model, service) else ""
+    service = pick_service(route, fields.request_id)
+    model = fields.model if table.engine_of(fields.model, service) else ""
     plain = table.services.get(service) is None or table.services[service].engine is None
     return RequestArrived(
         at=exchange.arrived_at,
         request_id=exchange.key,
         team=exchange.organisation,
-        target=service if plain else model or ask.model,
+        target=service if plain else model or fields.model,
         service=plain,
-        adapter="" if plain else ask.adapter,
+        adapter="" if plain else fields.adapter,
         deadline_at=exchange.deadline_at,
-        tokens=ask.prompt_tokens + defaults.ANSWER_TOKEN_WEIGHT * ask.answer_tokens,
-        prompt_tokens=ask.prompt_tokens,
-        prefix=ask.prefix,
+        tokens=fields.prompt_tokens + defaults.ANSWER_TOKEN_WEIGHT * fields.answer_tokens,
+        prompt_tokens=fields.prompt_tokens,
+        prefix=fields.prefix,
         repeatable=route.repeatable,
         stream=route.kind == "stream",
         route=RouteTerms(
@@ -233,8 +235,8 @@
             route.objective_s * core_defaults.MAX_WAIT_SHARE,
             route.objective_s,
         ),
-        key=ask.key if exchange.organisation else "",
-        declared_tokens=ask.declared_tokens,
+        key=fields.key if exchange.organisation else "",
+        declared_tokens=fields.declared_tokens,
         fingerprint=exchange.fingerprint,
     )
 
--- a/packages/rookspring/src/rookspring/relay_allotments.py
+++ b/packages/rookspring/src/rookspring/relay_allotments.py
@@ -1,10 +1,5 @@
 """Messages between nodes for allotments: requests to organisations' owners, and their replies."""
 
-from rookspring_core import allotment_checks
-from rookspring_core.effects import AskAllotment
-from rookspring_core.effects import ReturnAllotment
-from rookspring_core.events import AllotmentAnswered
-
 from . import clock
 from . import relay_owners
 from .logs import log
@@ -15,13 +10,18 @@
 from .relay_owners import handles_as_owner
 from .relay_owners import handles_reply
 from .relay_peers import RelayPeers
+from rookspring_core import allotment_checks
+from rookspring_core.effects import AskAllotment
+from rookspring_core.effects import ReturnAllotment
+from rookspring_core.events import AllotmentAnswered
+
 
 
 def ask_units(peers: RelayPeers, effect: AskAllotment) -> None:
     """Ask the owner whether a request may run within its organisation's allotment."""
     origin = peers.context.state.identity.name
-    asked = AskUnits(origin, effect.request_id, effect.organisation, effect.units, False)
-    relay_owners.ask_owner(peers, asked)
+    request = AskUnits(origin, effect.request_id, effect.organisation, effect.units, False)
+    relay_owners.ask_owner(peers, request)
 
 
 def return_units(peers: RelayPeers, effect: ReturnAllotment) -> None:
--- a/packages/rookspring/src/rookspring/relay_attempts.py
+++ b/packages/rookspring/src/rookspring/relay_attempts.py
@@ -1,20 +1,6 @@
 """Attempts of relayed requests at endpoints, and the answers to their callers."""
 
 import asyncio
-
-from rookspring_core import notice_handlers
-from rookspring_core import slot_requests
-from rookspring_core.effects import Announce
-from rookspring_core.effects import Cancel
-from rookspring_core.effects import Dispatch
-from rookspring_core.effects import Forget
-from rookspring_core.effects import Refuse
-from rookspring_core.endpoints import EndpointView
-from rookspring_core.events import AttemptFailed
-from rookspring_core.events import AttemptProgressed
-from rookspring_core.events import AttemptStarted
-from rookspring_core.events import AttemptSucceeded
-
 from . import clock
 from . import defaults
 from .dialect import AnswerMatch
@@ -34,6 +20,20 @@
 from .relay_context import relay_performs
 from .relay_notices import EndpointCall
 from .relay_notices import make_notice_handler
+from rookspring_core import notice_handlers
+from rookspring_core import slot_requests
+from rookspring_core.effects import Announce
+from rookspring_core.effects import Cancel
+from rookspring_core.effects import Dispatch
+from rookspring_core.effects import Forget
+from rookspring_core.effects import Refuse
+from rookspring_core.endpoints import EndpointView
+from rookspring_core.events import AttemptFailed
+from rookspring_core.events import AttemptProgressed
+from rookspring_core.events import AttemptStarted
+from rookspring_core.events import AttemptSucceeded
+
+
 
 
 @relay_performs(Dispatch)
@@ -76,9 +76,9 @@
         _submit_failure(context, effect, EndpointError("deadline", sent=True))
     except EndpointError as error:
         if error.broken:
-            # The cause to which the loss is charged depends on whether the endpoint's process
-            # ended. So that is checked at once: the next request to it would find out later, on
-            # another node, or never.
+            # The cause that is recorded for the failure depends on whether the endpoint's process
+            # has ended. That is checked at once: the next request to it would detect it later,
+            # on another node, or never.
             error.down = await context.pool.is_down(view.address)
         _submit_failure(context, effect, error)
     except CallerGone:
--- a/packages/rookspring/src/rookspring/relay_context.py
+++ b/packages/rookspring/src/rookspring/relay_context.py
@@ -6,7 +6,17 @@
 
 import asyncio
 import typing as t
-
+from . import clock
+from . import defaults
+from .dialect import Dialect
+from .http_client import ConnectionPool
+from .logs import log
+from .metrics import Metrics
+from .peers import Link
+from .platform import PlatformClient
+from .platform import StoredObject
+from .relay import RelayExchange
+from .relay_settings import RelaySettings
 from rookspring_core import NodeState
 from rookspring_core import reduce
 from rookspring_core.effects import AskAllotment
@@ -21,17 +31,7 @@
 from rookspring_core.request_rates import RateRecord
 from rookspring_core.suspects import Evidence
 
-from . import clock
-from . import defaults
-from .dialect import Dialect
-from .http_client import ConnectionPool
-from .logs import log
-from .metrics import Metrics
-from .peers import Link
-from .platform import PlatformClient
-from .platform import StoredObject
-from .relay import RelayExchange
-from .relay_settings import RelaySettings
+
 
 if t.TYPE_CHECKING:
     from .store_eras import StoreEras
@@ -42,7 +42,7 @@
 
 
 def relay_performs(effect_type: type[t.Any]) -> t.Callable[[F], F]:
-    """Register the relay's performer of an effect type."""
+    """Register the function that carries out effects of a type at a relay node."""
 
     def register(function: F) -> F:
         RELAY_PERFORMERS[effect_type] = function
@@ -78,7 +78,7 @@
         # Set when the lease should be read at once: its holder may be leaving, or a new era of the
         # store began.
         self.lease_check_due = asyncio.Event()
-        # Callbacks, which :class:`RelayNode` sets. The first ones send news to the other nodes.
+        # Callbacks, which :class:`RelayNode` sets. The first ones send updates to the other nodes.
         self.announce: t.Callable[[str], None] = lambda topic: None
         self.share_report: t.Callable[[EndpointReported], None] = lambda report: None
         self.share_loading: t.Callable[[str, str, float], None] = lambda endpoint, model, in_s: None
@@ -110,7 +110,7 @@
         self.metrics.malformed_entries.set({}, number)
 
     def submit(self, event: Event) -> None:
-        """Reduce an event, log the decisions, and perform the effects."""
+        """Reduce an event, log the decisions, and carry out the effects."""
         decided = len(self.state.decisions)
         effects = reduce(self.state, event)
         for decision in self.state.decisions[decided:]:
@@ -120,7 +120,7 @@
             self.perform(effect)
 
     def perform(self, effect: Effect) -> None:
-        """Perform one effect; an exception is logged, so that the next effects are performed."""
+        """Carry out one effect; an exception is logged, so that the next ones are carried out."""
         try:
             RELAY_PERFORMERS[type(effect)](self, effect)
         except Exception as error:  # noqa: BLE001
--- a/packages/rookspring/src/rookspring/relay_heartbeats.py
+++ b/packages/rookspring/src/rookspring/relay_heartbeats.py
@@ -7,13 +7,6 @@
 
 import asyncio
 import typing as t
-
-from rookspring_core import attaching
-from rookspring_core import cluster
-from rookspring_core.demand import add_rates
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from . import relay_merged
@@ -24,6 +17,13 @@
 from .relay_members import send_members
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core import attaching
+from rookspring_core import cluster
+from rookspring_core.demand import add_rates
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.state import NodeState
+
+
 
 
 def send_first_heartbeat(peers: RelayPeers, link: Link) -> None:
@@ -86,7 +86,11 @@
 
 
 def _kind_for(peers: RelayPeers, name: str) -> str:
-    """Return which figures a linked node gets: own, group, rest or bare (none)."""
+    """Return which figures a linked node gets.
+
+    They are ``own`` (this node's), ``group`` (the sums over this relay and its leaf followers),
+    ``rest`` (the sums over all nodes but that one) or ``bare`` (none).
+    """
     topology = peers.context.state.topology
     known = peers.context.state.membership.peers.get(name)
     if topology.mesh:
--- a/packages/rookspring/src/rookspring/relay_members.py
+++ b/packages/rookspring/src/rookspring/relay_members.py
@@ -2,22 +2,22 @@
 
 A relay sends other relays the rows of the nodes of its data centre and of the relays that it has
 a live link to, and sends its followers all rows that it knows. Since relays report relays, one
-that started before the others, and took itself for the only one, learns of them. Only changed rows
+that started before the others, and knew of no other relay, learns of them. Only changed rows
 are sent, except to a node that has just linked or has become a relay or ceased to be one.
 """
 
 import typing as t
-
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import MembersReceived
-from rookspring_core.membership import Peer
-
 from . import clock
 from .messages import Members
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import SentMembers
 from .relay_peers import receives
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import MembersReceived
+from rookspring_core.membership import Peer
+
+
 
 
 def send_members(peers: RelayPeers) -> None:
@@ -33,11 +33,11 @@
         known = state.membership.peers.get(name)
         if known is None:
             continue
-        told = peers.sent_members.get(link)
+        sent = peers.sent_members.get(link)
         relay = known.heard.relay
         names = None
-        if told is not None and told.relay == relay:
-            names = state.membership.changes.since(told.position)
+        if sent is not None and sent.relay == relay:
+            names = state.membership.changes.since(sent.position)
         peers.sent_members[link] = SentMembers(end, relay)
         if names is None or names:
             link.send(_make_message(peers, link, relay, names))
--- a/packages/rookspring/src/rookspring/relay_merged.py
+++ b/packages/rookspring/src/rookspring/relay_merged.py
@@ -1,18 +1,18 @@
 """Replication of merged sets: data that all relay nodes merge from what each has observed.
 
 Changes are sent to all nodes at once. A newly linked node is sent every set in full, and so is a
-linked node whose digest has differed for several heartbeats. So a message that was lost with a
-relay, or on a link that hung, is made up for after that time.
+linked node whose digest has differed for several heartbeats. So the entries of a message that was
+lost with a relay, or on a link that hung, are sent again after that time.
 """
 
 import typing as t
-
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from .peers import Link
 from .relay_peers import RelayPeers
+from rookspring_core.state import NodeState
+
+
 
 Digest = t.Callable[[NodeState], int]
 SendAll = t.Callable[[RelayPeers, Link], None]
@@ -56,7 +56,7 @@
 
 
 def resend_if_different(peers: RelayPeers, link: Link, peer_digest: int) -> None:
-    """Send a linked node all merged sets if its digest has differed for ``MERGED_DIFFERS_S``.
+    """Send a linked node all merged sets if its digest has differed for ``MERGED_MISMATCH_S``.
 
     :param peer_digest: the digest in the node's heartbeat.
     """
--- a/packages/rookspring/src/rookspring/relay_notices.py
+++ b/packages/rookspring/src/rookspring/relay_notices.py
@@ -5,18 +5,6 @@
 """
 
 import typing as t
-
-from rookspring_core import notice_handlers
-from rookspring_core.effects import ShareLeaving
-from rookspring_core.effects import ShareRates
-from rookspring_core.effects import ShareShed
-from rookspring_core.events import LeavingReceived
-from rookspring_core.events import NoticeReceived
-from rookspring_core.events import RatesReceived
-from rookspring_core.events import ShedReceived
-from rookspring_core.notices import Leaving
-from rookspring_core.request_rates import RateRecord
-
 from . import clock
 from .http_client import OnHead
 from .http_messages import HttpHead
@@ -32,6 +20,18 @@
 from .relay_merged import merged_set
 from .relay_peers import RelayPeers
 from .relay_peers import receives
+from rookspring_core import notice_handlers
+from rookspring_core.effects import ShareLeaving
+from rookspring_core.effects import ShareRates
+from rookspring_core.effects import ShareShed
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import NoticeReceived
+from rookspring_core.events import RatesReceived
+from rookspring_core.events import ShedReceived
+from rookspring_core.notices import Leaving
+from rookspring_core.request_rates import RateRecord
+
+
 
 
 class EndpointCall(t.NamedTuple):
@@ -56,7 +56,7 @@
     arrives after a restart may be from the earlier process.
     """
     view = context.state.endpoints.get(endpoint)
-    born = notice_handlers.known_start(view) if view is not None else 0
+    started_ms = notice_handlers.known_start(view) if view is not None else 0
     address = view.address if view is not None else ""
     began_at = clock.now()
 
@@ -64,8 +64,8 @@
         notice = context.dialect.read_notice(head)
         if not notice_handlers.has_news(context.state, endpoint, notice):
             return
-        # Only a response to this very request dates the notice: one to another request may be
-        # old, and the responses to orders and reads of reports do not apply to requests.
+        # Only a response to this very request determines the time of the notice: one to another
+        # request may be old, and those to orders and reads of reports do not apply to requests.
         own_response = call.is_request and context.dialect.match_answer(head, call.call_id).matches
         log(
             "endpoint_said",
@@ -81,7 +81,7 @@
         event = NoticeReceived(
             clock.now(),
             endpoint,
-            born,
+            started_ms,
             notice,
             address,
             call.target,
--- a/packages/rookspring/src/rookspring/relay_proofs.py
+++ b/packages/rookspring/src/rookspring/relay_proofs.py
@@ -9,16 +9,6 @@
 import asyncio
 import contextlib
 import typing as t
-
-from returns.result import Failure
-from returns.result import Success
-
-from rookspring_core import defaults as core_defaults
-from rookspring_core import freshness
-from rookspring_core.events import NearLimitReceived
-from rookspring_core.events import TableProved
-from rookspring_core.hashing import stable_hash
-
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -32,6 +22,16 @@
 from .relay_peers import RelayPeers
 from .relay_peers import receives
 from .store_reachability import StoreReachability
+from returns.result import Failure
+from returns.result import Success
+from rookspring_core import defaults as core_defaults
+from rookspring_core import freshness
+from rookspring_core.events import NearLimitReceived
+from rookspring_core.events import TableProved
+from rookspring_core.hashing import stable_hash
+
+
+
 
 if t.TYPE_CHECKING:
     from rookspring_core.state import NodeState
@@ -57,7 +57,7 @@
         self._requested.set()
 
     async def run(self) -> None:
-        """Request proofs every ``PROOF_ASK_S``, or sooner if a request waits for one."""
+        """Request proofs every ``PROOF_REQUEST_INTERVAL_S``, or sooner if a request waits."""
         while True:
             hurried = self._requested.is_set()
             self._requested.clear()
--- a/packages/rookspring/src/rookspring/relay_slots.py
+++ b/packages/rookspring/src/rookspring/relay_slots.py
@@ -2,14 +2,6 @@
 
 import asyncio
 import typing as t
-
-from rookspring_core import slot_requests
-from rookspring_core.effects import AskSlot
-from rookspring_core.effects import FreeSlot
-from rookspring_core.events import SlotAnswered
-from rookspring_core.slot_queues import SlotAnswer
-from rookspring_core.slot_queues import SlotRequest
-
 from . import clock
 from . import defaults
 from . import relay_owners
@@ -21,6 +13,14 @@
 from .relay_owners import handles_as_owner
 from .relay_owners import handles_reply
 from .relay_peers import RelayPeers
+from rookspring_core import slot_requests
+from rookspring_core.effects import AskSlot
+from rookspring_core.effects import FreeSlot
+from rookspring_core.events import SlotAnswered
+from rookspring_core.slot_queues import SlotAnswer
+from rookspring_core.slot_queues import SlotRequest
+
+
 
 
 def ask_slot(peers: RelayPeers, effect: AskSlot) -> None:
@@ -34,7 +34,7 @@
 
 
 async def process_queues_loop(peers: RelayPeers) -> None:
-    """Grant free slots and refuse overdue requests every ``SLOT_SETTLE_S``."""
+    """Grant free slots and refuse overdue requests every ``SLOT_QUEUES_INTERVAL_S``."""
     while True:
         await asyncio.sleep(defaults.SLOT_QUEUES_INTERVAL_S)
         process_queues(peers)
--- a/packages/rookspring/src/rookspring/relay_updates.py
+++ b/packages/rookspring/src/rookspring/relay_updates.py
@@ -1,13 +1,5 @@
 """Updates that relay nodes send at once: endpoints' states, unread prompts, load requests."""
 
-from rookspring_core.effects import RequestLoad
-from rookspring_core.events import DownReceived
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import LoadingReceived
-from rookspring_core.events import LoadRequested
-from rookspring_core.events import PromptsReceived
-from rookspring_core.state import NodeState
-
 from . import clock
 from . import defaults
 from .messages import EndpointDown
@@ -24,10 +16,18 @@
 from .relay_peers import receives
 from .reports import decode_report
 from .reports import encode_report
+from rookspring_core.effects import RequestLoad
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import LoadRequested
+from rookspring_core.events import LoadingReceived
+from rookspring_core.events import PromptsReceived
+from rookspring_core.state import NodeState
+
 
 
 class PromptUpdates:
-    """Sends changes of the unread prompt tokens, batched over ``PROMPTS_FOLD_S``.
+    """Sends changes of the unread prompt tokens, batched over ``PROMPTS_BATCH_S``.
 
     A node sends its own tokens. A relay sends other relays the sum over itself and its
     followers, and each follower the sum over all other nodes. A change that came from another
--- a/packages/rookspring/src/rookspring/store_eras.py
+++ b/packages/rookspring/src/rookspring/store_eras.py
@@ -1,25 +1,25 @@
-"""The era of the platform's store: how often it has been restored from an older copy.
+"""The era of the platform's store: how often it has been restored from an older backup.
 
 Versions of objects order the writes within an era only; those of two eras can't be compared. A node
-learns of an era from any response of the store or from another node. When one first names a new
-era, this module starts what the node has to do after a restore.
+learns of an era from any response of the store or from another node. When a
+new era is first seen, this module starts what the node has to do after a restore.
 """
 
 import asyncio
 import typing as t
-
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-
-from rookspring_core.events import StoreEraBegan
-
 from . import clock
 from .exceptions import PlatformError
 from .exceptions import PlatformTooOld
 from .logs import log
 from .platform import PlatformClient
 from .store_reachability import StoreReachability
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+from rookspring_core.events import StoreEraBegan
+
+
+
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
