--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -41,7 +41,7 @@
                     "day": name,
                     "way": way,
                     "ends under the fatal one": sum(
-                        one.callers.runners.ends_under(FATAL) for one in played
+                        one.callers.runners.crashes_during(FATAL) for one in played
                     )
                     / seeds,
                     "others broken off by it": sum(one.interrupted_by_fatal() for one in played)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -43,13 +43,13 @@
 
 @then("it has crashed {number:d} endpoints")
 def ended_under(context, number):
-    assert context.stage.runners.ends_under(FATAL) == number, context.stage.runners.ended
+    assert context.stage.runners.crashes_during(FATAL) == number, context.stage.runners.crashes
 
 
 @then("each attempt after the third crash is refused as not run, with no retry time")
 def refused(context):
     stage = context.stage
-    third = stage.third_end(FATAL)
+    third = stage.third_crash_at(FATAL)
     later = [key for key, at in context.keys if at > third]
     assert len(later) >= 3, later
     for key in later:
@@ -67,7 +67,7 @@
     for turn in range(times):
         stage.send(names[turn % len(names)], FATAL)
         stage.fleet.run(2.0 + RETRY_DELAY_S)
-    assert stage.runners.ends_under(FATAL) == times, stage.runners.ended
+    assert stage.runners.crashes_during(FATAL) == times, stage.runners.crashes
 
 
 def pick(fleet, who):
@@ -162,7 +162,7 @@
     for name in names[:2]:
         context.stage.send(name, FATAL)
         context.stage.fleet.run(0.1)
-    assert context.stage.runners.ends_under(FATAL) == 2
+    assert context.stage.runners.crashes_during(FATAL) == 2
 
 
 @then("it is refused for some 2 s, with a retry time")
@@ -277,7 +277,7 @@
 @then("no request is found to crash endpoints")
 def none_with_verdict(context):
     played = context.played
-    assert len(played.callers.runners.ended) >= 30, len(played.callers.runners.ended)
+    assert len(played.callers.runners.crashes) >= 30, len(played.callers.runners.crashes)
     assert played.retried >= 50, played.retried
     assert not played.innocent_verdicts(), played.innocent_verdicts()
 
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -84,7 +84,7 @@
 def ended_well(context):
     stage = context.stage
     stage.fleet.run(1.0)
-    assert not stage.runners.ended
+    assert not stage.runners.crashes
     assert not [one for _, one in stage.fleet.refusals if one.outcome == "unknown"]
 
 
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -7,7 +7,7 @@
 from parse_type import TypeBuilder
 from relay_harness import RelayHarness
 
-from rookspring.relay_updates import send_want
+from rookspring.relay_updates import send_load_request
 from rookspring_core import routed
 from rookspring_core.effects import RequestLoad
 from rookspring_core.events import BoxListed
@@ -337,7 +337,7 @@
     with fleet.virtual_clock():
         for node in fleet.live():
             if not node.state.topology.relay and node.data_centre != context.holder.data_centre:
-                send_want(node.peers, RequestLoad("llm", "x", "x/a1"))
+                send_load_request(node.peers, RequestLoad("llm", "x", "x/a1"))
                 return
 
 
--- a/packages/rookspring-ctl/src/rookspring_ctl/cli.py
+++ b/packages/rookspring-ctl/src/rookspring_ctl/cli.py
@@ -2,8 +2,10 @@
 
 import importlib.metadata
 import time
-import typer
 import typing as t
+
+import typer
+
 from . import timelines
 from .client import ApiServers
 from .client import call
@@ -20,8 +22,6 @@
 from .tables import print_output
 from .tables import print_table
 
-
-
 app = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False)
 EXIT_DIFFERS = 1
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/effect_registry.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/effect_registry.py
@@ -1,24 +1,24 @@
 """Registry of the functions that carry out effects in the simulation, and encoding of objects."""
 
-import orjson
 import typing as t
 
+import orjson
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
     from .world import World
 
 
-Performer = t.Callable[["World", "VirtualNode", t.Any], None]
-PERFORMERS: dict[type[t.Any], Performer] = {}
+EffectHandler = t.Callable[["World", "VirtualNode", t.Any], None]
+EFFECT_HANDLERS: dict[type[t.Any], EffectHandler] = {}
 F = t.TypeVar("F", bound=t.Callable[..., None])
 
 
-def performs(effect_type: type[t.Any]) -> t.Callable[[F], F]:
+def handles_effect(effect_type: type[t.Any]) -> t.Callable[[F], F]:
     """Register the function that carries out effects of a type."""
 
     def register(function: F) -> F:
-        PERFORMERS[effect_type] = function
+        EFFECT_HANDLERS[effect_type] = function
         return function
 
     return register
@@ -26,7 +26,7 @@
 
 def perform(world: "World", node: "VirtualNode", effect: t.Any) -> None:
     """Carry out an effect; one without a registered function has no effect in the simulation."""
-    handler = PERFORMERS.get(type(effect))
+    handler = EFFECT_HANDLERS.get(type(effect))
     if handler is not None:
         handler(world, node, effect)
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/effects.py
@@ -3,7 +3,7 @@
 from . import order_effects as order_effects
 from . import platform_effects as platform_effects
 from . import request_effects as request_effects
-from .effect_registry import PERFORMERS as PERFORMERS
+from .effect_registry import EFFECT_HANDLERS as EFFECT_HANDLERS
 from .effect_registry import pack as pack
 from .effect_registry import perform as perform
 from .effect_registry import unpack as unpack
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet.py
@@ -11,17 +11,11 @@
 import functools
 import heapq
 import itertools
-import msgpack
 import typing as t
-from .fleet_node import FleetLink
-from .fleet_node import FleetNode
-from .fleet_node import write_table
-from .fleet_runners import FleetRunners
-from .fleet_store import ENDPOINTS
-from .fleet_store import FleetBackup
-from .fleet_store import FleetStore
-from .fleet_store import NODES
-from .fleet_store import TABLE
+from unittest import mock
+
+import msgpack
+
 from rookspring import clock
 from rookspring import defaults
 from rookspring import relay_heartbeats
@@ -42,10 +36,16 @@
 from rookspring_core.events import Ticked
 from rookspring_core.freshness import NEVER
 from rookspring_core.organisations import Directory
-from unittest import mock
-
-
 
+from .fleet_node import FleetLink
+from .fleet_node import FleetNode
+from .fleet_node import write_table
+from .fleet_runners import FleetRunners
+from .fleet_store import ENDPOINTS
+from .fleet_store import NODES
+from .fleet_store import TABLE
+from .fleet_store import FleetBackup
+from .fleet_store import FleetStore
 
 # The one-way delay of a message between two nodes, in seconds.
 LINK_DELAY_S = 0.001
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_callers.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_callers.py
@@ -8,14 +8,14 @@
 import itertools
 import random
 import typing as t
-from .fleet import Fleet
-from .fleet import FleetPlan
-from .fleet_runners import FleetRunners
+
 from rookspring_core.effects import Refuse
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import RouteTerms
 
-
+from .fleet import Fleet
+from .fleet import FleetPlan
+from .fleet_runners import FleetRunners
 
 # The time after which a caller retries a failed request, in seconds.
 RETRY_DELAY_S = 0.7
@@ -72,9 +72,9 @@
         found = [one for _, one in self.fleet.refusals if one.request_id == key]
         return found[0] if found else None
 
-    def third_end(self, fingerprint: str) -> float:
+    def third_crash_at(self, fingerprint: str) -> float:
         """Return when the third process crashed that was running a request."""
-        return [one.at for one in self.runners.ended if fingerprint in one.fingerprints][2]
+        return [one.at for one in self.runners.crashes if fingerprint in one.fingerprints][2]
 
 
 class SentRequest(t.NamedTuple):
@@ -164,7 +164,7 @@
     def _retry_interrupted(self) -> None:
         """Retry the interrupted requests whose retry is due."""
         now = self.callers.fleet.now
-        interrupted = {one for crash in self.callers.runners.ended for one in crash.fingerprints}
+        interrupted = {one for crash in self.callers.runners.crashes for one in crash.fingerprints}
         pending, self._pending = self._pending, []
         for one in pending:
             failed = one.fingerprint in interrupted and self.callers.refusal(one.key) is not None
@@ -184,5 +184,5 @@
 
     def interrupted_by_fatal(self) -> int:
         """Count the other requests that were interrupted by crashes of the fatal one."""
-        crashes = [one for one in self.callers.runners.ended if FATAL in one.fingerprints]
+        crashes = [one for one in self.callers.runners.crashes if FATAL in one.fingerprints]
         return sum(len(one.fingerprints) - 1 for one in crashes)
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_node.py
@@ -2,8 +2,7 @@
 
 import asyncio
 import typing as t
-from .fleet_lease import FleetLease
-from .fleet_store import NODES
+
 from rookspring import defaults
 from rookspring import relay_allotments
 from rookspring import relay_heartbeats
@@ -54,7 +53,8 @@
 from rookspring_core.routes import CallerLimits
 from rookspring_core.routes import RouteTable
 
-
+from .fleet_lease import FleetLease
+from .fleet_store import NODES
 
 if t.TYPE_CHECKING:
     from .fleet import Fleet
--- a/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/fleet_runners.py
@@ -6,6 +6,7 @@
 """
 
 import typing as t
+
 from rookspring_core import notice_handlers
 from rookspring_core.effects import Dispatch
 from rookspring_core.events import AttemptFailed
@@ -16,7 +17,6 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-
 if t.TYPE_CHECKING:
     from .fleet import Fleet
     from .fleet_node import FleetNode
@@ -44,7 +44,7 @@
     at: float
 
 
-class EndedProcess(t.NamedTuple):
+class CrashedProcess(t.NamedTuple):
     """A process that crashed, when, and the fingerprints of the requests that it was running."""
 
     at: float
@@ -109,7 +109,7 @@
         self.fatal: set[str] = set()
         # How long requests run, in seconds, by fingerprint.
         self.durations_s: dict[str, float] = {}
-        self.ended: list[EndedProcess] = []
+        self.crashes: list[CrashedProcess] = []
         # The requests that reached a process.
         self.arrivals: list[Arrival] = []
         # Endpoints whose answers state that they are leaving; and those that reject requests.
@@ -251,8 +251,8 @@
         fleet = self._fleet
         self._down.add(endpoint)
         broken = self._running.pop(endpoint, [])
-        self.ended.append(
-            EndedProcess(fleet.now, endpoint, tuple(one.fingerprint for one in broken))
+        self.crashes.append(
+            CrashedProcess(fleet.now, endpoint, tuple(one.fingerprint for one in broken))
         )
         for one in broken:
             effect = one.effect
@@ -282,6 +282,6 @@
         """Return how often an endpoint's process was restarted."""
         return self._starts.get(endpoint, 0)
 
-    def ends_under(self, fingerprint: str) -> int:
+    def crashes_during(self, fingerprint: str) -> int:
         """Return how many processes crashed while they were running a request."""
-        return sum(1 for one in self.ended if fingerprint in one.fingerprints)
+        return sum(1 for one in self.crashes if fingerprint in one.fingerprints)
--- a/packages/rookspring-fakes/src/rookspring_fakes/model_server.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/model_server.py
@@ -5,12 +5,12 @@
 """
 
 import asyncio
-import orjson
 import socket
 import struct
 import time
 import typing as t
 
+import orjson
 
 STEPS: dict[
     str, t.Callable[["ModelServer", "ReceivedRequest", asyncio.StreamWriter], t.Awaitable[None]]
--- a/packages/rookspring-fakes/src/rookspring_fakes/node_loops.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/node_loops.py
@@ -12,7 +12,7 @@
 from rookspring_core.events import RevisionSeen
 from rookspring_core.events import Ticked
 
-from .effect_registry import performs
+from .effect_registry import handles_effect
 from .effect_registry import unpack
 from .request_effects import make_report
 
@@ -157,6 +157,6 @@
         world.clock.call(first * world.random.random(), loop, world, node)
 
 
-@performs(Announce)
+@handles_effect(Announce)
 def _announce(world: "World", node: "VirtualNode", effect: Announce) -> None:
     send_heartbeat(world, node)
--- a/packages/rookspring-fakes/src/rookspring_fakes/order_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/order_effects.py
@@ -6,7 +6,7 @@
 from rookspring_core.effects import SendOrder
 from rookspring_core.events import OrderAnswered
 
-from .effect_registry import performs
+from .effect_registry import handles_effect
 from .effect_registry import unpack
 from .engine import Engine
 from .engine import Order
@@ -17,7 +17,7 @@
     from .world import World
 
 
-@performs(SendOrder)
+@handles_effect(SendOrder)
 def _send_order(world: "World", node: "VirtualNode", effect: SendOrder) -> None:
     world.orders_sent += 1
     _check_holder(world, node, effect)
--- a/packages/rookspring-fakes/src/rookspring_fakes/platform_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/platform_effects.py
@@ -17,8 +17,8 @@
 from rookspring_core.events import Published
 from rookspring_core.events import RevisionSeen
 
+from .effect_registry import handles_effect
 from .effect_registry import pack
-from .effect_registry import performs
 from .effect_registry import unpack
 from .store import StoreError
 
@@ -64,7 +64,7 @@
     world.clock.call(world.latency_s, answer, True, result)
 
 
-@performs(WriteLease)
+@handles_effect(WriteLease)
 def _write_lease(world: "World", node: "VirtualNode", effect: WriteLease) -> None:
     asked_at = world.clock.now
     value = pack(
@@ -84,7 +84,7 @@
     _write(world, node, work, answer)
 
 
-@performs(ReadDesired)
+@handles_effect(ReadDesired)
 def _read_desired(world: "World", node: "VirtualNode", effect: ReadDesired) -> None:
     node.desired_epoch = effect.epoch
     _follow_desired(world, node, effect.epoch)
@@ -121,7 +121,7 @@
     world.clock.call(world.latency_s, node.submit, IntentsSeen(0.0, intents))
 
 
-@performs(ReadHead)
+@handles_effect(ReadHead)
 def _read_head(world: "World", node: "VirtualNode", effect: ReadHead) -> None:
     if not node.alive:
         return
@@ -141,7 +141,7 @@
     world.clock.call(world.latency_s, node.submit, head)
 
 
-@performs(Publish)
+@handles_effect(Publish)
 def _publish(world: "World", node: "VirtualNode", effect: Publish) -> None:
     value = pack({"revision": effect.revision, "epoch": effect.epoch})
 
@@ -162,7 +162,7 @@
     _write(world, node, work, answer)
 
 
-@performs(WriteIntent)
+@handles_effect(WriteIntent)
 def _write_intent(world: "World", node: "VirtualNode", effect: WriteIntent) -> None:
     value = pack({"rows": [list(row) for row in effect.rows]})
 
--- a/packages/rookspring-fakes/src/rookspring_fakes/process_callers.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/process_callers.py
@@ -5,11 +5,11 @@
 import random
 import time
 import typing as t
+
 from .model_server import STREAM_EVENTS
 from .processes import NodeProcess
 from .processes import ProcessStage
 
-
 # How long a caller waits for an answer, in seconds: longer than the routes' timeout of 2 s.
 ANSWER_TIMEOUT_S = 3.5
 # Statuses by which a node states that a request was not run; those of an endpoint don't count.
--- a/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/request_effects.py
@@ -1,10 +1,7 @@
 """Requests at runners and services in the simulation, and the endpoints' reports."""
 
 import typing as t
-from .effect_registry import performs
-from .engine import Engine
-from .engine import GenerationRequest
-from .engine import NotRun
+
 from rookspring_core.effects import AttachStream
 from rookspring_core.effects import Cancel
 from rookspring_core.effects import Dispatch
@@ -23,14 +20,17 @@
 from rookspring_core.events import NoticeReceived
 from rookspring_core.notices import Notice
 
-
+from .effect_registry import handles_effect
+from .engine import Engine
+from .engine import GenerationRequest
+from .engine import NotRun
 
 if t.TYPE_CHECKING:
     from .world import VirtualNode
     from .world import World
 
 
-@performs(Dispatch)
+@handles_effect(Dispatch)
 def _dispatch(world: "World", node: "VirtualNode", effect: Dispatch) -> None:
     wait = max(0.0, effect.not_before - world.clock.now)
     world.clock.call(wait, _send, world, node, effect)
@@ -177,7 +177,7 @@
     )
 
 
-@performs(ShareLeaving)
+@handles_effect(ShareLeaving)
 def _share_leaving(world: "World", node: "VirtualNode", effect: ShareLeaving) -> None:
     for other in world.nodes.values():
         if other is not node and other.alive and world.reachable(node.name, other.name):
@@ -185,7 +185,7 @@
             world.clock.call(world.latency_s, other.submit, event)
 
 
-@performs(ShareEvidence)
+@handles_effect(ShareEvidence)
 def _share_evidence(world: "World", node: "VirtualNode", effect: ShareEvidence) -> None:
     for other in world.nodes.values():
         if other is not node and other.alive and world.reachable(node.name, other.name):
@@ -213,12 +213,12 @@
     world.clock.call(service.work_s, _succeed, world, node, effect.request_id, effect.attempt)
 
 
-@performs(AttachStream)
+@handles_effect(AttachStream)
 def _attach(world: "World", node: "VirtualNode", effect: AttachStream) -> None:
     _fail(world, node, effect, "no such stream")
 
 
-@performs(Refuse)
+@handles_effect(Refuse)
 def _refuse(world: "World", node: "VirtualNode", effect: Refuse) -> None:
     world.record_result(
         node,
@@ -230,12 +230,12 @@
     )
 
 
-@performs(Replay)
+@handles_effect(Replay)
 def _replay(world: "World", node: "VirtualNode", effect: Replay) -> None:
     world.record_result(node, effect.request_id, "ran", effect.status, "replay", 0.0)
 
 
-@performs(Cancel)
+@handles_effect(Cancel)
 def _cancel(world: "World", node: "VirtualNode", effect: Cancel) -> None:
     stream = f"{effect.request_id}.{effect.attempt}.{node.state.identity.incarnation}"
     world.stream_owners.pop(stream, None)
@@ -275,7 +275,7 @@
     )
 
 
-@performs(Stop)
+@handles_effect(Stop)
 def _stop(world: "World", node: "VirtualNode", effect: Stop) -> None:
     if node.state.requests and not node.state.hurry:
         world.violations.append(f"{node.name} stopped with requests in flight")
--- a/packages/rookspring-fakes/src/rookspring_fakes/world.py
+++ b/packages/rookspring-fakes/src/rookspring_fakes/world.py
@@ -7,15 +7,7 @@
 
 import random
 import typing as t
-from . import effects as world_effects
-from . import node_loops
-from .clock import VirtualClock
-from .engine import Engine
-from .engine import WeightStore
-from .faults import Faults
-from .store import ObjectStore
-from .users import UserSize
-from .users import list_resources
+
 from rookspring_core import Identity
 from rookspring_core import NodeState
 from rookspring_core import reduce
@@ -26,7 +18,15 @@
 from rookspring_core.events import RequestArrived
 from rookspring_core.events import SessionOpened
 
-
+from . import effects as world_effects
+from . import node_loops
+from .clock import VirtualClock
+from .engine import Engine
+from .engine import WeightStore
+from .faults import Faults
+from .store import ObjectStore
+from .users import UserSize
+from .users import list_resources
 
 LEAVING_BOUND_S = 5.0
 
--- a/packages/rookspring/src/rookspring/connections.py
+++ b/packages/rookspring/src/rookspring/connections.py
@@ -5,13 +5,13 @@
 was lost would be reported as a conflict.
 """
 
-import aiohttp
 import asyncio
 import contextlib
 import typing as t
-from . import defaults
 
+import aiohttp
 
+from . import defaults
 
 
 class SingleUseConnector(aiohttp.TCPConnector):
--- a/packages/rookspring/src/rookspring/demonstration.py
+++ b/packages/rookspring/src/rookspring/demonstration.py
@@ -6,19 +6,19 @@
 """
 
 import asyncio
-import orjson
 import random
-import typer
 import typing as t
-from .local_cluster import LocalCluster
-from .local_cluster import LocalClusterPlan
-from rookspring_fakes import Caller
+
+import orjson
+import typer
+
 from rookspring_fakes import USERS as USERS
+from rookspring_fakes import Caller
 from rookspring_fakes.caller import Answer
 from rookspring_fakes.caller import expected_text
 
-
-
+from .local_cluster import LocalCluster
+from .local_cluster import LocalClusterPlan
 
 STREAMS = 150
 CALLS = 150
--- a/packages/rookspring/src/rookspring/dialect.py
+++ b/packages/rookspring/src/rookspring/dialect.py
@@ -6,16 +6,16 @@
 
 import abc
 import typing as t
-from .http_messages import Header
-from .http_messages import HttpHead
-from .http_messages import HttpRequest
-from .platform import StoredObject
+
 from rookspring_core.events import BoxListed
 from rookspring_core.events import EndpointReported
 from rookspring_core.notices import Notice
 from rookspring_core.routes import RouteTable
 
-
+from .http_messages import Header
+from .http_messages import HttpHead
+from .http_messages import HttpRequest
+from .platform import StoredObject
 
 
 class RequestFields(t.NamedTuple):
--- a/packages/rookspring/src/rookspring/dialling.py
+++ b/packages/rookspring/src/rookspring/dialling.py
@@ -1,12 +1,12 @@
 """Dials the nodes to which this node must have a link and has none."""
 
 import typing as t
+
+from rookspring_core.membership import Membership
+
 from . import clock
 from . import defaults
 from .peers import PeerServer
-from rookspring_core.membership import Membership
-
-
 
 Spawn = t.Callable[[t.Coroutine[t.Any, t.Any, None]], t.Any]
 
--- a/packages/rookspring/src/rookspring/evidence.py
+++ b/packages/rookspring/src/rookspring/evidence.py
@@ -4,9 +4,7 @@
 """
 
 import typing as t
-from .logs import log
-from .messages import EvidenceMessage
-from .metrics import Metrics
+
 from rookspring_core.effects import VerdictFound
 from rookspring_core.suspects import Cleared
 from rookspring_core.suspects import CrashRecord
@@ -15,7 +13,9 @@
 from rookspring_core.suspects import Trial
 from rookspring_core.suspects import Verdict
 
-
+from .logs import log
+from .messages import EvidenceMessage
+from .metrics import Metrics
 
 
 def encode_evidence(evidence: Evidence, now: float) -> EvidenceMessage:
--- a/packages/rookspring/src/rookspring/exceptions.py
+++ b/packages/rookspring/src/rookspring/exceptions.py
@@ -1,8 +1,8 @@
 """Errors of the daemon's layers; each layer converts the errors of the one below."""
 
 import typing as t
-from rookspring_core import RookspringError
 
+from rookspring_core import RookspringError
 
 
 class SettingsError(RookspringError):
--- a/packages/rookspring/src/rookspring/gossip.py
+++ b/packages/rookspring/src/rookspring/gossip.py
@@ -2,6 +2,20 @@
 
 import asyncio
 import typing as t
+
+from rookspring_core import Entry
+from rookspring_core import cluster
+from rookspring_core.events import BoxListed
+from rookspring_core.events import CacheEventsReceived
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import EvidenceReceived
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import PeerLost
+from rookspring_core.events import RevisionSeen
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from . import forwarding
@@ -30,20 +44,6 @@
 from .reports import decode_report as decode_report
 from .reports import digest_without_load as digest_without_load
 from .reports import encode_report as encode_report
-from rookspring_core import Entry
-from rookspring_core import cluster
-from rookspring_core.events import BoxListed
-from rookspring_core.events import CacheEventsReceived
-from rookspring_core.events import DownReceived
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import EvidenceReceived
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import LeavingReceived
-from rookspring_core.events import PeerLost
-from rookspring_core.events import RevisionSeen
-from rookspring_core.state import NodeState
-
-
 
 Receiver = t.Callable[[NodeContext, Link, t.Any], None]
 RECEIVERS: dict[type[t.Any], Receiver] = {}
--- a/packages/rookspring/src/rookspring/http_client.py
+++ b/packages/rookspring/src/rookspring/http_client.py
@@ -11,17 +11,17 @@
 
 import asyncio
 import collections
-import httptools
 import socket
 import typing as t
+
+import httptools
+
 from . import clock
 from . import defaults
 from .exceptions import EndpointError
 from .http_messages import Header
 from .http_messages import HttpHead
 
-
-
 AcceptHead = t.Callable[[HttpHead], bool]
 OnHead = t.Callable[[HttpHead], None]
 
--- a/packages/rookspring/src/rookspring/http_platform.py
+++ b/packages/rookspring/src/rookspring/http_platform.py
@@ -1,8 +1,15 @@
 """Platform adapter for rookspring's own HTTP protocol of an object service."""
 
+import typing as t
+
 import aiohttp
 import orjson
-import typing as t
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+
+from rookspring_core.events import BoxListed
+
 from . import defaults
 from .connections import SingleUseConnector
 from .exceptions import PlatformConflict
@@ -17,13 +24,6 @@
 from .platform import PlatformClient
 from .platform import StoredObject
 from .platform import platform_adapter
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-from rookspring_core.events import BoxListed
-
-
-
 
 if t.TYPE_CHECKING:
     from .telemetry import Telemetry
--- a/packages/rookspring/src/rookspring/http_server.py
+++ b/packages/rookspring/src/rookspring/http_server.py
@@ -9,8 +9,10 @@
 """
 
 import asyncio
-import httptools
 import typing as t
+
+import httptools
+
 from . import defaults
 from .exceptions import CallerGone
 from .http_messages import Header
@@ -19,8 +21,6 @@
 from .http_messages import write_head
 
 
-
-
 class ReadLimits(t.NamedTuple):
     """Limits on the size of a request in bytes, and on the time to send it in seconds."""
 
--- a/packages/rookspring/src/rookspring/local_cluster.py
+++ b/packages/rookspring/src/rookspring/local_cluster.py
@@ -1,14 +1,13 @@
 """Fakes and nodes on loopback in one process, for the demo, tests and experiments."""
 
-import aiohttp
 import asyncio
 import hashlib
+import typing as t
+
+import aiohttp
 import orjson
 import typer
-import typing as t
-from . import web
-from .node import Node
-from .settings import Settings
+
 from rookspring_core import InvariantBroken
 from rookspring_fakes import Engine
 from rookspring_fakes import Ledger
@@ -21,8 +20,9 @@
 from rookspring_fakes.users import UserSize
 from rookspring_fakes.users import list_resources
 
-
-
+from . import web
+from .node import Node
+from .settings import Settings
 
 KEY = "demo"
 RESIDENT_WAIT_S = 120.0
--- a/packages/rookspring/src/rookspring/messages.py
+++ b/packages/rookspring/src/rookspring/messages.py
@@ -1,10 +1,10 @@
 """Messages between nodes: ``NamedTuple`` classes in a registry, by their tags on the wire."""
 
-import msgpack
 import typing as t
-from .exceptions import PeerError
 
+import msgpack
 
+from .exceptions import PeerError
 
 M = t.TypeVar("M", bound=type[t.Any])
 MESSAGES: dict[str, type[t.Any]] = {}
@@ -240,7 +240,7 @@
 
 
 @message("want-model")
-class WantModel(t.NamedTuple):
+class LoadRequestMessage(t.NamedTuple):
     """Request that the lease holder load what is resident on no endpoint; see ``RequestLoad``.
 
     :param latest_retry_s: when the caller will have retried at the latest if its request is
--- a/packages/rookspring/src/rookspring/peers.py
+++ b/packages/rookspring/src/rookspring/peers.py
@@ -8,10 +8,12 @@
 import asyncio
 import hashlib
 import hmac
-import msgpack
 import secrets
 import ssl
 import typing as t
+
+import msgpack
+
 from . import defaults
 from .exceptions import PeerError
 from .logs import log
@@ -21,8 +23,6 @@
 from .messages import encode
 
 
-
-
 class Link:
     """One authenticated stream to another node."""
 
--- a/packages/rookspring/src/rookspring/platform.py
+++ b/packages/rookspring/src/rookspring/platform.py
@@ -9,13 +9,13 @@
 import asyncio
 import importlib
 import typing as t
-from . import clock
-from .exceptions import PlatformError
-from returns.result import Result
-from rookspring_core.events import BoxListed
 
+from returns.result import Result
 
+from rookspring_core.events import BoxListed
 
+from . import clock
+from .exceptions import PlatformError
 
 if t.TYPE_CHECKING:
     from .telemetry import Telemetry
--- a/packages/rookspring/src/rookspring/platform_loops.py
+++ b/packages/rookspring/src/rookspring/platform_loops.py
@@ -8,6 +8,20 @@
 import asyncio
 import random
 import typing as t
+
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+
+from rookspring_core import Resource
+from rookspring_core import control_jobs
+from rookspring_core.events import BoxListReceived
+from rookspring_core.events import DesiredSeen
+from rookspring_core.events import HeadSeen
+from rookspring_core.events import IntentsSeen
+from rookspring_core.events import LeaseSeen
+from rookspring_core.events import PlatformAnswered
+
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -19,23 +33,9 @@
 from .node_context import NodeContext
 from .platform import StoredObject
 from .published import HEAD
-from .published import Head
 from .published import KIND
+from .published import Head
 from .published import parse_head
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-from rookspring_core import Resource
-from rookspring_core import control_jobs
-from rookspring_core.events import BoxListReceived
-from rookspring_core.events import DesiredSeen
-from rookspring_core.events import HeadSeen
-from rookspring_core.events import IntentsSeen
-from rookspring_core.events import LeaseSeen
-from rookspring_core.events import PlatformAnswered
-
-
-
 
 A = t.TypeVar("A")
 
--- a/packages/rookspring/src/rookspring/relay.py
+++ b/packages/rookspring/src/rookspring/relay.py
@@ -7,13 +7,7 @@
 import asyncio
 import itertools
 import typing as t
-from . import clock
-from . import defaults
-from .dialect import RequestFields
-from .exceptions import CallerError
-from .http_messages import HttpRequest
-from .http_server import ServerConnection
-from .logs import log
+
 from rookspring_core import defaults as core_defaults
 from rookspring_core import keys
 from rookspring_core.events import CallerLeft
@@ -26,7 +20,13 @@
 from rookspring_core.routes import RouteTable
 from rookspring_core.routes import pick_service
 
-
+from . import clock
+from . import defaults
+from .dialect import RequestFields
+from .exceptions import CallerError
+from .http_messages import HttpRequest
+from .http_server import ServerConnection
+from .logs import log
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
@@ -49,7 +49,7 @@
         self,
         connection: ServerConnection,
         request: HttpRequest,
-        ask: RequestFields,
+        fields: RequestFields,
         route: Route,
         arrived_at: float,
         organisation: Organisation | None = None,
@@ -57,18 +57,18 @@
         self.key = f"r{next(_exchange_numbers)}"
         self.connection = connection
         self.request = request
-        self.ask = ask
+        self.fields = fields
         self.route = route
         self.organisation = organisation.name if organisation else ""
         self.fingerprint = make_fingerprint(
-            self.organisation, ask.host, request.target, request.body
+            self.organisation, fields.host, request.target, request.body
         )
         rank = organisation.rank if organisation else None
         self.rank = route.rank if rank is None else rank
         self.arrived_at = arrived_at
-        self.deadline_at = self.arrived_at + request_timeout_s(ask, route)
+        self.deadline_at = self.arrived_at + request_timeout_s(fields, route)
         self.started = False
-        self.last_event = ask.last_event
+        self.last_event = fields.last_event
         self.events = 0
         self.first_event_at = 0.0
         # When the last events arrived, and the longest time between two of them, in seconds.
@@ -87,11 +87,11 @@
             self.attempt_timeout.reschedule(asyncio.get_running_loop().time() + left_s)
 
 
-def request_timeout_s(ask: RequestFields, route: Route) -> float:
+def request_timeout_s(fields: RequestFields, route: Route) -> float:
     """Return the lesser of the caller's and the route's time limit, in seconds."""
-    if ask.deadline_s is None:
+    if fields.deadline_s is None:
         return route.timeout_s
-    return min(ask.deadline_s, route.timeout_s)
+    return min(fields.deadline_s, route.timeout_s)
 
 
 async def serve_caller(
@@ -208,7 +208,7 @@
 
 def make_arrival_event(exchange: RelayExchange, table: RouteTable) -> RequestArrived:
     """Return the event that submits a request to the reducer."""
-    fields = exchange.ask
+    fields = exchange.fields
     route = exchange.route
     service = pick_service(route, fields.request_id)
     model = fields.model if table.engine_of(fields.model, service) else ""
@@ -261,7 +261,7 @@
 def _log_end(exchange: RelayExchange, outcome: str, why: str) -> None:
     log(
         "request_ended",
-        id=exchange.ask.request_id,
+        id=exchange.fields.request_id,
         key=exchange.key,
         fingerprint=exchange.fingerprint,
         route=exchange.route.name,
@@ -273,7 +273,7 @@
         first_s=exchange.first_event_at - exchange.arrived_at if exchange.first_event_at else -1,
         events=exchange.events,
         pause_s=exchange.longest_pause_s,
-        model=exchange.ask.model,
-        adapter=exchange.ask.adapter,
+        model=exchange.fields.model,
+        adapter=exchange.fields.adapter,
         organisation=exchange.organisation,
     )
--- a/packages/rookspring/src/rookspring/relay_allotments.py
+++ b/packages/rookspring/src/rookspring/relay_allotments.py
@@ -1,5 +1,10 @@
 """Messages between nodes for allotments: requests to organisations' owners, and their replies."""
 
+from rookspring_core import allotment_checks
+from rookspring_core.effects import AskAllotment
+from rookspring_core.effects import ReturnAllotment
+from rookspring_core.events import AllotmentAnswered
+
 from . import clock
 from . import relay_owners
 from .logs import log
@@ -10,11 +15,6 @@
 from .relay_owners import handles_as_owner
 from .relay_owners import handles_reply
 from .relay_peers import RelayPeers
-from rookspring_core import allotment_checks
-from rookspring_core.effects import AskAllotment
-from rookspring_core.effects import ReturnAllotment
-from rookspring_core.events import AllotmentAnswered
-
 
 
 def ask_units(peers: RelayPeers, effect: AskAllotment) -> None:
@@ -30,22 +30,24 @@
 
 
 @handles_as_owner(AskUnits, lambda asked: asked.organisation)
-def handle_request(peers: RelayPeers, asked: AskUnits, link: Link | None) -> None:
+def handle_request(peers: RelayPeers, request: AskUnits, link: Link | None) -> None:
     """Decide, as the owner, whether a request may run, and send the reply."""
     state = peers.context.state
-    grant = allotment_checks.decide(state, asked.organisation, asked.units, clock.now())
+    grant = allotment_checks.decide(state, request.organisation, request.units, clock.now())
     if grant.after_s > 0.0:
         log(
             "allotment_denied",
-            organisation=asked.organisation,
-            units=asked.units,
-            origin=asked.origin,
-            key=asked.key,
+            organisation=request.organisation,
+            units=request.units,
+            origin=request.origin,
+            key=request.key,
             used=grant.used,
             most=grant.limit,
             after_s=grant.after_s,
         )
-    reply = UnitsReply(asked.origin, asked.key, asked.organisation, asked.units, grant.after_s)
+    reply = UnitsReply(
+        request.origin, request.key, request.organisation, request.units, grant.after_s
+    )
     relay_owners.send_reply(peers, reply, link)
 
 
--- a/packages/rookspring/src/rookspring/relay_attempts.py
+++ b/packages/rookspring/src/rookspring/relay_attempts.py
@@ -1,6 +1,20 @@
 """Attempts of relayed requests at endpoints, and the answers to their callers."""
 
 import asyncio
+
+from rookspring_core import notice_handlers
+from rookspring_core import slot_requests
+from rookspring_core.effects import Announce
+from rookspring_core.effects import Cancel
+from rookspring_core.effects import Dispatch
+from rookspring_core.effects import Forget
+from rookspring_core.effects import Refuse
+from rookspring_core.endpoints import EndpointView
+from rookspring_core.events import AttemptFailed
+from rookspring_core.events import AttemptProgressed
+from rookspring_core.events import AttemptStarted
+from rookspring_core.events import AttemptSucceeded
+
 from . import clock
 from . import defaults
 from .dialect import AnswerMatch
@@ -17,26 +31,12 @@
 from .relay import RelayExchange
 from .relay import end_exchange
 from .relay_context import RelayContext
-from .relay_context import relay_performs
+from .relay_context import handles_relay_effect
 from .relay_notices import EndpointCall
 from .relay_notices import make_notice_handler
-from rookspring_core import notice_handlers
-from rookspring_core import slot_requests
-from rookspring_core.effects import Announce
-from rookspring_core.effects import Cancel
-from rookspring_core.effects import Dispatch
-from rookspring_core.effects import Forget
-from rookspring_core.effects import Refuse
-from rookspring_core.endpoints import EndpointView
-from rookspring_core.events import AttemptFailed
-from rookspring_core.events import AttemptProgressed
-from rookspring_core.events import AttemptStarted
-from rookspring_core.events import AttemptSucceeded
-
-
 
 
-@relay_performs(Dispatch)
+@handles_relay_effect(Dispatch)
 def dispatch(context: RelayContext, effect: Dispatch) -> None:
     """Start an attempt in its own task."""
     exchange = context.exchanges.get(effect.request_id)
@@ -48,7 +48,7 @@
     table = context.state.table
     log(
         "attempt_began",
-        id=exchange.ask.request_id,
+        id=exchange.fields.request_id,
         key=exchange.key,
         attempt=effect.attempt,
         fingerprint=exchange.fingerprint,
@@ -97,7 +97,7 @@
     exchange = context.exchanges.get(effect.request_id)
     log(
         "attempt_failed",
-        id=exchange.ask.request_id if exchange else "",
+        id=exchange.fields.request_id if exchange else "",
         key=effect.request_id,
         attempt=effect.attempt,
         fingerprint=exchange.fingerprint if exchange else "",
@@ -142,7 +142,7 @@
     verdicts: list[AnswerMatch] = []
 
     def accept(head: HttpHead) -> bool:
-        verdict = context.dialect.match_answer(head, exchange.ask.request_id)
+        verdict = context.dialect.match_answer(head, exchange.fields.request_id)
         if verdict.matches:
             verdicts.append(verdict)
         return verdict.matches
@@ -150,7 +150,7 @@
     try:
         arrived = context.state.requests[exchange.key].arrived
         call = EndpointCall(
-            exchange.ask.request_id, arrived.target, arrived.adapter, is_request=True
+            exchange.fields.request_id, arrived.target, arrived.adapter, is_request=True
         )
         hear = make_notice_handler(context, view.name, call)
         reply = connection.send_request(data, accept, hear, exchange.request.method == b"HEAD")
@@ -256,7 +256,7 @@
     exchange.connection.begin(head.status, end_to_end_headers(head.headers), None)
 
 
-@relay_performs(Refuse)
+@handles_relay_effect(Refuse)
 def refuse(context: RelayContext, effect: Refuse) -> None:
     """End a failed request: cut a stream that has begun, else send an error answer."""
     exchange = context.exchanges.get(effect.request_id)
@@ -269,13 +269,13 @@
     elif exchange.held_answer is not None:
         _send_answer(exchange, exchange.held_answer)
     else:
-        headers = context.dialect.refusal_headers(exchange.ask.request_id, effect.retry_after_s)
+        headers = context.dialect.refusal_headers(exchange.fields.request_id, effect.retry_after_s)
         exchange.connection.answer(effect.status, headers, b"")
     why = f"{effect.status} {effect.reason}: {effect.message}"
     end_exchange(context, exchange, f"refused-{effect.outcome}", why)
 
 
-@relay_performs(Cancel)
+@handles_relay_effect(Cancel)
 def cancel(context: RelayContext, effect: Cancel) -> None:
     """Cancel an attempt, which closes its connection, so that the endpoint stops too."""
     exchange = context.exchanges.get(effect.request_id)
@@ -283,12 +283,12 @@
         exchange.task.cancel()
 
 
-@relay_performs(Forget)
+@handles_relay_effect(Forget)
 def forget(context: RelayContext, effect: Forget) -> None:
     """Do nothing: an exchange is removed once it has been answered."""
 
 
-@relay_performs(Announce)
+@handles_relay_effect(Announce)
 def announce(context: RelayContext, effect: Announce) -> None:
     """Send a heartbeat to the linked nodes at once."""
     context.announce(effect.topic)
--- a/packages/rookspring/src/rookspring/relay_context.py
+++ b/packages/rookspring/src/rookspring/relay_context.py
@@ -6,17 +6,7 @@
 
 import asyncio
 import typing as t
-from . import clock
-from . import defaults
-from .dialect import Dialect
-from .http_client import ConnectionPool
-from .logs import log
-from .metrics import Metrics
-from .peers import Link
-from .platform import PlatformClient
-from .platform import StoredObject
-from .relay import RelayExchange
-from .relay_settings import RelaySettings
+
 from rookspring_core import NodeState
 from rookspring_core import reduce
 from rookspring_core.effects import AskAllotment
@@ -31,21 +21,31 @@
 from rookspring_core.request_rates import RateRecord
 from rookspring_core.suspects import Evidence
 
-
+from . import clock
+from . import defaults
+from .dialect import Dialect
+from .http_client import ConnectionPool
+from .logs import log
+from .metrics import Metrics
+from .peers import Link
+from .platform import PlatformClient
+from .platform import StoredObject
+from .relay import RelayExchange
+from .relay_settings import RelaySettings
 
 if t.TYPE_CHECKING:
     from .store_eras import StoreEras
 
-Performer = t.Callable[["RelayContext", t.Any], None]
-RELAY_PERFORMERS: dict[type[t.Any], Performer] = {}
+RelayEffectHandler = t.Callable[["RelayContext", t.Any], None]
+RELAY_EFFECT_HANDLERS: dict[type[t.Any], RelayEffectHandler] = {}
 F = t.TypeVar("F", bound=t.Callable[..., None])
 
 
-def relay_performs(effect_type: type[t.Any]) -> t.Callable[[F], F]:
+def handles_relay_effect(effect_type: type[t.Any]) -> t.Callable[[F], F]:
     """Register the function that carries out effects of a type at a relay node."""
 
     def register(function: F) -> F:
-        RELAY_PERFORMERS[effect_type] = function
+        RELAY_EFFECT_HANDLERS[effect_type] = function
         return function
 
     return register
@@ -122,7 +122,7 @@
     def perform(self, effect: Effect) -> None:
         """Carry out one effect; an exception is logged, so that the next ones are carried out."""
         try:
-            RELAY_PERFORMERS[type(effect)](self, effect)
+            RELAY_EFFECT_HANDLERS[type(effect)](self, effect)
         except Exception as error:  # noqa: BLE001
             log("effect_failed", "ERROR", effect=type(effect).__name__, detail=repr(error))
 
--- a/packages/rookspring/src/rookspring/relay_heartbeats.py
+++ b/packages/rookspring/src/rookspring/relay_heartbeats.py
@@ -7,6 +7,13 @@
 
 import asyncio
 import typing as t
+
+from rookspring_core import attaching
+from rookspring_core import cluster
+from rookspring_core.demand import add_rates
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from . import relay_merged
@@ -17,13 +24,6 @@
 from .relay_members import send_members
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core import attaching
-from rookspring_core import cluster
-from rookspring_core.demand import add_rates
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.state import NodeState
-
-
 
 
 def send_first_heartbeat(peers: RelayPeers, link: Link) -> None:
--- a/packages/rookspring/src/rookspring/relay_members.py
+++ b/packages/rookspring/src/rookspring/relay_members.py
@@ -7,17 +7,17 @@
 """
 
 import typing as t
+
+from rookspring_core.events import HeartbeatReceived
+from rookspring_core.events import MembersReceived
+from rookspring_core.membership import Peer
+
 from . import clock
 from .messages import Members
 from .peers import Link
 from .relay_peers import RelayPeers
 from .relay_peers import SentMembers
 from .relay_peers import receives
-from rookspring_core.events import HeartbeatReceived
-from rookspring_core.events import MembersReceived
-from rookspring_core.membership import Peer
-
-
 
 
 def send_members(peers: RelayPeers) -> None:
--- a/packages/rookspring/src/rookspring/relay_merged.py
+++ b/packages/rookspring/src/rookspring/relay_merged.py
@@ -6,13 +6,13 @@
 """
 
 import typing as t
+
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from .peers import Link
 from .relay_peers import RelayPeers
-from rookspring_core.state import NodeState
-
-
 
 Digest = t.Callable[[NodeState], int]
 SendAll = t.Callable[[RelayPeers, Link], None]
--- a/packages/rookspring/src/rookspring/relay_node.py
+++ b/packages/rookspring/src/rookspring/relay_node.py
@@ -57,7 +57,7 @@
 from .platform import StoredObject
 from .platform import open_platform
 from .relay_context import RelayContext
-from .relay_context import relay_performs
+from .relay_context import handles_relay_effect
 from .relay_endpoint_list import EndpointList
 from .relay_peers import RelayPeers
 from .relay_proofs import ProofRefresher
@@ -161,7 +161,7 @@
         context.share_rates = functools.partial(relay_notices.share_rates, peers)
         context.share_shed = functools.partial(relay_notices.share_shed, peers)
         context.share_prompts = relay_updates.PromptUpdates(peers).note
-        context.send_load_request = functools.partial(relay_updates.send_want, peers)
+        context.send_load_request = functools.partial(relay_updates.send_load_request, peers)
         context.ask_allotment = functools.partial(relay_allotments.ask_units, peers)
         context.return_units = functools.partial(relay_allotments.return_units, peers)
         context.ask_slot = functools.partial(relay_slots.ask_slot, peers)
@@ -367,13 +367,13 @@
     return count
 
 
-@relay_performs(Stop)
+@handles_relay_effect(Stop)
 def stop(context: RelayContext, effect: Stop) -> None:
     """End the process: the planned stop is complete."""
     context.stop()
 
 
-@relay_performs(WriteLease)
+@handles_relay_effect(WriteLease)
 def write_lease(context: RelayContext, effect: WriteLease) -> None:
     """Write the lease object, provided that its version is unchanged."""
     asked_at = clock.now()
@@ -410,7 +410,7 @@
     context.spawn(write())
 
 
-@relay_performs(ReadDesired)
+@handles_relay_effect(ReadDesired)
 def log_lease_acquired(context: RelayContext, effect: ReadDesired) -> None:
     """Log that this node holds the lease; it has no resources to read.
 
@@ -419,6 +419,6 @@
     log("lease_acquired", node=context.settings.name, epoch=effect.epoch)
 
 
-@relay_performs(ReadHead)
+@handles_relay_effect(ReadHead)
 def ignore_read_head(context: RelayContext, effect: ReadHead) -> None:
     """Do nothing: the platform accepts the configuration, so relay nodes publish no revisions."""
--- a/packages/rookspring/src/rookspring/relay_notices.py
+++ b/packages/rookspring/src/rookspring/relay_notices.py
@@ -5,6 +5,18 @@
 """
 
 import typing as t
+
+from rookspring_core import notice_handlers
+from rookspring_core.effects import ShareLeaving
+from rookspring_core.effects import ShareRates
+from rookspring_core.effects import ShareShed
+from rookspring_core.events import LeavingReceived
+from rookspring_core.events import NoticeReceived
+from rookspring_core.events import RatesReceived
+from rookspring_core.events import ShedReceived
+from rookspring_core.notices import Leaving
+from rookspring_core.request_rates import RateRecord
+
 from . import clock
 from .http_client import OnHead
 from .http_messages import HttpHead
@@ -16,22 +28,10 @@
 from .messages import ShedMessage
 from .peers import Link
 from .relay_context import RelayContext
-from .relay_context import relay_performs
+from .relay_context import handles_relay_effect
 from .relay_merged import merged_set
 from .relay_peers import RelayPeers
 from .relay_peers import receives
-from rookspring_core import notice_handlers
-from rookspring_core.effects import ShareLeaving
-from rookspring_core.effects import ShareRates
-from rookspring_core.effects import ShareShed
-from rookspring_core.events import LeavingReceived
-from rookspring_core.events import NoticeReceived
-from rookspring_core.events import RatesReceived
-from rookspring_core.events import ShedReceived
-from rookspring_core.notices import Leaving
-from rookspring_core.request_rates import RateRecord
-
-
 
 
 class EndpointCall(t.NamedTuple):
@@ -137,20 +137,20 @@
     peers.context.submit(RatesReceived(clock.now(), rows, link.name))
 
 
-@relay_performs(ShareRates)
-def perform_rates(context: RelayContext, effect: ShareRates) -> None:
+@handles_relay_effect(ShareRates)
+def handle_share_rates(context: RelayContext, effect: ShareRates) -> None:
     """Send the other nodes endpoints' rate limits."""
     context.share_rates(effect.rows, effect.source)
 
 
-@relay_performs(ShareLeaving)
-def perform_share_leaving(context: RelayContext, effect: ShareLeaving) -> None:
+@handles_relay_effect(ShareLeaving)
+def handle_share_leaving(context: RelayContext, effect: ShareLeaving) -> None:
     """Send the other nodes leaving endpoints."""
     context.share_leaving(effect.rows, effect.source)
 
 
-@relay_performs(ShareShed)
-def perform_shed(context: RelayContext, effect: ShareShed) -> None:
+@handles_relay_effect(ShareShed)
+def handle_share_shed(context: RelayContext, effect: ShareShed) -> None:
     """Send the other nodes that an endpoint sheds load."""
     context.share_shed(effect.endpoint, effect.for_s)
 
--- a/packages/rookspring/src/rookspring/relay_orders.py
+++ b/packages/rookspring/src/rookspring/relay_orders.py
@@ -31,12 +31,12 @@
 from .exceptions import EndpointError
 from .logs import log
 from .relay_context import RelayContext
-from .relay_context import relay_performs
+from .relay_context import handles_relay_effect
 from .relay_notices import EndpointCall
 from .relay_notices import make_notice_handler
 
 
-@relay_performs(SendOrder)
+@handles_relay_effect(SendOrder)
 def send_order(context: RelayContext, effect: SendOrder) -> None:
     """Send an order to an endpoint, without a retry."""
     context.spawn(_send_and_submit(context, effect))
@@ -89,7 +89,7 @@
     context.submit(OrderAnswered(clock.now(), effect.endpoint, effect.token, reply.taken, reason))
 
 
-@relay_performs(ReadReport)
+@handles_relay_effect(ReadReport)
 def read_report(context: RelayContext, effect: ReadReport) -> None:
     """Read an endpoint's report from the endpoint itself and submit it."""
     context.spawn(_read_and_submit(context, effect))
@@ -121,31 +121,31 @@
     context.submit(report._replace(polled=True, running=LOAD_UNREPORTED, queued=0))
 
 
-@relay_performs(ShareReport)
+@handles_relay_effect(ShareReport)
 def share_report(context: RelayContext, effect: ShareReport) -> None:
     """Send an endpoint's report to every other node."""
     context.share_report(effect.report)
 
 
-@relay_performs(ShareLoading)
+@handles_relay_effect(ShareLoading)
 def share_loading(context: RelayContext, effect: ShareLoading) -> None:
     """Send every other node when a model that is being loaded is expected to be resident."""
     context.share_loading(effect.endpoint, effect.model, effect.in_s)
 
 
-@relay_performs(ShareDown)
+@handles_relay_effect(ShareDown)
 def share_down(context: RelayContext, effect: ShareDown) -> None:
     """Send every other node that nothing listens at an endpoint's address."""
     context.share_down(effect.endpoint)
 
 
-@relay_performs(SharePrompts)
+@handles_relay_effect(SharePrompts)
 def share_prompts(context: RelayContext, effect: SharePrompts) -> None:
     """Send every other node how much of this node's prompts an endpoint has yet to read."""
     context.share_prompts(effect.endpoint, False)
 
 
-@relay_performs(StartOrderTimer)
+@handles_relay_effect(StartOrderTimer)
 def start_order_timer(context: RelayContext, effect: StartOrderTimer) -> None:
     """Start the timer after which an order is due."""
 
@@ -155,7 +155,7 @@
     context.loop.call_later(effect.after_s, submit_due)
 
 
-@relay_performs(RequestLoad)
+@handles_relay_effect(RequestLoad)
 def request_load(context: RelayContext, effect: RequestLoad) -> None:
     """Send a load request to the lease holder at once, or submit it if this node is the holder."""
     if context.state.control.holding(clock.now()):
@@ -165,13 +165,13 @@
     context.send_load_request(effect)
 
 
-@relay_performs(LoadRequestDeclined)
+@handles_relay_effect(LoadRequestDeclined)
 def log_load_declined(context: RelayContext, effect: LoadRequestDeclined) -> None:
     """Log why nothing is ordered at present for an adapter that requests wait for."""
     log("want_declined", adapter=effect.adapter, why=effect.why)
 
 
-@relay_performs(LoadRequestEnded)
+@handles_relay_effect(LoadRequestEnded)
 def log_load_request_ended(context: RelayContext, effect: LoadRequestEnded) -> None:
     """Log and count the outcome for an adapter that requests waited for."""
     context.metrics.load_requests.observe({"end": effect.outcome}, effect.age_s)
@@ -184,7 +184,7 @@
     )
 
 
-@relay_performs(AdapterLeft)
+@handles_relay_effect(AdapterLeft)
 def log_adapter_left(context: RelayContext, effect: AdapterLeft) -> None:
     """Log and count how long a detached adapter was attached."""
     used = "yes" if effect.used else "no"
@@ -198,25 +198,25 @@
     )
 
 
-@relay_performs(AskAllotment)
+@handles_relay_effect(AskAllotment)
 def ask_allotment(context: RelayContext, effect: AskAllotment) -> None:
     """Ask the owner of an organisation's allotment whether a request may run."""
     context.ask_allotment(effect)
 
 
-@relay_performs(ReturnAllotment)
+@handles_relay_effect(ReturnAllotment)
 def return_allotment(context: RelayContext, effect: ReturnAllotment) -> None:
     """Return the units of a request that did not run to the owner of the allotment."""
     context.return_units(effect)
 
 
-@relay_performs(AskSlot)
+@handles_relay_effect(AskSlot)
 def ask_slot(context: RelayContext, effect: AskSlot) -> None:
     """Ask the owner of a slot queue for a slot."""
     context.ask_slot(effect)
 
 
-@relay_performs(FreeSlot)
+@handles_relay_effect(FreeSlot)
 def free_slot(context: RelayContext, effect: FreeSlot) -> None:
     """Return a slot to its owner after a request's run."""
     context.free_slot(effect)
--- a/packages/rookspring/src/rookspring/relay_proofs.py
+++ b/packages/rookspring/src/rookspring/relay_proofs.py
@@ -9,6 +9,16 @@
 import asyncio
 import contextlib
 import typing as t
+
+from returns.result import Failure
+from returns.result import Success
+
+from rookspring_core import defaults as core_defaults
+from rookspring_core import freshness
+from rookspring_core.events import NearLimitReceived
+from rookspring_core.events import TableProved
+from rookspring_core.hashing import stable_hash
+
 from . import clock
 from . import defaults
 from .back_off import BackOff
@@ -22,16 +32,6 @@
 from .relay_peers import RelayPeers
 from .relay_peers import receives
 from .store_reachability import StoreReachability
-from returns.result import Failure
-from returns.result import Success
-from rookspring_core import defaults as core_defaults
-from rookspring_core import freshness
-from rookspring_core.events import NearLimitReceived
-from rookspring_core.events import TableProved
-from rookspring_core.hashing import stable_hash
-
-
-
 
 if t.TYPE_CHECKING:
     from rookspring_core.state import NodeState
@@ -156,7 +156,7 @@
 
 
 @receives(AskProof)
-def handle_proof_request(peers: RelayPeers, link: Link, asked: AskProof) -> None:
+def handle_proof_request(peers: RelayPeers, link: Link, request: AskProof) -> None:
     """Send a node the age of this node's proof; nothing if it has none or needs none."""
     state = peers.context.state
     now = clock.now()
@@ -165,7 +165,7 @@
     collects = state.topology.mesh or state.topology.relay
     near_limit = sorted(state.allotments.near_limit()) if collects else None
     age_s = state.freshness.age_s(now)
-    link.send(Proof(asked.stamp, age_s, state.revision, near_limit))
+    link.send(Proof(request.stamp, age_s, state.revision, near_limit))
 
 
 @receives(Proof)
--- a/packages/rookspring/src/rookspring/relay_slots.py
+++ b/packages/rookspring/src/rookspring/relay_slots.py
@@ -2,6 +2,14 @@
 
 import asyncio
 import typing as t
+
+from rookspring_core import slot_requests
+from rookspring_core.effects import AskSlot
+from rookspring_core.effects import FreeSlot
+from rookspring_core.events import SlotAnswered
+from rookspring_core.slot_queues import SlotAnswer
+from rookspring_core.slot_queues import SlotRequest
+
 from . import clock
 from . import defaults
 from . import relay_owners
@@ -13,14 +21,6 @@
 from .relay_owners import handles_as_owner
 from .relay_owners import handles_reply
 from .relay_peers import RelayPeers
-from rookspring_core import slot_requests
-from rookspring_core.effects import AskSlot
-from rookspring_core.effects import FreeSlot
-from rookspring_core.events import SlotAnswered
-from rookspring_core.slot_queues import SlotAnswer
-from rookspring_core.slot_queues import SlotRequest
-
-
 
 
 def ask_slot(peers: RelayPeers, effect: AskSlot) -> None:
--- a/packages/rookspring/src/rookspring/relay_suspects.py
+++ b/packages/rookspring/src/rookspring/relay_suspects.py
@@ -20,7 +20,7 @@
 from .messages import EvidenceMessage
 from .peers import Link
 from .relay_context import RelayContext
-from .relay_context import relay_performs
+from .relay_context import handles_relay_effect
 from .relay_merged import merged_set
 from .relay_peers import RelayPeers
 from .relay_peers import receives
@@ -50,14 +50,14 @@
     peers.context.submit(EvidenceReceived(now, decode_evidence(message, now), link.name))
 
 
-@relay_performs(ShareEvidence)
-def perform_share_evidence(context: RelayContext, effect: ShareEvidence) -> None:
+@handles_relay_effect(ShareEvidence)
+def handle_share_evidence(context: RelayContext, effect: ShareEvidence) -> None:
     """Send the other nodes new evidence."""
     context.share_evidence(effect.evidence, effect.source)
 
 
-@relay_performs(VerdictFound)
-def perform_verdict(context: RelayContext, effect: VerdictFound) -> None:
+@handles_relay_effect(VerdictFound)
+def handle_verdict_found(context: RelayContext, effect: VerdictFound) -> None:
     """Log and count a verdict."""
     report_verdict(context.metrics, effect)
 
--- a/packages/rookspring/src/rookspring/relay_updates.py
+++ b/packages/rookspring/src/rookspring/relay_updates.py
@@ -1,12 +1,20 @@
 """Updates that relay nodes send at once: endpoints' states, unread prompts, load requests."""
 
+from rookspring_core.effects import RequestLoad
+from rookspring_core.events import DownReceived
+from rookspring_core.events import EndpointReported
+from rookspring_core.events import LoadingReceived
+from rookspring_core.events import LoadRequested
+from rookspring_core.events import PromptsReceived
+from rookspring_core.state import NodeState
+
 from . import clock
 from . import defaults
 from .messages import EndpointDown
+from .messages import LoadRequestMessage
 from .messages import ModelLoading
 from .messages import Prompts
 from .messages import Reports
-from .messages import WantModel
 from .messages import encode
 from .peers import Link
 from .relay_heartbeats import group_prompts
@@ -16,14 +24,6 @@
 from .relay_peers import receives
 from .reports import decode_report
 from .reports import encode_report
-from rookspring_core.effects import RequestLoad
-from rookspring_core.events import DownReceived
-from rookspring_core.events import EndpointReported
-from rookspring_core.events import LoadRequested
-from rookspring_core.events import LoadingReceived
-from rookspring_core.events import PromptsReceived
-from rookspring_core.state import NodeState
-
 
 
 class PromptUpdates:
@@ -93,12 +93,14 @@
     peers.broadcast(EndpointDown(endpoint))
 
 
-def send_want(peers: RelayPeers, want: RequestLoad) -> None:
+def send_load_request(peers: RelayPeers, request: RequestLoad) -> None:
     """Send a load request to the lease holder, by way of the followed node if not linked to it.
 
     It reaches the holder over two links at most.
     """
-    item = WantModel(want.service, want.model, want.adapter, want.latest_retry_s)
+    item = LoadRequestMessage(
+        request.service, request.model, request.adapter, request.latest_retry_s
+    )
     holder = peers.find_holder()
     link = peers.server.links.get(holder)
     if link is None:
@@ -143,18 +145,21 @@
     peers.broadcast(down, link.name)
 
 
-@receives(WantModel)
-def handle_want(peers: RelayPeers, link: Link, want: WantModel) -> None:
+@receives(LoadRequestMessage)
+def handle_load_request(peers: RelayPeers, link: Link, message: LoadRequestMessage) -> None:
     """Process another node's load request as the lease holder, or forward one of a leaf to it."""
     now = clock.now()
     state = peers.context.state
     if state.control.holding(now):
-        latest_retry_s = float(want.latest_retry_s)
-        event = LoadRequested(now, want.service, want.model, want.adapter, latest_retry_s)
+        latest_retry_s = float(message.latest_retry_s)
+        event = LoadRequested(now, message.service, message.model, message.adapter, latest_retry_s)
         peers.context.submit(event)
     elif _forwards_from(state, link.name):
-        send_want(
-            peers, RequestLoad(want.service, want.model, want.adapter, float(want.latest_retry_s))
+        send_load_request(
+            peers,
+            RequestLoad(
+                message.service, message.model, message.adapter, float(message.latest_retry_s)
+            ),
         )
 
 
--- a/packages/rookspring/src/rookspring/store_eras.py
+++ b/packages/rookspring/src/rookspring/store_eras.py
@@ -7,19 +7,19 @@
 
 import asyncio
 import typing as t
+
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+
+from rookspring_core.events import StoreEraBegan
+
 from . import clock
 from .exceptions import PlatformError
 from .exceptions import PlatformTooOld
 from .logs import log
 from .platform import PlatformClient
 from .store_reachability import StoreReachability
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-from rookspring_core.events import StoreEraBegan
-
-
-
 
 if t.TYPE_CHECKING:
     from .relay_context import RelayContext
--- a/packages/rookspring/src/rookspring/telemetry.py
+++ b/packages/rookspring/src/rookspring/telemetry.py
@@ -1,9 +1,10 @@
 """Trace spans for each hop, exported to a file or by OTLP, depending on the settings."""
 
-import orjson
 import pathlib
 import threading
 import typing as t
+
+import orjson
 from opentelemetry import context as otel_context
 from opentelemetry import trace
 from opentelemetry.exporter.otlp.proto.http.trace_exporter import OTLPSpanExporter
@@ -11,13 +12,12 @@
 from opentelemetry.sdk.trace import ReadableSpan
 from opentelemetry.sdk.trace import TracerProvider
 from opentelemetry.sdk.trace.export import BatchSpanProcessor
-from opentelemetry.sdk.trace.export import SpanExportResult
 from opentelemetry.sdk.trace.export import SpanExporter
+from opentelemetry.sdk.trace.export import SpanExportResult
 from opentelemetry.sdk.trace.sampling import ParentBased
 from opentelemetry.sdk.trace.sampling import TraceIdRatioBased
 from opentelemetry.trace.propagation.tracecontext import TraceContextTextMapPropagator
 
-
 _PROPAGATOR = TraceContextTextMapPropagator()
 
 
