--- a/bench/notice_mutants.py
+++ b/bench/notice_mutants.py
@@ -63,7 +63,7 @@
 
 
 def _no_spread(state: t.Any, request: t.Any) -> float:
-    return routed.cooldown_left_s(state, request.arrived)
+    return routed.backoff_left_s(state, request.arrived)
 
 
 MUTANTS = (
@@ -72,11 +72,11 @@
     Mutant("greets with no leavings", "DRAIN", relay_merged, "send_merged_sets", _nothing, NOTICES),
     Mutant("compares no leavings", "DRAIN", relay_merged, "resend_if_different", _nothing, NOTICES),
     Mutant("grants no rest", "BUDGET", EndpointView, "in_backoff", _never, NOTICES),
-    Mutant("resting is better than none", "BUDGET", routed, "_is_cooling_down", _never, NOTICES),
+    Mutant("resting is better than none", "BUDGET", routed, "_is_backing_off", _never, NOTICES),
     Mutant(
         "sends what was decided", "DRAIN", notice_handlers, "find_withheld", _not_withheld, NOTICES
     ),
-    Mutant("waits for a rest in vain", "callers", routed, "cooldown_left_s", _no_cooldown, NOTICES),
+    Mutant("waits for a rest in vain", "callers", routed, "backoff_left_s", _no_cooldown, NOTICES),
     Mutant("tells nobody who sheds", "callers", relay_notices, "share_shed", _nothing, NOTICES),
     Mutant("a life never ends", "reach", NoticeTable, "note_restart", _nothing, NOTICES),
     Mutant("any life is the same", "reach", notices, "may_be_same_process", _always, NOTICES),
@@ -115,7 +115,7 @@
         "all back at one moment",
         "callers",
         retry_after,
-        "cooldown_retry_after_s",
+        "backoff_retry_after_s",
         _no_spread,
         NOTICES,
     ),
--- a/bench/suspect_mutants.py
+++ b/bench/suspect_mutants.py
@@ -35,7 +35,7 @@
     process = suspect_handlers.EndpointProcess(request.endpoint, request.endpoint_started_ms)
     crash = suspect_handlers._record_crash(state, request, process)
     effects = suspect_handlers._merge_and_share(
-        state, Evidence(tuple(state.suspects.note_broken(crash)))
+        state, Evidence(tuple(state.suspects.note_broken_request(crash)))
     )
     return effects + (suspect_handlers._note_process_end(state, process) if event.down else [])
 
@@ -47,18 +47,32 @@
 
 
 MUTANTS = (
-    Mutant("sees nothing broken", "ends", SuspectTable, "note_broken", _no_effects, CRASHES),
-    Mutant("learns of no later end", "ends", suspect_handlers, "note_ended", _no_effects, CRASHES),
+    Mutant(
+        "sees nothing broken", "ends", SuspectTable, "note_broken_request", _no_effects, CRASHES
+    ),
+    Mutant(
+        "learns of no later end",
+        "ends",
+        suspect_handlers,
+        "note_endpoint_end",
+        _no_effects,
+        CRASHES,
+    ),
     Mutant(
         "charges planned ends",
         "innocents",
         suspect_handlers,
-        "note_broken",
+        "note_failed_attempt",
         _record_planned_end,
         CRASHES,
     ),
     Mutant(
-        "joins what is far apart", "innocents", SuspectTable, "note_ended", _match_any_end, CRASHES
+        "joins what is far apart",
+        "innocents",
+        SuspectTable,
+        "note_process_end",
+        _match_any_end,
+        CRASHES,
     ),
     Mutant("clears nobody", "innocents", suspect_handlers, "clear_suspect", _no_effects, CRASHES),
     Mutant("tells nobody of ends", "ends", relay_suspects, "share_evidence", _nothing, CRASHES),
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -260,7 +260,7 @@
 
 
 def leaving_of(table):
-    return {(one.endpoint, one.born) for one in table.list_leaving(10.0)}
+    return {(one.endpoint, one.started_ms) for one in table.list_leaving(10.0)}
 
 
 @then(
--- a/features/steps/rate_limit_node_steps.py
+++ b/features/steps/rate_limit_node_steps.py
@@ -454,7 +454,7 @@
     context.holder = holder = HolderHarness(["m", "n"])
     holder.orders.clear()
     for _ in range(200):
-        holder.state.paces.note_work(3_000.0)
+        holder.state.latencies.note_work(3_000.0)
     holder.submit(NoticeReceived(holder.now, "e1", 0, naming(0.5), "e1", asked_at=holder.now))
 
 
--- a/features/steps/relay_order_steps.py
+++ b/features/steps/relay_order_steps.py
@@ -108,7 +108,7 @@
     holder.answer = {"never": "lost always"}.get(answer, answer)
     want(holder, "a1")
     holder.answer = "taken"
-    holder.state.residency.wants.clear()
+    holder.state.residency.load_requests.clear()
     holder.pass_time(0.5)
     if then.startswith("the list tells less"):
         holder.submit(holder.report("e1", ["m"], ["m/a2"], (0, -1)))
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -322,7 +322,7 @@
     # No caller asks for n from here on; the load takes 8 s.
     rooms = holder.state.residency.accounts
     for _ in range(150):
-        wants = holder.state.residency.wants
+        wants = holder.state.residency.load_requests
         for key, want in wants.items():
             back_at = holder.now + back
             wants[key] = want._replace(asked_at=holder.now, callers_back_by=back_at)
--- a/features/steps/size_steps.py
+++ b/features/steps/size_steps.py
@@ -162,8 +162,8 @@
         peer = other.state.membership.peers.get(node.name)
         seen = "is gone"
         if peer is not None:
-            seen = "is leaving" if peer.heard.leaving else "is there"
-            if peer.heard.incarnation != incarnation:
+            seen = "is leaving" if peer.heartbeat.leaving else "is there"
+            if peer.heartbeat.incarnation != incarnation:
                 seen = "is new"
         if seen != state:
             wrong.append((other.name, seen))
@@ -344,4 +344,4 @@
 @then("the holder has it within {seconds:g} s")
 def holder_has(context, seconds):
     context.fleet.run(seconds)
-    assert ("llm", "x", "x/a1") in context.holder.state.residency.wants
+    assert ("llm", "x", "x/a1") in context.holder.state.residency.load_requests
--- a/features/steps/swapping_steps.py
+++ b/features/steps/swapping_steps.py
@@ -230,10 +230,10 @@
 @when("m reads ten times as fast as n, and 3000 tokens of each are requested")
 def both_requested(context):
     holder = context.holder
-    holder.state.paces.note_first_event("m", 10, 0.04)
+    holder.state.latencies.note_first_event("m", 10, 0.04)
     for _ in range(3):
-        holder.state.paces.note_first_event("m", 1000, 0.045)
-        holder.state.paces.note_first_event("n", 1000, 0.09)
+        holder.state.latencies.note_first_event("m", 1000, 0.045)
+        holder.state.latencies.note_first_event("n", 1000, 0.09)
     for model in ("m", "n"):
         holder.ask(model=model, key=f"r-{model}", tokens=3000, prompt_tokens=3000)
     holder.pass_time(0.1)
--- a/packages/rookspring-core/src/rookspring_core/_control_events.py
+++ b/packages/rookspring-core/src/rookspring_core/_control_events.py
@@ -15,7 +15,7 @@
 
 
 class StoreEraBegan(t.NamedTuple):
-    """The platform's store was restored from an older copy, or its era is known for the first time.
+    """The platform's store was restored from a backup, or its era is known for the first time.
 
     :param era: how often the store has been restored.
     """
--- a/packages/rookspring-core/src/rookspring_core/accounts.py
+++ b/packages/rookspring-core/src/rookspring_core/accounts.py
@@ -18,7 +18,7 @@
     :param length_s: expected duration, in seconds.
     :param sends: how often it was sent, always with the same count.
     :param callers_back_by: when the last of the callers that it serves will have retried.
-    :param wanted_at: when the want that it serves began.
+    :param requested_at: when the load request that it serves began.
     """
 
     action: str
@@ -31,7 +31,7 @@
     length_s: float = 0.0
     sends: int = 1
     callers_back_by: float = -1e9
-    wanted_at: float = math.inf
+    requested_at: float = math.inf
 
     def ends_at(self) -> float:
         """Return the time at which the order is expected to end."""
@@ -39,11 +39,11 @@
 
 
 # Service, model and adapter that requests wait for; the adapter is empty if it is the model.
-WantKey = tuple[str, str, str]
+LoadRequestKey = tuple[str, str, str]
 
 
-class OpenWant(t.NamedTuple):
-    """Requests' need for a model or adapter that no endpoint holds.
+class PendingLoadRequest(t.NamedTuple):
+    """An unserved load request, for a model or adapter that no endpoint holds.
 
     :param first_at: time of the first request for it, and ``asked_at`` of the last.
     :param times: number of requests for it.
@@ -59,7 +59,7 @@
     given_up: bool = False
     callers_back_by: float = -1e9
 
-    def ask_again(self, now: float, back_s: float) -> "OpenWant":
+    def record_request(self, now: float, back_s: float) -> "PendingLoadRequest":
         """Count another request."""
         callers_back_by = max(self.callers_back_by, now + back_s)
         return self._replace(
@@ -67,7 +67,7 @@
         )
 
     def is_active(self, now: float) -> bool:
-        """Tell whether a caller waits for it or is expected to retry."""
+        """Return whether a caller waits for it or is expected to retry."""
         return now <= max(self.asked_at + defaults.LOAD_REQUEST_TTL_S, self.callers_back_by)
 
 
@@ -78,13 +78,13 @@
     :param protected_until: when use by the callers for whom it was attached will have been
         reported.
     :param used: a request has used it.
-    :param wanted_at: when the want for which it was attached began.
+    :param requested_at: when the load request for which it was attached began.
     """
 
     since: float
     protected_until: float
     used: bool = False
-    wanted_at: float = math.inf
+    requested_at: float = math.inf
 
 
 class EndpointAccount:
@@ -145,7 +145,7 @@
                 self.withdrawn[adapter] = now
 
     def protects(self, adapter: str, now: float) -> bool:
-        """Tell whether an adapter is protected for the callers for whom it was attached."""
+        """Return whether an adapter is protected for the callers for whom it was attached."""
         attachment = self.attachments.get(adapter)
         return attachment is not None and now < attachment.protected_until
 
@@ -160,12 +160,12 @@
 
 
 class Residency:
-    """The lease holder's state beyond endpoints' reports: accounts, wants and planning."""
+    """The lease holder's state beyond endpoints' reports: accounts, load requests and planning."""
 
     def __init__(self) -> None:
         self.epoch = 0
         self.accounts: dict[str, EndpointAccount] = {}
-        self.wants: dict[WantKey, OpenWant] = {}
+        self.load_requests: dict[LoadRequestKey, PendingLoadRequest] = {}
         self.planned_at = -1e9
         self.used_noted_at = -1e9
         # Tokens requested of each model while it is resident nowhere.
@@ -184,7 +184,7 @@
 
 
 def still_held(order: Order, report: EndpointReported) -> bool:
-    """Tell whether a report still shows what an order was to unload."""
+    """Return whether a report still shows what an order was to unload."""
     if order.action != "unload":
         return False
     if order.adapter:
@@ -241,7 +241,7 @@
 
 
 def loads_from_store(size: ModelSize, report: EndpointReported) -> bool:
-    """Tell whether an endpoint would load a model from the weight store."""
+    """Return whether an endpoint would load a model from the weight store."""
     return size.name not in report.in_memory and size.name not in report.on_disk
 
 
--- a/packages/rookspring-core/src/rookspring_core/admitting.py
+++ b/packages/rookspring-core/src/rookspring_core/admitting.py
@@ -4,10 +4,10 @@
 from . import allotment_checks
 from . import arrival_checks
 from . import defaults
+from . import load_requests
 from . import requests
 from . import routed
 from . import suspect_handlers
-from . import wants
 from .effects import Effect
 from .effects import ReturnAllotment
 from .events import AllotmentAnswered
@@ -44,14 +44,14 @@
 def _admit(state: NodeState, event: RequestArrived, charge: Charge | None = None) -> Effects:
     """Queue a request, and count its work as demand for its model and adapter."""
     if not event.service:
-        work = event.tokens * state.paces.relative_cost(event.target)
-        state.paces.note_work(work)
+        work = event.tokens * state.latencies.relative_cost(event.target)
+        state.latencies.note_work(work)
         state.control.meter.add(event.target, work)
         if event.route:
             routed.meter_demand(state, event, work)
     effects = arrival_checks.check_limits(state, event) or _enqueue(state, event, charge)
     effects += requests.dispatch_waiting(state)
-    return effects + wants.send_want(state, event)
+    return effects + load_requests.emit_load_request(state, event)
 
 
 @handles(AllotmentAnswered)
--- a/packages/rookspring-core/src/rookspring_core/allotment_checks.py
+++ b/packages/rookspring-core/src/rookspring_core/allotment_checks.py
@@ -126,7 +126,7 @@
 
 
 def used_shares(state: NodeState, now: float) -> dict[str, float]:
-    """Return the used shares of limits that are at least ``RECALLED_SHARE_MIN``."""
+    """Return the used shares of limits that are at least ``RESTORED_SHARE_MIN``."""
     shares = state.allotments.find_used_shares(all_allotments(state), now)
     return {
         name: round(share, 2)
--- a/packages/rookspring-core/src/rookspring_core/allotments.py
+++ b/packages/rookspring-core/src/rookspring_core/allotments.py
@@ -200,8 +200,8 @@
     def find_used_shares(self, terms: t.Mapping[str, Allotment], now: float) -> dict[str, float]:
         """Return the share of its limit that each organisation is known to have used.
 
-        ``UNSEEN_MARGIN`` is not included: the shares are written with the lease, so the margin
-        would later be read as known usage, and add up from one restart to the next.
+        ``RESTORED_USE_MARGIN`` is not included: the shares are written with the lease, so the
+        margin would later be read as known usage, and add up from one restart to the next.
         """
         sums = self.usage(now)
         incomplete = now < self._incomplete_until
@@ -262,7 +262,7 @@
         """Decide on a request of an organisation that this node owns.
 
         :param since: since when this node has owned it.
-        :param visible_share: share of the nodes that this one can hear, from 0 to 1; it grants
+        :param visible_share: share of the nodes that this one sees, from 0 to 1; it grants
             this share of the limit.
         """
         granted = self._window(self._granted, name)
--- a/packages/rookspring-core/src/rookspring_core/attaching.py
+++ b/packages/rookspring-core/src/rookspring_core/attaching.py
@@ -1,16 +1,16 @@
 """Attaching of adapters on demand, for requests that wait for them.
 
-A want is a request's need for a model or adapter that no endpoint holds, as sent to the
-lease holder. An endpoint has few adapter slots and carries out one order at a time, so both
+A node sends the lease holder a load request when a request needs a model or adapter that no
+endpoint holds. An endpoint has few adapter slots and carries out one order at a time, so both
 are given out as follows:
 
-- Wants are served in the order in which they began, so that none starves.
-- An adapter that was attached for a want is protected until its callers can have retried
+- Load requests are served in the order in which they began, so that none starves.
+- An adapter that was attached for a load request is protected until its callers can have retried
   and their use was reported; otherwise most are evicted before any request uses them.
 - Nothing is unloaded while it may be in use: an unload waits for running requests, for many
   seconds, and blocks all other orders there. So an adapter is withdrawn from new requests
   first. Once all nodes know of that and none uses it, it is on standby: it can be unloaded
-  at once for the next want, and be reinstated without an order if it is wanted itself.
+  at once for the next load request, and be reinstated without an order if it is requested itself.
 
 A model that is in use is withdrawn and unloaded likewise, with its adapters.
 """
@@ -18,8 +18,8 @@
 from . import defaults
 from .accounts import Attachment
 from .accounts import EndpointAccount
-from .accounts import OpenWant
-from .accounts import WantKey
+from .accounts import LoadRequestKey
+from .accounts import PendingLoadRequest
 from .accounts import report_without
 from .accounts import split_name
 from .accounts import unanswered_mb
@@ -42,66 +42,66 @@
 Effects = list[Effect]
 
 
-def serve_wants(state: NodeState) -> Effects:
+def serve_load_requests(state: NodeState) -> Effects:
     """Order the adapters that requests wait for; models are left to the planner."""
     if not handover_gap_passed(state):
         return []
-    effects = _update_wants(state)
-    wants = state.residency.wants
+    effects = _update_load_requests(state)
+    load_requests = state.residency.load_requests
     under_way = _list_under_way(state)
-    waiting = [key for key, want in wants.items() if key[2] and not want.given_up]
-    for key in sorted(waiting, key=lambda one: (wants[one].first_at, one)):
+    waiting = [key for key, pending in load_requests.items() if key[2] and not pending.given_up]
+    for key in sorted(waiting, key=lambda one: (load_requests[one].first_at, one)):
         if key[2] not in under_way:
             effects += _serve(state, key)
     return effects + _keep_standby(state)
 
 
-def _update_wants(state: NodeState) -> Effects:
-    """End the wants that are served, and give up those that no caller waits for now.
+def _update_load_requests(state: NodeState) -> Effects:
+    """End the load requests that are served, and give up those that no caller waits for now.
 
-    A want that was given up is remembered for a while, so that it keeps its place in the
+    One that was given up is remembered for a while, so that it keeps its place in the
     queue if it is requested again: callers come and go while it waits.
     """
     effects: Effects = []
-    for key, want in list(state.residency.wants.items()):
+    for key, pending in list(state.residency.load_requests.items()):
         adapter = key[2]
-        quiet_s = state.now - want.asked_at
-        active = want.is_active(state.now)
+        quiet_s = state.now - pending.asked_at
+        active = pending.is_active(state.now)
         if adapter and any(one.has_adapter(adapter) for one in _open_hosts(state, key)):
-            effects += _end_want(state, key, "attached")
+            effects += _end_load_request(state, key, "attached")
         elif quiet_s > defaults.LOAD_REQUEST_KEPT_S or (not adapter and not active):
-            del state.residency.wants[key]
-        elif not active and not want.given_up:
-            effects += _end_want(state, key, "given up")
-            state.residency.wants[key] = want._replace(given_up=True)
+            del state.residency.load_requests[key]
+        elif not active and not pending.given_up:
+            effects += _end_load_request(state, key, "given up")
+            state.residency.load_requests[key] = pending._replace(given_up=True)
     return effects
 
 
-def _hosts(state: NodeState, key: WantKey) -> list[EndpointView]:
+def _hosts(state: NodeState, key: LoadRequestKey) -> list[EndpointView]:
     service, model, _ = key
     return [one for one in state.hosts.get(model, {}).values() if one.service == service]
 
 
-def _open_hosts(state: NodeState, key: WantKey) -> list[EndpointView]:
+def _open_hosts(state: NodeState, key: LoadRequestKey) -> list[EndpointView]:
     return [one for one in _hosts(state, key) if one.accepts_work(state.now)]
 
 
-def _end_want(state: NodeState, key: WantKey, outcome: str) -> Effects:
-    want = state.residency.wants.pop(key)
-    return [LoadRequestEnded(key[2], outcome, state.now - want.first_at, want.times)]
+def _end_load_request(state: NodeState, key: LoadRequestKey, outcome: str) -> Effects:
+    pending = state.residency.load_requests.pop(key)
+    return [LoadRequestEnded(key[2], outcome, state.now - pending.first_at, pending.times)]
 
 
-def _serve(state: NodeState, key: WantKey) -> Effects:
-    """Give the order for one want, or log the reason why none is given, once."""
+def _serve(state: NodeState, key: LoadRequestKey) -> Effects:
+    """Give the order for one load request, or log the reason why none is given, once."""
     _, model, adapter = key
     hosts = _open_hosts(state, key)
     ready = [one for one in hosts if accepts_orders(state, one)]
-    want = state.residency.wants[key]
-    effects = _reinstate(state, hosts, adapter, want) or _attach(state, ready, key, want)
+    pending = state.residency.load_requests[key]
+    effects = _reinstate(state, hosts, adapter, pending) or _attach(state, ready, key, pending)
     why = "" if effects else _decline_reason(state, hosts, ready)
-    if why == want.declined:
+    if why == pending.declined:
         return effects
-    state.residency.wants[key] = want._replace(declined=why)
+    state.residency.load_requests[key] = pending._replace(declined=why)
     return [*effects, LoadRequestDeclined(adapter, why)] if why else effects
 
 
@@ -140,7 +140,9 @@
                 account.attachments[adapter] = attachment._replace(used=True)
 
 
-def _attach(state: NodeState, hosts: list[EndpointView], key: WantKey, want: OpenWant) -> Effects:
+def _attach(
+    state: NodeState, hosts: list[EndpointView], key: LoadRequestKey, pending: PendingLoadRequest
+) -> Effects:
     """Load an adapter where the fewest are attached, or free a slot there if all are taken."""
     if not hosts:
         return []
@@ -158,7 +160,7 @@
         order = give_order(state, view, "load", model, adapter)
         assert account.order is not None
         account.order = account.order._replace(
-            callers_back_by=want.callers_back_by, wanted_at=want.first_at
+            callers_back_by=pending.callers_back_by, requested_at=pending.first_at
         )
         return [order]
     return _free_slot(state, view, account)
@@ -173,7 +175,7 @@
 
 
 def _free_slot(state: NodeState, view: EndpointView, account: EndpointAccount) -> Effects:
-    """Unload an adapter on standby, or withdraw one more: at most as many as wants wait.
+    """Unload an adapter on standby, or withdraw one more: at most as many as load requests wait.
 
     Withdrawn adapters that are still in use don't count against that limit for idle ones;
     otherwise a few of them would block all adapter slots of an endpoint.
@@ -184,7 +186,11 @@
         if state.now - account.withdrawn[adapter] >= defaults.WITHDRAWN_PROPAGATION_S:
             left = _end_attachment(state, view, account, adapter)
             return [*left, give_order(state, view, "unload", *split_name(adapter))]
-    waiting = sum(1 for key, want in state.residency.wants.items() if key[2] and not want.given_up)
+    waiting = sum(
+        1
+        for key, pending in state.residency.load_requests.items()
+        if key[2] and not pending.given_up
+    )
     ranked = _list_least_missed(state, view, account, in_use)
     if not ranked or len(idle) >= waiting:
         return []
@@ -215,16 +221,16 @@
 
 
 def _keep_standby(state: NodeState) -> Effects:
-    """Put idle adapters on standby where all slots are taken and other adapters are wanted.
+    """Put idle adapters on standby where all slots are taken and other adapters are requested.
 
-    A want is then served by two orders of about 30 ms each. Otherwise it would first wait
+    A load request is then served by two orders of about 30 ms each. Otherwise it would first wait
     until all nodes know of a withdrawal, which takes longer than its requests wait.
     """
     effects: Effects = []
     contended = {
         view.name: view
-        for key, want in state.residency.wants.items()
-        if key[2] and state.now - want.asked_at <= defaults.ADAPTER_PRESSURE_S
+        for key, pending in state.residency.load_requests.items()
+        if key[2] and state.now - pending.asked_at <= defaults.ADAPTER_PRESSURE_S
         for view in _open_hosts(state, key)
     }
     in_use = list_used(state) if contended else set()
@@ -250,23 +256,25 @@
 ) -> Effects:
     """End the attachment of an adapter that is to be unloaded, and report whether it was used.
 
-    If no request used it, the callers that waited for it are still unserved. Its want then
-    keeps the time at which it began, so that it is not last in the queue when they retry.
+    If no request used it, the callers that waited for it are still unserved. Its load request
+    then keeps the time at which it began, so that it is not last in the queue when they retry.
     """
     attachment = account.attachments.pop(adapter, None)
     if attachment is None:
         return []
-    if not attachment.used and attachment.wanted_at < state.now:
+    if not attachment.used and attachment.requested_at < state.now:
         key = (view.service, split_name(adapter)[0], adapter)
-        want = state.residency.wants.get(key)
-        want = want or OpenWant(attachment.wanted_at, state.now, times=0, given_up=True)
-        first_at = min(want.first_at, attachment.wanted_at)
-        state.residency.wants[key] = want._replace(first_at=first_at)
+        pending = state.residency.load_requests.get(key)
+        pending = pending or PendingLoadRequest(
+            attachment.requested_at, state.now, times=0, given_up=True
+        )
+        first_at = min(pending.first_at, attachment.requested_at)
+        state.residency.load_requests[key] = pending._replace(first_at=first_at)
     return [AdapterLeft(view.name, adapter, state.now - attachment.since, attachment.used)]
 
 
 def _reinstate(
-    state: NodeState, hosts: list[EndpointView], adapter: str, want: OpenWant
+    state: NodeState, hosts: list[EndpointView], adapter: str, pending: PendingLoadRequest
 ) -> Effects:
     """Reinstate an adapter that was withdrawn but is not unloaded yet.
 
@@ -283,9 +291,9 @@
         if account.order is not None and account.order.adapter == adapter:
             continue
         del account.withdrawn[adapter]
-        protected_until = max(state.now, want.callers_back_by) + defaults.KEEP_AFTER_RETRY_S
+        protected_until = max(state.now, pending.callers_back_by) + defaults.KEEP_AFTER_RETRY_S
         attachment = account.attachments.get(
-            adapter, Attachment(state.now, protected_until, wanted_at=want.first_at)
+            adapter, Attachment(state.now, protected_until, requested_at=pending.first_at)
         )
         account.attachments[adapter] = attachment._replace(protected_until=protected_until)
         report = view.report._replace(adapters=(*view.report.adapters, adapter))
--- a/packages/rookspring-core/src/rookspring_core/cluster.py
+++ b/packages/rookspring-core/src/rookspring_core/cluster.py
@@ -97,7 +97,7 @@
         return []
     ended: Effects = []
     if view.report is not None and view.report.incarnation != event.incarnation:
-        ended = suspect_handlers.note_ended(state, view)
+        ended = suspect_handlers.note_endpoint_end(state, view)
         view.leaving = False
         view.backoff_until = -1e9
         state.notices.note_restart(view.name, event.started_ms, event.start_confirmed)
@@ -111,7 +111,7 @@
             if not event.start_confirmed:
                 return effects
         if restarts.compare_starts(view.report, event) == "new":
-            ended += suspect_handlers.note_ended(state, view)
+            ended += suspect_handlers.note_endpoint_end(state, view)
             restarts.reset_endpoint(state, view, event)
             state.index(view, before, frozenset())
             before = frozenset()
@@ -194,7 +194,7 @@
     for name in set(state.endpoints) - seen:
         view = state.endpoints[name]
         if not view.gone:
-            effects += suspect_handlers.note_ended(state, view)
+            effects += suspect_handlers.note_endpoint_end(state, view)
         view.gone = True
         if not view.inflight:
             state.index(view, view.targets(), frozenset())
@@ -365,10 +365,10 @@
     if not state.leaving and state.revision > 0:
         rows.append(AddressRow(identity.caller_address, 1.0, identity.data_centre))
     for peer in state.membership.peers.values():
-        heard = peer.heard
+        heartbeat = peer.heartbeat
         # A node without a revision cannot serve yet, so no caller is sent there.
-        if not heard.leaving and heard.revision > 0:
-            rows.append(AddressRow(heard.caller_address, 1.0, heard.data_centre))
+        if not heartbeat.leaving and heartbeat.revision > 0:
+            rows.append(AddressRow(heartbeat.caller_address, 1.0, heartbeat.data_centre))
     return sorted(rows)
 
 
--- a/packages/rookspring-core/src/rookspring_core/control_jobs.py
+++ b/packages/rookspring-core/src/rookspring_core/control_jobs.py
@@ -198,8 +198,8 @@
 def holder_alive(state: NodeState) -> bool:
     """Return whether another node has reported lately that it holds the lease."""
     return any(
-        peer.heard.lease_epoch >= max(1, state.control.lease.epoch)
-        and state.now - peer.heard_at < defaults.HOLDER_QUIET_S
+        peer.heartbeat.lease_epoch >= max(1, state.control.lease.epoch)
+        and state.now - peer.received_at < defaults.HOLDER_QUIET_S
         for peer in state.membership.peers.values()
     )
 
@@ -219,7 +219,7 @@
 def awaits_release(state: NodeState) -> bool:
     """Return whether the holder has announced that it leaves and has not released the lease."""
     holder = state.membership.peers.get(state.control.lease.holder)
-    return holder is not None and holder.heard.leaving and may_take_lease(state)
+    return holder is not None and holder.heartbeat.leaving and may_take_lease(state)
 
 
 def write_lease_if_due(state: NodeState) -> Effects:
--- a/packages/rookspring-core/src/rookspring_core/defaults.py
+++ b/packages/rookspring-core/src/rookspring_core/defaults.py
@@ -313,7 +313,7 @@
 # Resolution of the comparison of nodes' ages: all boxes of a deployment start within a second, and
 # a rolling restart takes some seconds a box.
 AGE_STEP_S = 5.0
-# A node that has run for less than this has not heard from all others yet.
+# A node that has run for less than this has not received heartbeats from all others yet.
 SETTLED_S = 1.5
 
 # Up to this many relay nodes each link to all others and read the platform's store themselves,
@@ -352,7 +352,7 @@
 # this share of the time for which a revoked key may still be used; the rest is a margin. At a node
 # that reaches the store or a relay the proof is at most 1.5 s old, so it never comes near.
 PROOF_SHARE = 0.9
-# Time that the operator and the endpoints need to write again what a restored copy of the store
+# Time that the operator and the endpoints need to write again what a restored backup of the store
 # lacks.
 REWRITE_S = 2.0
 # From this share of its limit on, each request of an organisation is put to its owner. What nodes
@@ -477,7 +477,7 @@
 # takes at most 0.4 s.
 SLOT_SEND_S = 0.5
 # Nodes that have asked for a permit within ``PERMIT_REQUESTERS_S`` share the next ones. Each is
-# told to use other endpoints for a share of the time that all of them together need for their
+# to use other endpoints for a share of the time that all of them together need for their
 # permits, so that more nodes ask than there are permits. The share starts at
 # ``PERMIT_AVOID_SHARE``, its maximum, is multiplied by ``PERMIT_AVOID_FALL`` where permits are left
 # over and by ``PERMIT_AVOID_RISE`` with each request that finds none, and stays above
--- a/packages/rookspring-core/src/rookspring_core/effects.py
+++ b/packages/rookspring-core/src/rookspring_core/effects.py
@@ -248,7 +248,7 @@
 class ShareLeaving(t.NamedTuple):
     """Send the other nodes endpoints that are leaving.
 
-    :param source: the node that this was received from; empty where an endpoint told this node.
+    :param source: the node that this was received from; empty where it came from an endpoint.
     """
 
     rows: tuple[Leaving, ...]
@@ -258,7 +258,7 @@
 class ShareRates(t.NamedTuple):
     """Send the other nodes the request rates that endpoints accept.
 
-    :param source: the node that this was received from; empty where an endpoint told this node.
+    :param source: the node that this was received from; empty where it came from an endpoint.
     """
 
     rows: tuple[RateRecord, ...]
--- a/packages/rookspring-core/src/rookspring_core/endpoints.py
+++ b/packages/rookspring-core/src/rookspring_core/endpoints.py
@@ -89,7 +89,7 @@
     __slots__ = (
         "address",
         "restarted_at",
-        "born",
+        "started_ms",
         "attached_at",
         "expected_model",
         "data_centre",
@@ -117,7 +117,7 @@
         "role",
         "service",
         "shed_until",
-        "turn_at",
+        "next_permit_at",
     )
 
     def __init__(
@@ -128,15 +128,15 @@
         role: str = "runner",
         service: str = "",
         peers: PeerLoad | None = None,
-        born: int = 0,
+        started_ms: int = 0,
     ) -> None:
         self.name = name
         self.address = address
         self.data_centre = data_centre
         self.role = role
         self.service = service
-        # Its start time by the list, used until a report gives one.
-        self.born = born
+        # Start time of its process by the list, used until a report gives one.
+        self.started_ms = started_ms
         self.report: EndpointReported | None = None
         self.reported_at = -1e9
         # When this node learnt of each adapter that is newly attached there.
@@ -149,8 +149,8 @@
         self.shed_until = -1e9
         # The requests per second that it accepts from all nodes; None if it states no rate.
         self.rate: float | None = None
-        # Until when this node requests no turn there, if other endpoints have the same target.
-        self.turn_at = -1e9
+        # Until when this node requests no permit there, if other endpoints have the same target.
+        self.next_permit_at = -1e9
         # Whether its connection was refused when last tried.
         self.down = False
         # The model that is being loaded there, and when its load is expected to end.
@@ -186,7 +186,7 @@
         self.backoff_until = -1e9
         self.shed_until = -1e9
         self.rate = None
-        self.turn_at = -1e9
+        self.next_permit_at = -1e9
         self.down = False
         self.expected_model = ("", -1e9)
         self.unverified_start = 0
--- a/packages/rookspring-core/src/rookspring_core/invariants.py
+++ b/packages/rookspring-core/src/rookspring_core/invariants.py
@@ -188,7 +188,7 @@
 
 @invariant("said", on=Dispatch)
 def check_notices(state: "NodeState", event: t.Any, effects: list[Effect]) -> str:
-    """Nothing is sent to a process that told this node that it is leaving, or to back off."""
+    """Nothing is sent to a process that announced that it leaves, or that requested a back-off."""
     for effect in effects:
         if isinstance(effect, Dispatch) and (fault := _find_notice(state, effect.endpoint, 0.0)):
             return fault
@@ -220,8 +220,8 @@
     view = state.endpoints.get(endpoint)
     if view is None:
         return ""
-    born = view.report.started_ms if view.report is not None else view.born
-    return state.notice_witness.find_fault(endpoint, born, state.now, late_s)
+    started_ms = view.report.started_ms if view.report is not None else view.started_ms
+    return state.notice_witness.find_fault(endpoint, started_ms, state.now, late_s)
 
 
 @invariant("uncut", on=Stop)
--- a/packages/rookspring-core/src/rookspring_core/leases.py
+++ b/packages/rookspring-core/src/rookspring_core/leases.py
@@ -4,8 +4,8 @@
 expiry by its own monotonic clock, from the last change that it saw; clocks of two nodes are
 never compared. See ``docs/design/fencing.md``.
 
-The platform's store may be restored from an older copy, which begins an era. Each era has a
-lease object of its own, which no copy contains and no conditional write from an earlier era
+The platform's store may be restored from a backup, which begins an era. Each era has a
+lease object of its own, which no backup contains and no conditional write from an earlier era
 can match. The current holder creates it at once and continues; all other nodes first wait a
 whole lease term from when they learnt of the era. Epochs increase across eras too.
 
@@ -69,7 +69,7 @@
 
     def __init__(self, terms: LeaseTerms | None = None) -> None:
         self.terms = terms or LeaseTerms()
-        # How often the store was restored from a copy.
+        # How often the store was restored from a backup.
         self.era = 0
         self.version = -1
         self.holder = ""
@@ -92,15 +92,15 @@
         self._asked_version = -1
 
     def holding(self, now: float) -> bool:
-        """Tell whether this node may act as the holder; ends ``margin_s`` before expiry."""
+        """Return whether this node may act as the holder; ends ``margin_s`` before expiry."""
         return now < self.held_until
 
     def unanswered(self, now: float) -> bool:
-        """Tell whether a write has had no answer for so long that a read is to settle it."""
+        """Return whether a write has had no answer for so long that a read is to settle it."""
         return self._pending is not None and now - self._asked_at >= defaults.LEASE_ANSWER_S
 
     def begin_era(self, era: int, at: float) -> None:
-        """Start an era, as the store was restored from a copy.
+        """Start an era, as the store was restored from a backup.
 
         The holder continues in the same epoch: no other node can have held it when the era
         began.
@@ -117,7 +117,7 @@
         self._asked_at = -1e9
 
     def _absent(self) -> bool:
-        """Tell whether this is a later era than the first and its lease is not written yet."""
+        """Return whether this is a later era than the first and its lease is not written yet."""
         return self.version == 0 and self.era > 0
 
     def take_read(self, event: LeaseSeen, name: str) -> None:
@@ -200,11 +200,11 @@
         return DueWrite(self.version, epoch, nonce, now >= self.turn_at, self.era)
 
     def _next_epoch(self) -> int:
-        """Return an epoch that was never used, even in the seconds that a restored copy lacks."""
+        """Return an epoch that was never used, even in the seconds that a restored backup lacks."""
         return max(self.epoch, self.era * EPOCHS_PER_ERA) + 1
 
     def _own(self, name: str) -> bool:
-        """Tell whether the lease belongs to this box, from before a restart or a lapse."""
+        """Return whether the lease belongs to this box, from before a restart or a lapse."""
         return self.terms.resumable and self.holder == name
 
     def _next_turn(self, now: float, name: str) -> float:
@@ -246,7 +246,7 @@
         return self.changed_at is not None and now - self.changed_at > self.terms.ttl_s
 
     def forfeit(self) -> None:
-        """Give up a lapsed lease for good, so that others can be told that its epoch has ended.
+        """Give up a lapsed lease for good, so that it can be announced that its epoch has ended.
 
         A renewal that is answered late does not revive that epoch.
         """
--- a/packages/rookspring-core/src/rookspring_core/wants.py
+++ b/packages/rookspring-core/src/rookspring_core/load_requests.py
@@ -1,4 +1,4 @@
-"""Wants: requests for models or adapters that no endpoint holds, sent to the lease holder."""
+"""Load requests: sent to the lease holder for models or adapters that no endpoint holds."""
 
 from . import retry_after
 from .effects import Effect
@@ -7,8 +7,8 @@
 from .state import NodeState
 
 
-def send_want(state: NodeState, event: RequestArrived) -> list[Effect]:
-    """Send a want if no endpoint that takes requests holds what a waiting request needs."""
+def emit_load_request(state: NodeState, event: RequestArrived) -> list[Effect]:
+    """Send a load request if no endpoint that takes requests holds what a waiting request needs."""
     terms = event.route
     if terms is None or event.service or event.request_id not in state.requests:
         return []
--- a/packages/rookspring-core/src/rookspring_core/membership.py
+++ b/packages/rookspring-core/src/rookspring_core/membership.py
@@ -16,22 +16,22 @@
 class Peer:
     """Another node, by its latest heartbeat; times are of this node's monotonic clock.
 
-    ``heard_at`` is when its own heartbeat last came over a link; ``sources`` names the linked
+    ``received_at`` is when its own heartbeat last came over a link; ``sources`` names the linked
     nodes that report it as live, and ``source_lost_at`` is when a link to one of them was last
     lost.
     """
 
-    __slots__ = ("heard", "heard_at", "source_lost_at", "sources")
+    __slots__ = ("heartbeat", "received_at", "source_lost_at", "sources")
 
-    def __init__(self, heard: HeartbeatReceived, heard_at: float) -> None:
-        self.heard = heard
-        self.heard_at = heard_at
+    def __init__(self, heartbeat: HeartbeatReceived, received_at: float) -> None:
+        self.heartbeat = heartbeat
+        self.received_at = received_at
         self.sources: set[str] = set()
-        self.source_lost_at = heard.at
+        self.source_lost_at = heartbeat.at
 
     def direct(self, now: float) -> bool:
         """Return whether its own heartbeats reach this node."""
-        return now - self.heard_at <= defaults.PEER_DEAD_S
+        return now - self.received_at <= defaults.PEER_DEAD_S
 
     def alive(self, now: float) -> bool:
         """Return whether it counts as live, by its own heartbeats or by another node's report."""
@@ -41,7 +41,7 @@
 
     def age_s(self, now: float) -> float:
         """Return how long the node has run, in seconds."""
-        return self.heard.uptime_s + now - self.heard.at
+        return self.heartbeat.uptime_s + now - self.heartbeat.at
 
 
 class Membership:
@@ -69,21 +69,21 @@
         """
         peer = self.peers.get(name)
         sources = peer.sources & self.linked if peer else ()
-        return max(sources, key=lambda one: (self.peers[one].heard_at, one), default="")
+        return max(sources, key=lambda one: (self.peers[one].received_at, one), default="")
 
     def visible(self, now: float) -> int:
         """Count this node, those with a recent heartbeat, and those that the latter report."""
-        heard = {
+        connected = {
             name
             for name in self.linked
-            if now - self.peers[name].heard_at < defaults.VISIBLE_QUIET_S
+            if now - self.peers[name].received_at < defaults.VISIBLE_QUIET_S
         }
         reported = sum(
             1
             for name, peer in self.peers.items()
-            if name not in heard and not heard.isdisjoint(peer.sources)
+            if name not in connected and not connected.isdisjoint(peer.sources)
         )
-        return 1 + len(heard) + reported
+        return 1 + len(connected) + reported
 
     def count(self) -> int:
         """Return how many nodes are known, live or listed, this one included."""
@@ -104,16 +104,16 @@
         if known is None and self.gone.get(event.name) == event.incarnation and event.leaving:
             return False
         self.linked.add(event.name)
-        fresh = known is None or known.heard.incarnation != event.incarnation
+        fresh = known is None or known.heartbeat.incarnation != event.incarnation
         if known is None:
             self.peers[event.name] = Peer(event, event.at)
             self._update_most_nodes()
         else:
-            changed = _shared_fields(known.heard) != _shared_fields(event) or not known.direct(
+            changed = _shared_fields(known.heartbeat) != _shared_fields(event) or not known.direct(
                 event.at
             )
-            known.heard = event
-            known.heard_at = event.at
+            known.heartbeat = event
+            known.received_at = event.at
             if not changed:
                 return fresh
         self.changes.add(event.name)
@@ -151,16 +151,18 @@
         if known is None:
             known = self.peers[row.name] = Peer(row, -1e9)
             self._update_most_nodes()
-        elif known.direct(event.at) or _is_older_incarnation(row, known.heard):
+        elif known.direct(event.at) or _is_older_incarnation(row, known.heartbeat):
             known.sources.add(event.source)
             return
-        elif _shared_fields(known.heard) == _shared_fields(row):
+        elif _shared_fields(known.heartbeat) == _shared_fields(row):
             known.sources.add(event.source)
-            known.heard = row
+            known.heartbeat = row
             return
         else:
-            same = known.heard.incarnation == row.incarnation
-            known.heard = row._replace(leaving=row.leaving or (same and known.heard.leaving))
+            same = known.heartbeat.incarnation == row.incarnation
+            known.heartbeat = row._replace(
+                leaving=row.leaving or (same and known.heartbeat.leaving)
+            )
         known.sources.add(event.source)
         self.changes.add(row.name)
 
@@ -176,7 +178,7 @@
         peer = self.peers.pop(name, None)
         if peer is None:
             return False
-        self.gone[name] = peer.heard.incarnation
+        self.gone[name] = peer.heartbeat.incarnation
         self.changes.add(name)
         return True
 
@@ -193,7 +195,7 @@
         peer = self.peers.get(name)
         if peer is None:
             return False
-        peer.heard_at = -1e9
+        peer.received_at = -1e9
         if peer.sources:
             self.changes.add(name)
             return False
@@ -220,14 +222,14 @@
 
     def staying(self) -> list[str]:
         """Return the live nodes that are not leaving, this one included."""
-        names = [name for name, peer in self.peers.items() if not peer.heard.leaving]
+        names = [name for name, peer in self.peers.items() if not peer.heartbeat.leaving]
         return sorted([*names, self.name])
 
     def _staying_in(self, data_centre: str, self_leaving: bool) -> list[str]:
         names = [
             name
             for name, peer in self.peers.items()
-            if not peer.heard.leaving and peer.heard.data_centre == data_centre
+            if not peer.heartbeat.leaving and peer.heartbeat.data_centre == data_centre
         ]
         if data_centre == self.data_centre and not self_leaving:
             names.append(self.name)
@@ -246,7 +248,7 @@
 
     def data_centres(self) -> set[str]:
         """Return the data centres with live nodes."""
-        return {peer.heard.data_centre for peer in self.peers.values()} | {self.data_centre}
+        return {peer.heartbeat.data_centre for peer in self.peers.values()} | {self.data_centre}
 
     def successors(self, up_s: float, now: float, among: t.Collection[str] | None) -> list[str]:
         """Return the nodes that may take the relay nodes' lease next, the youngest first.
@@ -261,7 +263,7 @@
         ages = {self.name: up_s}
         for name in self.peers if among is None else among:
             peer = self.peers.get(name)
-            if peer is not None and not peer.heard.leaving:
+            if peer is not None and not peer.heartbeat.leaving:
                 ages[name] = peer.age_s(now)
         names = [name for name, age_s in ages.items() if age_s >= defaults.SETTLED_S]
         names.sort(key=lambda name: (ages[name] // defaults.AGE_STEP_S, stable_hash("lease", name)))
@@ -340,19 +342,19 @@
         return list(dict.fromkeys(self._names[position - self._dropped :]))
 
 
-def _shared_fields(heard: HeartbeatReceived) -> tuple[t.Any, ...]:
+def _shared_fields(heartbeat: HeartbeatReceived) -> tuple[t.Any, ...]:
     """Return the fields of a node whose change is sent to other nodes at once."""
     return (
-        heard.incarnation,
-        heard.address,
-        heard.caller_address,
-        heard.data_centre,
-        heard.revision > 0,
-        heard.leaving,
-        heard.lease_epoch,
-        heard.lease_ended,
-        heard.relay,
-        heard.capacity,
+        heartbeat.incarnation,
+        heartbeat.address,
+        heartbeat.caller_address,
+        heartbeat.data_centre,
+        heartbeat.revision > 0,
+        heartbeat.leaving,
+        heartbeat.lease_epoch,
+        heartbeat.lease_ended,
+        heartbeat.relay,
+        heartbeat.capacity,
     )
 
 
--- a/packages/rookspring-core/src/rookspring_core/memory.py
+++ b/packages/rookspring-core/src/rookspring_core/memory.py
@@ -102,11 +102,11 @@
         return self.capacity_gb - self.reserve_gb - self.committed()
 
     def ready(self) -> bool:
-        """Tell whether an order may be given: fenced, reported since, and none pending."""
+        """Return whether an order may be given: fenced, reported since, and none pending."""
         return self._fenced() and self.usable and self.pending is None
 
     def _fenced(self) -> bool:
-        """Tell whether this holder's fence is set and a report made after it has arrived.
+        """Return whether this holder's fence is set and a report made after it has arrived.
 
         A report from before the fence may lack the last order of the previous holder.
         """
--- a/packages/rookspring-core/src/rookspring_core/notice_handlers.py
+++ b/packages/rookspring-core/src/rookspring_core/notice_handlers.py
@@ -38,7 +38,7 @@
     effects += _note_rate(state, event)
     if notice.misdirected:
         _note_missing_target(state, event)
-    return effects + requests.refuse_cooling_down(state) + requests.dispatch_waiting(state)
+    return effects + requests.refuse_backed_off(state) + requests.dispatch_waiting(state)
 
 
 def _handle_other_process(state: NodeState, event: NoticeReceived) -> Effects:
@@ -58,11 +58,11 @@
 
 def known_start(view: EndpointView) -> int:
     """Return the start time of the process known at an endpoint; 0 if unknown."""
-    return view.report.started_ms if view.report is not None else view.born
+    return view.report.started_ms if view.report is not None else view.started_ms
 
 
-def _note_leaving(state: NodeState, endpoint: str, born: int) -> Effects:
-    added = state.notices.merge_leaving((Leaving(endpoint, born, state.now),), state.now)
+def _note_leaving(state: NodeState, endpoint: str, started_ms: int) -> Effects:
+    added = state.notices.merge_leaving((Leaving(endpoint, started_ms, state.now),), state.now)
     _restore_view(state, endpoint)
     if not added:
         return []
@@ -70,13 +70,13 @@
     return [ShareLeaving(added)]
 
 
-def note_listed(state: NodeState, endpoint: str, born: int) -> None:
+def note_listed(state: NodeState, endpoint: str, started_ms: int) -> None:
     """Record that an endpoint is leaving by its entry or report.
 
     It is not shared, since every node reads the list. The record is kept beyond the entry, which
     may lapse and be written again.
     """
-    state.notices.merge_leaving((Leaving(endpoint, born, state.now),), state.now)
+    state.notices.merge_leaving((Leaving(endpoint, started_ms, state.now),), state.now)
     view = state.endpoints.get(endpoint)
     if view is not None:
         view.leaving = True
@@ -139,7 +139,7 @@
 
 
 def _share_shed(state: NodeState, endpoint: str, for_s: float) -> Effects:
-    """Tell the other nodes that an endpoint sheds load, unless one of them has just done so.
+    """Announce to the other nodes that an endpoint sheds load, unless one of them has just done so.
 
     Each node that sends there finds out by itself, so with 69 nodes there could be 69 such
     messages within a second, of which one is enough.
@@ -173,10 +173,10 @@
 
 def restore_notices(state: NodeState, view: EndpointView) -> None:
     """Restore the notices of an endpoint's process to its view, when either of them is new."""
-    born = known_start(view)
-    view.leaving = view.leaving or state.notices.is_leaving(view.name, born)
-    view.rate = state.rates.rate_of(view.name, born)
-    until = state.notices.backoff_end(view.name, born)
+    started_ms = known_start(view)
+    view.leaving = view.leaving or state.notices.is_leaving(view.name, started_ms)
+    view.rate = state.rates.rate_of(view.name, started_ms)
+    until = state.notices.backoff_end(view.name, started_ms)
     if until > state.now:
         view.backoff_until = until
 
@@ -203,7 +203,7 @@
         _restore_view(state, one.endpoint)
         state.record(one.endpoint, "is leaving", f"{event.source} reported it")
     shared: Effects = [ShareLeaving(added, event.source)]
-    return shared + requests.refuse_cooling_down(state) + requests.dispatch_waiting(state)
+    return shared + requests.refuse_backed_off(state) + requests.dispatch_waiting(state)
 
 
 def find_withheld(state: NodeState, endpoint: str) -> str:
--- a/packages/rookspring-core/src/rookspring_core/notices.py
+++ b/packages/rookspring-core/src/rookspring_core/notices.py
@@ -78,25 +78,25 @@
 class Leaving(t.NamedTuple):
     """A process that is leaving.
 
-    :param born: its start time, as its endpoint reports it; 0 if unknown.
+    :param started_ms: its start time, as its endpoint reports it; 0 if unknown.
     :param at: when it announced so, by this node's clock.
     """
 
     endpoint: str
-    born: int
+    started_ms: int
     at: float
 
 
 class RequestedBackoff(t.NamedTuple):
     """A back-off that a process requested of this node, and its end by this node's clock."""
 
-    born: int
+    started_ms: int
     until: float
 
 
-def may_be_same_process(born: int, other: int) -> bool:
+def may_be_same_process(started_ms: int, other: int) -> bool:
     """Return whether two start times may be of one process; an unknown one (0) fits any."""
-    return born == other or 0 in (born, other)
+    return started_ms == other or 0 in (started_ms, other)
 
 
 class NoticeTable:
@@ -126,46 +126,52 @@
         known = self._leaving.get(one.endpoint)
         if now - one.at > LEAVING_KEPT_S:
             return False
-        if known is not None and known.born >= one.born:
+        if known is not None and known.started_ms >= one.started_ms:
             return False
-        if self._verified_starts.get(one.endpoint, one.born) != one.born:
+        if self._verified_starts.get(one.endpoint, one.started_ms) != one.started_ms:
             # A late message about an earlier process.
             return False
         self._leaving[one.endpoint] = one
         _bound(self._leaving)
         return True
 
-    def add_backoff(self, endpoint: str, born: int, until: float) -> None:
+    def add_backoff(self, endpoint: str, started_ms: int, until: float) -> None:
         """Record a process's back-off; of several, the one that ends last holds."""
         known = self._backoffs.get(endpoint)
-        if known is not None and may_be_same_process(known.born, born):
+        if known is not None and may_be_same_process(known.started_ms, started_ms):
             until = max(until, known.until)
-        self._backoffs[endpoint] = RequestedBackoff(born, until)
+        self._backoffs[endpoint] = RequestedBackoff(started_ms, until)
         _bound(self._backoffs)
 
-    def note_restart(self, endpoint: str, born: int, sure: bool) -> None:
+    def note_restart(self, endpoint: str, started_ms: int, confirmed: bool) -> None:
         """Drop the notices of earlier processes of an endpoint that has restarted.
 
-        :param sure: the process is the current one, even if its start time is earlier.
+        :param confirmed: the process is the current one, even if its start time is earlier.
         """
-        if sure:
-            self._verified_starts[endpoint] = born
+        if confirmed:
+            self._verified_starts[endpoint] = started_ms
             _bound(self._verified_starts)
         known = self._leaving.get(endpoint)
-        if known is not None and known.born != born:
+        if known is not None and known.started_ms != started_ms:
             del self._leaving[endpoint]
             self._digest = None
         self._backoffs.pop(endpoint, None)
 
-    def is_leaving(self, endpoint: str, born: int) -> bool:
+    def is_leaving(self, endpoint: str, started_ms: int) -> bool:
         """Return whether a process, or a later one of its endpoint, is known to be leaving."""
         known = self._leaving.get(endpoint)
-        return known is not None and (may_be_same_process(known.born, born) or known.born > born)
+        return known is not None and (
+            may_be_same_process(known.started_ms, started_ms) or known.started_ms > started_ms
+        )
 
-    def backoff_end(self, endpoint: str, born: int) -> float:
+    def backoff_end(self, endpoint: str, started_ms: int) -> float:
         """Return when a process's back-off ends; a time in the distant past if it has none."""
         known = self._backoffs.get(endpoint)
-        return known.until if known is not None and may_be_same_process(known.born, born) else -1e9
+        return (
+            known.until
+            if known is not None and may_be_same_process(known.started_ms, started_ms)
+            else -1e9
+        )
 
     def tick(self, now: float, there: t.Container[str]) -> None:
         """Remove what has expired, every ``EXPIRE_EVERY_S``.
@@ -196,7 +202,7 @@
         if self._digest is None:
             combined = 0
             for one in self.list_leaving(now):
-                combined ^= stable_hash("leaving", f"{one.endpoint}/{one.born}")
+                combined ^= stable_hash("leaving", f"{one.endpoint}/{one.started_ms}")
             self._digest = combined
         return self._digest
 
--- a/packages/rookspring-core/src/rookspring_core/ordering.py
+++ b/packages/rookspring-core/src/rookspring_core/ordering.py
@@ -255,7 +255,7 @@
 
 
 def _other_resident(state: NodeState, key: Weights, endpoint: str) -> bool:
-    """Tell whether a model stays reachable without its replica on one endpoint."""
+    """Return whether a model stays reachable without its replica on one endpoint."""
     if key[0] not in state.catalogue.models:
         return True
     others = model_hosts(state, key[0]) - {endpoint}
--- a/packages/rookspring-core/src/rookspring_core/orders.py
+++ b/packages/rookspring-core/src/rookspring_core/orders.py
@@ -19,12 +19,12 @@
 
 
 def handover_gap_passed(state: NodeState) -> bool:
-    """Tell whether the gap since the last order of the previous lease holder has passed."""
+    """Return whether the gap since the last order of the previous lease holder has passed."""
     return state.now >= state.control.lease.turn_at
 
 
 def accepts_orders(state: NodeState, view: EndpointView) -> bool:
-    """Tell whether an endpoint can be given an order now."""
+    """Return whether an endpoint can be given an order now."""
     account = state.residency.accounts.get(view.name)
     return (
         account is not None
--- a/packages/rookspring-core/src/rookspring_core/owners.py
+++ b/packages/rookspring-core/src/rookspring_core/owners.py
@@ -34,7 +34,7 @@
 
 
 class OwnerTable:
-    """The subjects that this node owns, and the share of the nodes that it can hear.
+    """The subjects that this node owns, and the share of the nodes that it sees.
 
     :param name: this node's name.
     """
--- a/packages/rookspring-core/src/rookspring_core/placement.py
+++ b/packages/rookspring-core/src/rookspring_core/placement.py
@@ -210,7 +210,7 @@
         return sorted(runners, key=lambda one: one.data_centre in places)
 
     def has_spare_replica(self, model: str) -> bool:
-        """Tell whether a replica can be unloaded without going below one or ``replicas_min``."""
+        """Return whether a replica can be unloaded without going below one or ``replicas_min``."""
         spec = self.plan_input.models[model]
         return len(self.ready[model]) > max(1, spec.replicas_min)
 
--- a/packages/rookspring-core/src/rookspring_core/planning.py
+++ b/packages/rookspring-core/src/rookspring_core/planning.py
@@ -71,7 +71,9 @@
     store = state.control.store_limiter
     store.refill(state.now, engine.loads_per_s * defaults.STORE_RATE_SHARE)
     # A fast model is less work for a token, but its callers lose as much without it.
-    requested = {name: level / state.paces.relative_cost(name) for name, level in levels.items()}
+    requested = {
+        name: level / state.latencies.relative_cost(name) for name, level in levels.items()
+    }
     plan_input = placement.PlanInput(
         models,
         snapshots,
@@ -80,7 +82,7 @@
         requested,
         urgent=state.control.urgent_demand.forecast.levels,
         missed=state.control.refused_demand.forecast.levels,
-        longest_s=state.paces.longest_answer_s,
+        longest_s=state.latencies.longest_answer_s,
         deficit=_update_deficits(state, requested, snapshots),
         declined={},
     )
@@ -191,9 +193,9 @@
 
     Demand beyond that needs another replica, even if the runner looks idle.
     """
-    if view.rate is None or state.paces.mean_work <= 0.0:
+    if view.rate is None or state.latencies.mean_work <= 0.0:
         return token_rate
-    return min(token_rate, view.rate * state.paces.mean_work)
+    return min(token_rate, view.rate * state.latencies.mean_work)
 
 
 def _free_in_s(state: NodeState, engine: EngineSize, view: EndpointView) -> float:
@@ -205,7 +207,7 @@
     order = account.order
     if account.withdrawn_models():
         since = min(account.withdrawn[name] for name in account.withdrawn_models())
-        left_s = since + state.paces.longest_answer_s + defaults.RUNNER_BUSY_S - state.now
+        left_s = since + state.latencies.longest_answer_s + defaults.RUNNER_BUSY_S - state.now
         return left_s if left_s > 0 else math.inf
     if order is None or order.unanswered or view.report is None or not view.accepts_work(state.now):
         return math.inf
--- a/packages/rookspring-core/src/rookspring_core/recovering.py
+++ b/packages/rookspring-core/src/rookspring_core/recovering.py
@@ -69,7 +69,7 @@
     request.attempt_not_run = event.reported_not_run
     effects = routed.end_prompt(state, request)
     effects += slot_requests.free(state, request, failed=True, unsent=not event.sent)
-    effects += suspect_handlers.note_broken(state, request, event)
+    effects += suspect_handlers.note_failed_attempt(state, request, event)
     effects += _count_failure(state, request, event)
     request.running = False
     terms = request.arrived.route
@@ -81,7 +81,7 @@
     text = f"endpoint failed: {event.reason}"
     after_s = max(
         defaults.RETRY_AFTER_FAILURE_S,
-        retry_after.cooldown_retry_after_s(state, request) if terms else 0.0,
+        retry_after.backoff_retry_after_s(state, request) if terms else 0.0,
     )
     ended = requests.fail_request(state, request, status, "endpoint_failed", text, after_s)
     return effects + ended + requests.dispatch_waiting(state)
--- a/packages/rookspring-core/src/rookspring_core/request_rates.py
+++ b/packages/rookspring-core/src/rookspring_core/request_rates.py
@@ -34,12 +34,12 @@
 class RateRecord(t.NamedTuple):
     """The rate limit of one incarnation of an endpoint.
 
-    :param born: the start of the incarnation as the endpoint reports it; 0 if unknown.
+    :param started_ms: the start of the incarnation as the endpoint reports it; 0 if unknown.
     :param rate: in requests a second; None if the limit has ended.
     """
 
     endpoint: str
-    born: int
+    started_ms: int
     version: int
     rate: float | None
 
@@ -47,12 +47,12 @@
 class _Known:
     """A record, when this node last learnt its figure, and when an answer last carried a limit."""
 
-    __slots__ = ("heard_at", "learnt_at", "record")
+    __slots__ = ("received_at", "learnt_at", "record")
 
-    def __init__(self, record: RateRecord, learnt_at: float, heard_at: float) -> None:
+    def __init__(self, record: RateRecord, learnt_at: float, received_at: float) -> None:
         self.record = record
         self.learnt_at = learnt_at
-        self.heard_at = heard_at
+        self.received_at = received_at
 
 
 class RateTable:
@@ -66,7 +66,7 @@
         self._digest: int | None = None
 
     def set_limit(
-        self, endpoint: str, born: int, rate: float, asked_at: float | None, now: float
+        self, endpoint: str, started_ms: int, rate: float, asked_at: float | None, now: float
     ) -> tuple[RateRecord, ...]:
         """Apply a rate limit carried by an answer; returns the records to send to other nodes.
 
@@ -74,12 +74,12 @@
         """
         limit = None if rate >= RATE_MAX_PER_S else max(rate, RATE_MIN_PER_S)
         if limit is None:
-            return self.end_limit(endpoint, born, asked_at)
-        known = self._of_incarnation(endpoint, born)
+            return self.end_limit(endpoint, started_ms, asked_at)
+        known = self._of_incarnation(endpoint, started_ms)
         if known is None:
-            return self._keep(RateRecord(endpoint, born, 1, limit), now, now)
+            return self._keep(RateRecord(endpoint, started_ms, 1, limit), now, now)
         before = known.record.rate
-        known.heard_at = now
+        known.received_at = now
         if before is not None and limit > before and not _after(asked_at, known.learnt_at):
             return ()
         known.learnt_at = now
@@ -89,12 +89,14 @@
             known.record._replace(version=known.record.version + 1, rate=limit), now, now
         )
 
-    def end_limit(self, endpoint: str, born: int, asked_at: float | None) -> tuple[RateRecord, ...]:
+    def end_limit(
+        self, endpoint: str, started_ms: int, asked_at: float | None
+    ) -> tuple[RateRecord, ...]:
         """Apply an answer that carries no rate limit; returns the records to send to other nodes.
 
         It ends the limit only if its request was sent after the limit was learnt.
         """
-        known = self._of_incarnation(endpoint, born)
+        known = self._of_incarnation(endpoint, started_ms)
         if known is None or known.record.rate is None or not _after(asked_at, known.learnt_at):
             return ()
         record = known.record._replace(version=known.record.version + 1, rate=None)
@@ -106,53 +108,61 @@
         corrections: list[RateRecord] = []
         for one in rows:
             known = self._known.get(one.endpoint)
-            if self._confirmed.get(one.endpoint, one.born) != one.born:
+            if self._confirmed.get(one.endpoint, one.started_ms) != one.started_ms:
                 # A late record of a previous incarnation.
                 continue
             if known is not None and _rank(one) <= _rank(known.record):
                 continue
             if known is not None and self._contradicts(known, one, now):
                 renewed = known.record._replace(version=one.version + 1)
-                corrections += self._keep(renewed, now, known.heard_at)
+                corrections += self._keep(renewed, now, known.received_at)
             else:
                 updates += self._keep(one, now, -1e9)
         return RateMerge(tuple(updates), tuple(corrections))
 
     def _contradicts(self, known: _Known, one: RateRecord, now: float) -> bool:
         """Return whether a record ends a limit that an answer to this node has just carried."""
-        if one.rate is not None or known.record.rate is None or one.born != known.record.born:
+        if (
+            one.rate is not None
+            or known.record.rate is None
+            or one.started_ms != known.record.started_ms
+        ):
             return False
-        return now - known.heard_at < RATE_CONFIRMED_S
+        return now - known.received_at < RATE_CONFIRMED_S
 
     def _keep(
-        self, record: RateRecord, learnt_at: float, heard_at: float
+        self, record: RateRecord, learnt_at: float, received_at: float
     ) -> tuple[RateRecord, ...]:
-        self._known[record.endpoint] = _Known(record, learnt_at, heard_at)
+        self._known[record.endpoint] = _Known(record, learnt_at, received_at)
         while len(self._known) > NOTICES_MAX:
             del self._known[next(iter(self._known))]
         self._digest = None
         return (record,)
 
-    def _of_incarnation(self, endpoint: str, born: int) -> _Known | None:
+    def _of_incarnation(self, endpoint: str, started_ms: int) -> _Known | None:
         known = self._known.get(endpoint)
-        return known if known is not None and may_be_same_process(known.record.born, born) else None
+        return (
+            known
+            if known is not None and may_be_same_process(known.record.started_ms, started_ms)
+            else None
+        )
 
-    def rate_of(self, endpoint: str, born: int) -> float | None:
+    def rate_of(self, endpoint: str, started_ms: int) -> float | None:
         """Return the rate limit of an incarnation, in requests a second; None if it has none."""
-        known = self._of_incarnation(endpoint, born)
+        known = self._of_incarnation(endpoint, started_ms)
         return known.record.rate if known is not None else None
 
-    def begin_incarnation(self, endpoint: str, born: int, confirmed: bool) -> None:
+    def begin_incarnation(self, endpoint: str, started_ms: int, confirmed: bool) -> None:
         """Start a new incarnation of an endpoint; limits of other incarnations are dropped.
 
         :param confirmed: it is the latest one, although it reports an earlier start.
         """
         if confirmed:
-            self._confirmed[endpoint] = born
+            self._confirmed[endpoint] = started_ms
             while len(self._confirmed) > NOTICES_MAX:
                 del self._confirmed[next(iter(self._confirmed))]
         known = self._known.get(endpoint)
-        if known is not None and known.record.born != born:
+        if known is not None and known.record.started_ms != started_ms:
             del self._known[endpoint]
             self._digest = None
 
@@ -182,7 +192,9 @@
         if self._digest is None:
             found = 0
             for one in self.records():
-                found ^= stable_hash("rate", f"{one.endpoint}/{one.born}/{one.version}/{one.rate}")
+                found ^= stable_hash(
+                    "rate", f"{one.endpoint}/{one.started_ms}/{one.version}/{one.rate}"
+                )
             self._digest = found
         return self._digest
 
@@ -206,4 +218,4 @@
 
 def _rank(record: RateRecord) -> tuple[int, int, bool, float]:
     """Order records by incarnation and version; of one version the stricter is the greater."""
-    return record.born, record.version, record.rate is not None, -(record.rate or 0.0)
+    return record.started_ms, record.version, record.rate is not None, -(record.rate or 0.0)
--- a/packages/rookspring-core/src/rookspring_core/requests.py
+++ b/packages/rookspring-core/src/rookspring_core/requests.py
@@ -83,7 +83,7 @@
         fault = find_fault(state, request)
         if fault is not None:
             queue.remove(queued.request_id)
-            effects += end_barred(state, request, fault)
+            effects += refuse_quarantined(state, request, fault)
             _push_head(heads, queue, target)
             continue
         endpoint = choose_endpoint(state, request)
@@ -126,12 +126,14 @@
     return suspect_handlers.find_quarantine(state, arrived)
 
 
-def end_barred(
-    state: NodeState, request: RequestState, bar: suspect_handlers.Quarantine
+def refuse_quarantined(
+    state: NodeState, request: RequestState, quarantine: suspect_handlers.Quarantine
 ) -> Effects:
     """End a request that may not be sent now."""
-    status = 502 if request.sent else bar.status
-    return fail_request(state, request, status, bar.reason, bar.text, bar.after_s)
+    status = 502 if request.sent else quarantine.status
+    return fail_request(
+        state, request, status, quarantine.reason, quarantine.text, quarantine.after_s
+    )
 
 
 def pool_of(state: NodeState, arrived: RequestArrived) -> str:
@@ -199,7 +201,7 @@
     request.running = True
     request.dispatched_at = state.now
     request.permits_due = {}
-    request.endpoint_started_ms = suspect_handlers.process_of(endpoint).born
+    request.endpoint_started_ms = suspect_handlers.process_of(endpoint).started_ms
     request.first_event_at = None
     idle = endpoint.load(state.now) <= defaults.PACE_LOAD_MAX
     request.endpoint_was_idle = idle and endpoint.unread() == 0
@@ -254,7 +256,7 @@
             endpoint.answered(request.dispatched_at)
         if request.delivered == event.tokens and request.endpoint_was_idle:
             took_s = state.now - request.dispatched_at
-            state.paces.note_first_event(
+            state.latencies.note_first_event(
                 request.arrived.target, request.arrived.prompt_tokens, took_s
             )
         if request.arrived.route is not None:
@@ -276,7 +278,7 @@
         endpoint.succeed(state.now)
         endpoint.answered(request.dispatched_at)
     if not request.arrived.service:
-        state.paces.note_answer(state.now - request.dispatched_at)
+        state.latencies.note_answer(state.now - request.dispatched_at)
     state.retry_budget.earn()
     effects = suspect_handlers.clear_suspect(state, request)
     key = request.arrived.once_key
@@ -290,32 +292,32 @@
 def enqueue_routed(
     state: NodeState, request: RequestState, queue: admission_queue.AdmissionQueue
 ) -> Effects:
-    """Queue a routed request, or refuse it if all its endpoints cool down for longer."""
+    """Queue a routed request, or refuse it if all its endpoints back off for longer."""
     effects = slot_requests.ask(state, request)
     queued = routed.make_queue_entry(state, request.arrived, state.now, bool(effects))
-    if routed.cooldown_left_s(state, request.arrived) > queued.deadline_at - state.now:
-        return _refuse_cooling_down(state, request)
+    if routed.backoff_left_s(state, request.arrived) > queued.deadline_at - state.now:
+        return _refuse_for_backoff(state, request)
     queue.push(queued)
     return effects
 
 
-def refuse_cooling_down(state: NodeState) -> Effects:
-    """Refuse queued requests whose endpoints all cool down for longer than they may wait."""
+def refuse_backed_off(state: NodeState) -> Effects:
+    """Refuse queued requests whose endpoints all back off for longer than they may wait."""
     effects: Effects = []
     for queue in list(state.queues.values()):
         head = queue.peek()
         if head is None:
             continue
-        left_s = routed.cooldown_left_s(state, state.requests[head.request_id].arrived)
+        left_s = routed.backoff_left_s(state, state.requests[head.request_id].arrived)
         for queued in queue.waiting() if left_s > 0.0 else ():
             if left_s > queued.deadline_at - state.now:
                 queue.remove(queued.request_id)
-                effects += _refuse_cooling_down(state, state.requests[queued.request_id])
+                effects += _refuse_for_backoff(state, state.requests[queued.request_id])
     return effects
 
 
-def _refuse_cooling_down(state: NodeState, request: RequestState) -> Effects:
-    """Refuse a request with the time at which the cool-down ends as its retry-after time."""
+def _refuse_for_backoff(state: NodeState, request: RequestState) -> Effects:
+    """Refuse a request with the time until the back-off ends as its retry-after time."""
     request.slot_asked_at = None
     return end_waiting(state, request)
 
--- a/packages/rookspring-core/src/rookspring_core/residency.py
+++ b/packages/rookspring-core/src/rookspring_core/residency.py
@@ -16,8 +16,8 @@
 from . import requests
 from .accounts import Attachment
 from .accounts import EndpointAccount
-from .accounts import OpenWant
 from .accounts import Order
+from .accounts import PendingLoadRequest
 from .accounts import report_without
 from .accounts import split_name
 from .accounts import still_held
@@ -45,14 +45,16 @@
 
 
 @handles(LoadRequested)
-def record_want(state: NodeState, event: LoadRequested) -> Effects:
+def record_load_request(state: NodeState, event: LoadRequested) -> Effects:
     """Record that a node has a request for a model or adapter that is resident nowhere."""
     if not control_jobs.holding(state):
         return []
     key = (event.service, event.model, event.adapter)
-    known = state.residency.wants.get(key) or OpenWant(event.at, event.at, times=0)
-    state.residency.wants[key] = known.ask_again(event.at, event.latest_retry_s)
-    return attaching.serve_wants(state)
+    known = state.residency.load_requests.get(key) or PendingLoadRequest(
+        event.at, event.at, times=0
+    )
+    state.residency.load_requests[key] = known.record_request(event.at, event.latest_retry_s)
+    return attaching.serve_load_requests(state)
 
 
 def run_control_tick(state: NodeState, passed: float) -> Effects:
@@ -69,7 +71,7 @@
     if not handover_gap_passed(state):
         return effects
     attaching.mark_used_adapters(state)
-    effects += attaching.serve_wants(state)
+    effects += attaching.serve_load_requests(state)
     effects += attaching.unload_withdrawn(state)
     if state.now - state.residency.planned_at >= defaults.RELAY_PLAN_INTERVAL_S:
         state.residency.planned_at = state.now
@@ -83,7 +85,7 @@
     if residency.epoch != state.control.acting_epoch:
         residency.epoch = state.control.acting_epoch
         residency.accounts = {}
-        residency.wants = {}
+        residency.load_requests = {}
         state.control.store_limiter = WeightStoreLimiter(
             defaults.STORE_BURST, defaults.RELAY_PLAN_INTERVAL_S
         )
@@ -102,7 +104,7 @@
 
 
 def _report_due(state: NodeState, view: EndpointView, account: EndpointAccount) -> bool:
-    """Tell whether a runner's report is to be read now.
+    """Return whether a runner's report is to be read now.
 
     A runner that took an order is read when that is expected to have ended, and then often.
     One that is new, or whose state is uncertain, is read once a second.
@@ -183,9 +185,10 @@
 
 def _protected_until(state: NodeState, model: str) -> float:
     """Return the time until which a loaded model is protected: its callers have retried then."""
-    wants = state.residency.wants.items()
+    load_requests = state.residency.load_requests.items()
     callers_back_by = max(
-        (want.callers_back_by for key, want in wants if key[1] == model), default=-math.inf
+        (pending.callers_back_by for key, pending in load_requests if key[1] == model),
+        default=-math.inf,
     )
     most = state.now + defaults.MODEL_KEEP_MAX_S
     return min(most, max(state.now, callers_back_by) + defaults.KEEP_AFTER_RETRY_S)
@@ -330,9 +333,9 @@
         report = report._replace(adapters=(*report.adapters, order.adapter))
         protected_until = max(state.now, order.callers_back_by) + defaults.KEEP_AFTER_RETRY_S
         account.attachments[order.adapter] = Attachment(
-            state.now, protected_until, wanted_at=order.wanted_at
+            state.now, protected_until, requested_at=order.requested_at
         )
     report = report._replace(order_token=(0, order.taken_before + 1))
     effects: Effects = [apply_and_share_report(state, view, report)]
-    effects += attaching.serve_wants(state)
+    effects += attaching.serve_load_requests(state)
     return effects + requests.dispatch_waiting(state)
--- a/packages/rookspring-core/src/rookspring_core/restarts.py
+++ b/packages/rookspring-core/src/rookspring_core/restarts.py
@@ -50,9 +50,10 @@
     """Verify a report whose start time is earlier than the known one.
 
     The lease holder reads the endpoint itself, and reads it once more if the first read gives
-    that start time too; the second such read in a row is marked ``sure``.
+    that start time too; the second such read in a row is marked
+    ``start_confirmed``.
 
-    :return: the report, with ``sure`` set if it is verified, and the reads to make.
+    :return: the report, with ``start_confirmed`` set if it is verified, and the reads to make.
     """
     room = state.residency.accounts.get(view.name)
     if event.polled and view.unverified_start == event.started_ms:
--- a/packages/rookspring-core/src/rookspring_core/retry_after.py
+++ b/packages/rookspring-core/src/rookspring_core/retry_after.py
@@ -20,9 +20,9 @@
     """
     if request.sent:
         return 0.0
-    rest_s = cooldown_retry_after_s(state, request)
-    if rest_s > 0.0:
-        return rest_s
+    backoff_s = backoff_retry_after_s(state, request)
+    if backoff_s > 0.0:
+        return backoff_s
     arrived = request.arrived
     if request.permits_due and routed.lacks_permit(state, request):
         # An owner gives each request a different time, so no jitter is needed.
@@ -45,14 +45,14 @@
     return min(after_s, (arrived.deadline_at - state.now) * defaults.RETRY_AFTER_MAX_SHARE)
 
 
-def cooldown_retry_after_s(state: NodeState, request: RequestState) -> float:
-    """Return the retry-after time while all endpoints that hold the model cool down, in seconds.
+def backoff_retry_after_s(state: NodeState, request: RequestState) -> float:
+    """Return the retry-after time while all endpoints that hold the model back off, in seconds.
 
     0 where one of them does not, or where a byte may have reached an endpoint. Jitter by request
-    over ``COME_BACK_SPREAD_S`` keeps callers from reaching the first endpoint that is available
+    over ``RETRY_AFTER_SPREAD_S`` keeps callers from reaching the first endpoint that is available
     again all at once.
     """
-    left_s = routed.cooldown_left_s(state, request.arrived)
+    left_s = routed.backoff_left_s(state, request.arrived)
     if left_s <= 0.0 or request.sent:
         return 0.0
     jitter = stable_hash("come back", request.arrived.request_id) % 1000 / 1000.0
--- a/packages/rookspring-core/src/rookspring_core/routed.py
+++ b/packages/rookspring-core/src/rookspring_core/routed.py
@@ -86,7 +86,7 @@
     lacks_place = reason == "absent" and bool(arrived.adapter) and is_resident(state, arrived)
     lacks_room = reason in ("no_room", "no_turn", "resting")
     if (lacks_room or lacks_place) and not arrived.service:
-        work = arrived.tokens * state.paces.relative_cost(arrived.target)
+        work = arrived.tokens * state.latencies.relative_cost(arrived.target)
         state.control.refused_demand.meter.add(arrived.target, work)
 
 
@@ -148,7 +148,7 @@
 
     Prefill of long prompts stalls all streams of an endpoint, so one with many unread prompt
     tokens gets no more. Ejected endpoints are used where all that hold the model are ejected;
-    those that are leaving or cooling down never are.
+    those that are leaving or in back-off never are.
     """
     arrived = request.arrived
     assert arrived.route is not None
@@ -160,7 +160,7 @@
     if arrived.adapter:
         holding = [view for view in holding if view.has_adapter(arrived.adapter)]
     usable = [
-        view for view in holding if _is_usable(state, view) and not _is_cooling_down(state, view)
+        view for view in holding if _is_usable(state, view) and not _is_backing_off(state, view)
     ]
     ready = [view for view in usable if view.accepts_work(state.now)] or usable
     reserved = {view.name: _reserved_slots(state, view, arrived) for view in ready}
@@ -196,8 +196,8 @@
     return not endpoint.leaving and not endpoint.gone and endpoint.may_listen(state.now)
 
 
-def _is_cooling_down(state: NodeState, endpoint: EndpointView) -> bool:
-    """Return whether an endpoint is in a cool-down, or has not answered the first request after it.
+def _is_backing_off(state: NodeState, endpoint: EndpointView) -> bool:
+    """Return whether an endpoint is in back-off, or has not answered the first request after it.
 
     An endpoint that rejects requests at once has the lowest load, and would attract them all.
     """
@@ -217,7 +217,7 @@
         return [view for view in ready if view.rate is None]
     if all_rate_limited(state, request.arrived):
         return [view for view in ready if view.rate is None or view.name not in request.permits_due]
-    return [view for view in ready if view.rate is None or view.turn_at <= state.now]
+    return [view for view in ready if view.rate is None or view.next_permit_at <= state.now]
 
 
 def _rate_limited_hosts(state: NodeState, arrived: RequestArrived) -> list[EndpointView]:
@@ -244,10 +244,10 @@
     return bool(hosts) and all(view.name in request.permits_due for view in hosts)
 
 
-def cooldown_left_s(state: NodeState, arrived: RequestArrived) -> float:
+def backoff_left_s(state: NodeState, arrived: RequestArrived) -> float:
     """Return the seconds until one of the endpoints that hold a request's model is available.
 
-    0 where one of them is not in a cool-down, or no endpoint holds the model.
+    0 where one of them is not in back-off, or no endpoint holds the model.
     """
     assert arrived.route is not None
     ends = [
@@ -269,7 +269,7 @@
 
 def _prompt_work(state: NodeState, arrived: RequestArrived) -> int:
     """Return a prompt's size in tokens of the slowest model that take the same prefill time."""
-    return round(arrived.prompt_tokens * state.paces.relative_cost(arrived.target))
+    return round(arrived.prompt_tokens * state.latencies.relative_cost(arrived.target))
 
 
 def _has_prompt_room(endpoint: EndpointView, tokens: int, others_first: bool) -> bool:
@@ -345,7 +345,7 @@
     fitting = [view for view in hosts if not arrived.adapter or view.has_adapter(arrived.adapter)]
     if not fitting:
         return "absent", f"{arrived.adapter} is on none of {len(hosts)} endpoints with its model"
-    if cooldown_left_s(state, arrived) > 0.0:
+    if backoff_left_s(state, arrived) > 0.0:
         return "resting", f"all {len(hosts)} endpoints that hold it asked for rest"
     if all_rate_limited(state, arrived):
         rate = sum(view.rate or 0.0 for view in hosts)
--- a/packages/rookspring-core/src/rookspring_core/slot_answers.py
+++ b/packages/rookspring-core/src/rookspring_core/slot_answers.py
@@ -1,4 +1,4 @@
-"""Handling of owners' answers to requests for slots, and of answers that don't come.
+"""Handling of owners' answers to requests for slots, and of missing answers.
 
 A request is sent with the slot that it was granted, placed at another endpoint, or refused.
 :mod:`slot_requests` asks for the slots.
@@ -60,7 +60,7 @@
     """Send a request with its permit, let it wait for one, or look for another endpoint."""
     endpoint = state.endpoints.get(asked.endpoint)
     if endpoint is not None:
-        endpoint.turn_at = state.now + event.avoid_s
+        endpoint.next_permit_at = state.now + event.avoid_s
     if event.after_s > 0.0:
         return _place_elsewhere(state, request, event.after_s)
     if not event.endpoint:
@@ -74,7 +74,7 @@
         return requests.send(state, request, view)
     freed = slot_requests.free(state, request, failed=False, unsent=True)
     if fault is not None:
-        return freed + requests.end_barred(state, request, fault)
+        return freed + requests.refuse_quarantined(state, request, fault)
     return freed + _requeue(state, request, asked.until)
 
 
@@ -117,7 +117,7 @@
             continue
         endpoint = state.endpoints.get(asked.endpoint)
         if endpoint is not None:
-            endpoint.turn_at = state.now + defaults.RETRY_AFTER_UNPROVED_S
+            endpoint.next_permit_at = state.now + defaults.RETRY_AFTER_UNPROVED_S
         state.record(identity, f"no permit at {asked.endpoint}", "its owner does not answer")
         effects += _place_elsewhere(state, request, defaults.RETRY_AFTER_UNPROVED_S)
     return effects
--- a/packages/rookspring-core/src/rookspring_core/slot_queues.py
+++ b/packages/rookspring-core/src/rookspring_core/slot_queues.py
@@ -207,7 +207,7 @@
         """Set the endpoints that accept work now.
 
         :param since: since when this node owns the queue. The previous owner may have granted up
-            to the full rate until then, and for ``OWNER_SETTLES_S`` after, while both nodes may
+            to the full rate until then, and for ``OWNER_TAKEOVER_S`` after, while both nodes may
             regard themselves as the owner; so permits start at none after that time.
         """
         if since != self._owned_since:
--- a/packages/rookspring-core/src/rookspring_core/slot_requests.py
+++ b/packages/rookspring-core/src/rookspring_core/slot_requests.py
@@ -127,7 +127,7 @@
 
 
 def find_missing_permit(state: NodeState, request_id: str, endpoint: str) -> str:
-    """Return why a request must not be sent for want of a valid permit; empty if it may be sent.
+    """Return why a request must not be sent for lack of a valid permit; empty if it may be sent.
 
     The endpoint may have announced its rate limit after it was chosen, or the permit may be too
     old: requests sent late would arrive together with those of later permits.
--- a/packages/rookspring-core/src/rookspring_core/state.py
+++ b/packages/rookspring-core/src/rookspring_core/state.py
@@ -180,7 +180,7 @@
         self.endpoints: dict[str, EndpointView] = {}
         self.hosts: dict[str, dict[str, EndpointView]] = {}
         self.peers_work = PeerLoad()
-        self.paces = LatencyTable()
+        self.latencies = LatencyTable()
         self.suspects = SuspectTable()
         self.notices = NoticeTable()
         self.rates = RateTable()
@@ -208,8 +208,7 @@
         # What this node can carry, in cores with the link for them; see ``HeartbeatReceived``.
         self.capacity = 0.0
         self.control = ControlState()
-        # How often the platform's store has been restored from an older copy, as far as this node
-        # knows.
+        # How often the platform's store has been restored from a backup, as far as this node knows.
         self.store_era = 0
         self.platform_answered_at = started_at
         self.platform_reachable = False
--- a/packages/rookspring-core/src/rookspring_core/suspect_handlers.py
+++ b/packages/rookspring-core/src/rookspring_core/suspect_handlers.py
@@ -47,9 +47,9 @@
     """Return why a request may not be sent now; None if it may.
 
     A request whose evidence has reached ``CRASHES_MAX`` crashes is refused until its verdict
-    expires, since it would crash the next endpoint too. From ``SUSPECT_ENDS`` crashes on, a request
-    is run at most once at a time, and no sooner than ``SUSPECT_BACK_S`` after the last crash, so
-    that a further crash is clear evidence against it and costs few other requests.
+    expires, since it would crash the next endpoint too. From ``SUSPECT_CRASHES`` crashes on, a
+    request is run at most once at a time, and no sooner than ``SUSPECT_RETRY_S`` after the last
+    crash, so that a further crash is clear evidence against it and costs few other requests.
     """
     if not arrived.fingerprint:
         return None
@@ -96,7 +96,7 @@
 
 
 def is_suspect(state: NodeState, request: RequestState) -> bool:
-    """Return whether a request is a suspect of ``SUSPECT_ENDS`` crashes or more.
+    """Return whether a request is a suspect of ``SUSPECT_CRASHES`` crashes or more.
 
     Such a request is run where a crash would lose the fewest others.
     """
@@ -104,14 +104,14 @@
 
 
 def begin_trial(state: NodeState, request: RequestState) -> Effects:
-    """Tell all nodes that a suspect is being run, so that no other node runs it meanwhile."""
+    """Share that a suspect is being run, so that no other node runs it meanwhile."""
     if not is_suspect(state, request):
         return []
     trial = Trial(request.arrived.fingerprint, state.now + defaults.TRIAL_S)
     return _merge_and_share(state, Evidence(trials=(trial,)))
 
 
-def note_broken(state: NodeState, request: RequestState, event: AttemptFailed) -> Effects:
+def note_failed_attempt(state: NodeState, request: RequestState, event: AttemptFailed) -> Effects:
     """Record a failed attempt, in case its endpoint is found to have crashed.
 
     The end of an endpoint that is leaving, or whose entry has gone, is planned. A network cut, a
@@ -130,7 +130,9 @@
     effects: Effects = []
     if event.broken and fingerprint:
         record = _record_crash(state, request, process)
-        effects += _merge_and_share(state, Evidence(tuple(state.suspects.note_broken(record))))
+        effects += _merge_and_share(
+            state, Evidence(tuple(state.suspects.note_broken_request(record)))
+        )
     if event.down:
         effects += _note_process_end(state, process)
     return effects
@@ -150,7 +152,7 @@
     return CrashRecord(arrived.fingerprint, arrived.team, process, state.now, early)
 
 
-def note_ended(state: NodeState, view: EndpointView) -> Effects:
+def note_endpoint_end(state: NodeState, view: EndpointView) -> Effects:
     """Record that the process known at an endpoint has ended, unless it was leaving."""
     if view.leaving:
         return []
@@ -168,7 +170,9 @@
 
 
 def _note_process_end(state: NodeState, process: EndpointProcess) -> Effects:
-    return _merge_and_share(state, Evidence(tuple(state.suspects.note_ended(process, state.now))))
+    return _merge_and_share(
+        state, Evidence(tuple(state.suspects.note_process_end(process, state.now)))
+    )
 
 
 def clear_suspect(state: NodeState, request: RequestState) -> Effects:
@@ -204,7 +208,7 @@
 def handle_evidence(state: NodeState, event: EvidenceReceived) -> Effects:
     """Merge another node's evidence, and forward what was not known yet.
 
-    Requests of this node that broke at the processes in it are added as evidence.
+    Requests of this node whose connections to the crashed processes broke are added.
     """
     effects = _merge_and_share(state, event.evidence, event.source)
     for process in {one.process for one in event.evidence.crash_records}:
--- a/packages/rookspring-core/src/rookspring_core/suspects.py
+++ b/packages/rookspring-core/src/rookspring_core/suspects.py
@@ -19,12 +19,12 @@
 class EndpointProcess(t.NamedTuple):
     """One process of an endpoint, identified by its start time.
 
-    :param born: in milliseconds, or a smaller number hashed from its incarnation; 0 if neither is
-        known.
+    :param started_ms: in milliseconds, or a smaller number hashed from its incarnation; 0 if
+        neither is known.
     """
 
     endpoint: str
-    born: int
+    started_ms: int
 
 
 class CrashRecord(t.NamedTuple):
@@ -116,8 +116,8 @@
         self._cleared: dict[str, float] = {}
         self._verdicts: dict[str, Verdict] = {}
         self._trials: dict[str, float] = {}
-        # When processes were found to have ended; and, for processes that may yet be found to
-        # have ended, the requests whose connections to them broke.
+        # When each process was found to have ended; and the crash records of processes that may
+        # have ended, which count only once that is confirmed.
         self._ended: dict[EndpointProcess, float] = {}
         self._pending: dict[EndpointProcess, dict[str, CrashRecord]] = {}
         self._expired_at = -1e9
@@ -132,7 +132,7 @@
 
     # Events that this node observes itself.
 
-    def note_broken(self, record: CrashRecord) -> list[CrashRecord]:
+    def note_broken_request(self, record: CrashRecord) -> list[CrashRecord]:
         """Record a request whose connection broke, pending the end of its process.
 
         :return: the record, if the process is already known to have ended.
@@ -143,14 +143,20 @@
         return []
 
     def note_left(self, record: CrashRecord) -> None:
-        """Record a request whose caller left; its endpoint may run it for ``LEFT_RUNS_S`` more."""
+        """Record a request whose caller left; its endpoint may still run it for a while.
+
+        A crash counts against it only if it is detected within ``ABANDONED_RUN_S``.
+        """
         backdated = record._replace(
             at=record.at - defaults.CRASH_DETECTION_S + defaults.ABANDONED_RUN_S
         )
         self._pending.setdefault(record.process, {}).setdefault(record.fingerprint, backdated)
 
-    def note_ended(self, process: EndpointProcess, now: float) -> list[CrashRecord]:
-        """Record that a process has ended, and return what broke there within ``END_KNOWN_S``."""
+    def note_process_end(self, process: EndpointProcess, now: float) -> list[CrashRecord]:
+        """Record that a process has ended, and return the crash records that this confirms.
+
+        They are of requests that broke there within the last ``CRASH_DETECTION_S``.
+        """
         self._ended.setdefault(process, now)
         pending = self._pending.pop(process, {}).values()
         return [one for one in pending if now - one.at <= defaults.CRASH_DETECTION_S]
@@ -303,7 +309,9 @@
             for fingerprint, rows in self._records.items():
                 if fingerprint not in self._verdicts:
                     for process in rows:
-                        combined ^= stable_hash(fingerprint, f"{process.endpoint}/{process.born}")
+                        combined ^= stable_hash(
+                            fingerprint, f"{process.endpoint}/{process.started_ms}"
+                        )
             for fingerprint in self._verdicts:
                 combined ^= stable_hash(fingerprint, "verdict")
             self._digest = combined
--- a/packages/rookspring-core/src/rookspring_core/swapping.py
+++ b/packages/rookspring-core/src/rookspring_core/swapping.py
@@ -245,7 +245,7 @@
 
 
 def _unavailable(board: SwapBoard, runner: RunnerSnapshot) -> bool:
-    """Tell whether a runner has a move in this plan, or is busy for an unknown time."""
+    """Return whether a runner has a move in this plan, or is busy for an unknown time."""
     unknown = not runner.busy or math.isinf(runner.free_in_s)
     return runner.name in board.unavailable and unknown
 
--- a/packages/rookspring-core/src/rookspring_core/topology.py
+++ b/packages/rookspring-core/src/rookspring_core/topology.py
@@ -60,7 +60,7 @@
         self.read_at = -1e9
 
     def update(self, now: float, local: LocalStatus) -> None:
-        """Update roles and links after a change, or once ``RELAY_WORK_OUT_S`` has passed."""
+        """Update roles and links after a change, or once ``ROLES_RECOMPUTE_S`` has passed."""
         position = self._members.changes.end()
         stale = now - self._updated_at >= defaults.ROLES_RECOMPUTE_S
         changed = position != self._change_position or local.holding != self._local.holding
@@ -125,11 +125,13 @@
             data_centre = members.data_centre
             yield _Candidate(members.name, data_centre, local.strength, settled, self.relay)
         for name, peer in members.peers.items():
-            heard = peer.heard
-            if heard.leaving or self._is_excluded(name, now):
+            heartbeat = peer.heartbeat
+            if heartbeat.leaving or self._is_excluded(name, now):
                 continue
             settled = peer.age_s(now) >= defaults.RELAY_SETTLED_S
-            yield _Candidate(name, heard.data_centre, heard.capacity, settled, heard.relay)
+            yield _Candidate(
+                name, heartbeat.data_centre, heartbeat.capacity, settled, heartbeat.relay
+            )
         for name, row in members.listed.items():
             if name in members.peers or name == members.name or self._is_excluded(name, now):
                 continue
@@ -162,7 +164,7 @@
         names = {*members.listed, *members.peers} if self.mesh else self._wanted_links
         rows = {name: row.address for name in names if (row := members.listed.get(name))}
         known = {name: peer for name in names if (peer := members.peers.get(name))}
-        rows.update((name, peer.heard.address) for name, peer in known.items())
+        rows.update((name, peer.heartbeat.address) for name, peer in known.items())
         rows.pop(members.name, None)
         return rows
 
@@ -171,18 +173,18 @@
         if self.mesh:
             return True
         peer = self._members.peers.get(name)
-        return self.relay and peer is not None and peer.heard.relay
+        return self.relay and peer is not None and peer.heartbeat.relay
 
     def keeps_link(self, name: str) -> bool:
         """Return whether an open link is needed by either of its ends."""
         peer = self._members.peers.get(name)
         if self.mesh or peer is None or name == self.followed:
             return True
-        heard = peer.heard
-        if heard.follows or (self.relay and heard.relay):
+        heartbeat = peer.heartbeat
+        if heartbeat.follows or (self.relay and heartbeat.relay):
             return True
-        same_data_centre = heard.data_centre == self._members.data_centre
-        return (same_data_centre and (self.relay or heard.relay)) or name in self._wanted_links
+        same_data_centre = heartbeat.data_centre == self._members.data_centre
+        return (same_data_centre and (self.relay or heartbeat.relay)) or name in self._wanted_links
 
     def needs_seeds(self) -> bool:
         """Return whether to dial the seeds: in a mesh, alone, or long without a node to follow."""
@@ -196,26 +198,28 @@
         if self._chosen_watcher() and now - self.read_at < defaults.STORE_STALE_S:
             return ""
         rows = [
-            (self._follow_rank(name, peer.heard, now), name)
+            (self._follow_rank(name, peer.heartbeat, now), name)
             for name in self._members.linked
             if (peer := self._members.peers.get(name)) is not None
-            and now - peer.heard_at < defaults.HOLDER_QUIET_S
-            and self._may_follow(peer.heard)
+            and now - peer.received_at < defaults.HOLDER_QUIET_S
+            and self._may_follow(peer.heartbeat)
         ]
         return min(rows, default=((), ""))[1]
 
-    def _may_follow(self, heard: HeartbeatReceived) -> bool:
-        if heard.follows or heard.leaving:
+    def _may_follow(self, heartbeat: HeartbeatReceived) -> bool:
+        if heartbeat.follows or heartbeat.leaving:
             return False
         if self.relay:
-            return heard.watches or heard.store_age_s < defaults.STORE_STALE_S
-        return heard.relay
+            return heartbeat.watches or heartbeat.store_age_s < defaults.STORE_STALE_S
+        return heartbeat.relay
 
-    def _follow_rank(self, name: str, heard: HeartbeatReceived, now: float) -> tuple[t.Any, ...]:
+    def _follow_rank(
+        self, name: str, heartbeat: HeartbeatReceived, now: float
+    ) -> tuple[t.Any, ...]:
         stale = self._peer_store_age_s(name, now) > defaults.STORE_STALE_S
         # A relay prefers a node that watches the store; for a leaf any relay will do.
-        indirect = self.relay and not heard.watches
-        remote = heard.data_centre != self._members.data_centre
+        indirect = self.relay and not heartbeat.watches
+        remote = heartbeat.data_centre != self._members.data_centre
         return (
             stale,
             indirect,
@@ -228,7 +232,7 @@
         peer = self._members.peers.get(name)
         if peer is None:
             return float("inf")
-        return peer.heard.store_age_s + now - peer.heard_at
+        return peer.heartbeat.store_age_s + now - peer.received_at
 
     def has_fresh_source(self, now: float) -> bool:
         """Return whether the followed node's data of the store is fresh."""
@@ -295,12 +299,12 @@
         """Return the nodes among which owners of organisations are chosen."""
         members = self._members
         ages = {
-            name: peer.age_s(now) if self.mesh else peer.heard.relay_s
+            name: peer.age_s(now) if self.mesh else peer.heartbeat.relay_s
             for name in members.linked
             if (peer := members.peers.get(name)) is not None
-            and (self.mesh or peer.heard.relay)
-            and not peer.heard.leaving
-            and now - peer.heard_at < defaults.HOLDER_QUIET_S
+            and (self.mesh or peer.heartbeat.relay)
+            and not peer.heartbeat.leaving
+            and now - peer.received_at < defaults.HOLDER_QUIET_S
         }
         if (self.mesh or self.relay) and not self._local.leaving:
             ages[members.name] = self.collecting_s(now)
--- a/packages/rookspring/src/rookspring/dialling.py
+++ b/packages/rookspring/src/rookspring/dialling.py
@@ -29,7 +29,7 @@
 def plan_links(membership: Membership) -> LinkPlan:
     """Plan the links that a membership chooses; the lower name of each pair dials first."""
     rows = {row.name: row.address for row in membership.links()}
-    linked = {peer.heard.address for peer in membership.peers.values()}
+    linked = {peer.heartbeat.address for peer in membership.peers.values()}
     return LinkPlan(rows, rows, linked)
 
 
--- a/packages/rookspring/src/rookspring/evidence.py
+++ b/packages/rookspring/src/rookspring/evidence.py
@@ -26,7 +26,7 @@
                 one.fingerprint,
                 one.organisation,
                 one.process.endpoint,
-                one.process.born,
+                one.process.started_ms,
                 now - one.at,
                 one.early,
             ]
--- a/packages/rookspring/src/rookspring/leaving_rows.py
+++ b/packages/rookspring/src/rookspring/leaving_rows.py
@@ -12,7 +12,7 @@
 
 def encode_leaving(rows: t.Iterable[Leaving], now: float) -> LeavingMessage:
     """Encode leaving endpoints; times of this node's clock become ages."""
-    return LeavingMessage([[one.endpoint, one.born, now - one.at] for one in rows])
+    return LeavingMessage([[one.endpoint, one.started_ms, now - one.at] for one in rows])
 
 
 def decode_leaving(message: LeavingMessage, now: float) -> tuple[Leaving, ...]:
--- a/packages/rookspring/src/rookspring/operators.py
+++ b/packages/rookspring/src/rookspring/operators.py
@@ -101,7 +101,7 @@
 def _count_in_force(node: NodeContext) -> int:
     revision = node.state.catalogue.revision
     peers = node.state.membership.peers.values()
-    return 1 + sum(1 for peer in peers if peer.heard.revision >= revision)
+    return 1 + sum(1 for peer in peers if peer.heartbeat.revision >= revision)
 
 
 def _document(node: NodeContext, stored: StoredObject) -> dict[str, t.Any]:
@@ -296,11 +296,11 @@
     unplaced = [name for name, at in control_jobs.resident_models(state).items() if not at]
     nodes = [
         {
-            "name": peer.heard.name,
-            "data_centre": peer.heard.data_centre,
-            "address": peer.heard.caller_address,
-            "revision": peer.heard.revision,
-            "leaving": peer.heard.leaving,
+            "name": peer.heartbeat.name,
+            "data_centre": peer.heartbeat.data_centre,
+            "address": peer.heartbeat.caller_address,
+            "revision": peer.heartbeat.revision,
+            "leaving": peer.heartbeat.leaving,
         }
         for peer in state.membership.peers.values()
     ]
--- a/packages/rookspring/src/rookspring/relay_heartbeats.py
+++ b/packages/rookspring/src/rookspring/relay_heartbeats.py
@@ -97,7 +97,7 @@
         return "own"
     if not topology.relay:
         return "own" if name == topology.followed or not topology.followed else "bare"
-    if known is None or known.heard.relay:
+    if known is None or known.heartbeat.relay:
         return "group"
     return "rest" if name in peers.followers else "bare"
 
@@ -192,7 +192,7 @@
 def leaf_followers(peers: RelayPeers) -> set[str]:
     """Return the followers whose figures this relay sums: those that are not relays."""
     known = peers.context.state.membership.peers
-    return {name for name in peers.followers if name in known and not known[name].heard.relay}
+    return {name for name in peers.followers if name in known and not known[name].heartbeat.relay}
 
 
 def own_prompts(state: NodeState, endpoints: t.Iterable[str]) -> list[t.Any]:
--- a/packages/rookspring/src/rookspring/relay_members.py
+++ b/packages/rookspring/src/rookspring/relay_members.py
@@ -34,7 +34,7 @@
         if known is None:
             continue
         sent = peers.sent_members.get(link)
-        relay = known.heard.relay
+        relay = known.heartbeat.relay
         names = None
         if sent is not None and sent.relay == relay:
             names = state.membership.changes.since(sent.position)
@@ -67,25 +67,25 @@
     """Return whether this node reports a node to a relay, or else to a follower."""
     if not relay:
         return True
-    near = peer.heard.data_centre == peers.context.state.identity.data_centre
-    return (near or peer.heard.relay) and peer.direct(now)
+    near = peer.heartbeat.data_centre == peers.context.state.identity.data_centre
+    return (near or peer.heartbeat.relay) and peer.direct(now)
 
 
 def _encode_row(peer: Peer, now: float) -> list[t.Any]:
-    heard = peer.heard
+    heartbeat = peer.heartbeat
     return [
-        heard.name,
-        heard.incarnation,
-        heard.address,
-        heard.caller_address,
-        heard.data_centre,
-        heard.revision,
-        heard.leaving,
+        heartbeat.name,
+        heartbeat.incarnation,
+        heartbeat.address,
+        heartbeat.caller_address,
+        heartbeat.data_centre,
+        heartbeat.revision,
+        heartbeat.leaving,
         round(peer.age_s(now), 2),
-        heard.lease_epoch,
-        heard.lease_ended,
-        heard.relay,
-        heard.capacity,
+        heartbeat.lease_epoch,
+        heartbeat.lease_ended,
+        heartbeat.relay,
+        heartbeat.capacity,
     ]
 
 
--- a/packages/rookspring/src/rookspring/relay_peers.py
+++ b/packages/rookspring/src/rookspring/relay_peers.py
@@ -118,9 +118,9 @@
         identity = state.identity
         yield identity.name, identity.address, identity.data_centre, state.capacity
         for name, peer in state.membership.peers.items():
-            heard = peer.heard
-            if heard.relay or state.topology.mesh:
-                yield name, heard.address, heard.data_centre, heard.capacity
+            heartbeat = peer.heartbeat
+            if heartbeat.relay or state.topology.mesh:
+                yield name, heartbeat.address, heartbeat.data_centre, heartbeat.capacity
 
     def add_nodes(self, rows: t.Iterable[tuple[str, str, str, float]]) -> None:
         """Add or update known nodes."""
@@ -139,7 +139,7 @@
         addresses = topology.addresses_to_dial()
         waits = {name for name in addresses if topology.both_dial(name)}
         linked = {
-            peer.heard.address
+            peer.heartbeat.address
             for name, peer in state.membership.peers.items()
             if name in self.server.links
         }
@@ -183,7 +183,7 @@
             followed = topology.followed
             return [] if sender else [followed] if followed else list(links)
         peers = self.context.state.membership.peers
-        relays = {name for name in links if name in peers and peers[name].heard.relay}
+        relays = {name for name in links if name in peers and peers[name].heartbeat.relay}
         names = self.followers - relays
         if sender not in relays:
             names |= relays
@@ -193,7 +193,7 @@
         """Return the node that announced the newest epoch of the lease; empty if none did."""
         peers = self.context.state.membership.peers
         epoch, name = max(
-            ((peer.heard.lease_epoch, name) for name, peer in peers.items()), default=(0, "")
+            ((peer.heartbeat.lease_epoch, name) for name, peer in peers.items()), default=(0, "")
         )
         return name if epoch else ""
 
--- a/packages/rookspring/src/rookspring/relay_updates.py
+++ b/packages/rookspring/src/rookspring/relay_updates.py
@@ -71,7 +71,7 @@
         known = peers.context.state.membership.peers
         group = encode(Prompts(group_prompts(peers, group_changed))) if group_changed else b""
         for name, link in list(links.items()):
-            if name in known and known[name].heard.relay:
+            if name in known and known[name].heartbeat.relay:
                 if group:
                     link.send_encoded(group)
             elif name in peers.followers:
@@ -125,7 +125,7 @@
     peers.context.submit(PromptsReceived(clock.now(), link.name, rows))
     if state.topology.relay:
         known = state.membership.peers.get(link.name)
-        from_relay = known is None or known.heard.relay
+        from_relay = known is None or known.heartbeat.relay
         for endpoint, _ in rows:
             peers.context.share_prompts(endpoint, from_relay)
 
@@ -166,4 +166,4 @@
 def _forwards_from(state: NodeState, sender: str) -> bool:
     """Return whether to forward a load request: from a leaf, since relays reach the holder."""
     known = state.membership.peers.get(sender)
-    return state.topology.relay and known is not None and not known.heard.relay
+    return state.topology.relay and known is not None and not known.heartbeat.relay
