--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: each prints a table of what it measured and keeps it as JSON."""
+"""Experiments; each prints its measurements as a table and writes them to a JSON file."""
--- a/bench/hunts.py
+++ b/bench/hunts.py
@@ -1,9 +1,9 @@
-"""What hunts and scores found, from their journal: also days that fell short of the gate.
+"""Summary of the journal of hunts and scores, including days that missed the gate.
 
     make bench B=hunts ARGS="[--since ENTRY] [--journal DIR]"
 
-A hunt's print tells the days on which a rule broke, and not those that fell short of the
-gate; its journal tells both.
+The output of a hunt lists the days on which a rule was broken, but not those that missed the
+gate; its journal has both.
 """
 
 import argparse
@@ -11,18 +11,20 @@
 import pathlib
 import statistics
 import typing as t
-
 from .registry import experiment
 from .registry import report
 
+
 VERBS = ("hunt", "score")
 
 
 class Found(t.NamedTuple):
     """One day of a hunt or a score.
 
-    :param version: the sources that were measured.
-    :param worth: None where the day was given up.
+    :param version: abbreviated commit of the measured sources.
+    :param worth: None if the day was aborted.
+    :param broken_rules: rules that were broken, and the fault if there was one.
+    :param shortfalls: reasons why the day missed the gate.
     """
 
     version: str
@@ -35,7 +37,7 @@
 
 
 def read_entry(raw: t.Mapping[str, t.Any]) -> list[Found]:
-    """Read the days of one entry; none where it is no hunt and no score."""
+    """Return the days of one entry; none if it is neither a hunt nor a score."""
     if raw.get("cmd") not in VERBS:
         return []
     sites = [str(one) for one in raw.get("argv", ()) if str(one).endswith(".toml")]
@@ -59,7 +61,7 @@
 
 
 def read_journal(folder: pathlib.Path, since: str) -> list[Found]:
-    """Read all entries of a journal from one on, by their names."""
+    """Read the entries of a journal whose file name is not less than ``since``."""
     found: list[Found] = []
     for path in sorted(folder.glob("*.json")):
         if path.name >= since:
@@ -68,7 +70,7 @@
 
 
 def summarise(found: list[Found]) -> list[dict[str, t.Any]]:
-    """Sum up by version, site and slot."""
+    """Count days by version, site and slot, with their mean worth."""
     groups: dict[tuple[str, str, str], list[Found]] = {}
     for one in found:
         groups.setdefault((one.version, one.site, one.slot), []).append(one)
@@ -90,7 +92,7 @@
 
 
 def list_faults(found: list[Found]) -> list[dict[str, t.Any]]:
-    """List the days to play again, each with its reasons."""
+    """List the days with broken rules or shortfalls, each with its reasons."""
     return [
         {"version": one.version, "site": one.site, "day": one.seed, "why": "; ".join(why)}
         for one in found
@@ -100,14 +102,19 @@
 
 @experiment("hunts")
 def main(arguments: list[str]) -> int:
-    """Print the tables; 1 where no entry tells of a hunt."""
+    """Print the tables; 1 if there are no days of a hunt or a score."""
     parser = argparse.ArgumentParser(prog="hunts", description=__doc__)
     parser.add_argument("--journal", type=pathlib.Path, default=pathlib.Path("journal"))
-    parser.add_argument("--since", default="", help="the first entry's file name, or its beginning")
-    given = parser.parse_args(arguments)
-    found = read_journal(given.journal, given.since)
+    parser.add_argument(
+        "--since", default="", help="file name of the first entry, or a prefix of it"
+    )
+    args = parser.parse_args(arguments)
+    found = read_journal(args.journal, args.since)
     if not found:
-        print(f"--journal: {given.journal} tells of no hunt since {given.since or 'its beginning'}")
+        print(
+            f"--journal: no hunt or score found in {args.journal} "
+            f"since {args.since or 'its beginning'}"
+        )
         return 1
     report("hunts", "hunts and scores", summarise(found))
     report(
--- a/bench/mutant.py
+++ b/bench/mutant.py
@@ -1,9 +1,10 @@
-"""What a mutant is: one wrong decision, and the features that are to catch it."""
+"""Definition of a mutant: a deliberately wrong function, and features that must detect it."""
 
 import typing as t
 
 FEATURES = ("features/relay.feature", "features/swapping.feature", "features/platform.feature")
-# Whole deployments on a virtual clock; they take longer, so only their own mutants run them.
+# Simulates whole deployments on a virtual clock. It takes longer, so only mutants that need it
+# run it.
 SIZE = ("features/size.feature",)
 ORGANISATIONS = ("features/organisations.feature",)
 SLOTS = ("features/slots.feature",)
@@ -21,9 +22,11 @@
 
 
 class Mutant(t.NamedTuple):
-    """One wrong decision.
+    """A wrong function that replaces an attribute of a module or class.
 
-    :param rule: what would break by it, in the words of ``docs/failures.md``.
+    :param rule: the guarantee that the mutant violates, as ``docs/failures.md`` names it.
+    :param replacement: the wrong function or value.
+    :param features: feature files of which at least one must fail under the mutant.
     """
 
     name: str
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,8 +1,8 @@
-Feature: Where tries were lost, told from the nodes' logs
+Feature: Causes of late, refused and lost requests in the nodes' logs
 
-  Scenario Outline: each try counts once, by the first thing that made it late or lost
-    Given a try that <end> and waited <waited> s, on a route of 0.4 s that bears a pause of 0.25 s
-    When the losses of its log are told
+  Scenario Outline: each request counts once, by the first cause that applies
+    Given a request that <end> and waited <waited> s, on a route with an objective of 0.4 s and pauses up to 0.25 s
+    When the losses in the log are reported
     Then it counts as <reason>
 
     Examples:
@@ -19,17 +19,17 @@
       | was lost as 502 endpoint_failed: endpoint failed: deadline | 0.01 | lost: endpoint_failed: endpoint failed: deadline |
       | was left                              | 0.01      | left by its caller                   |
 
-  Scenario: a log that tells of no try is an error
+  Scenario: a log without an ended request is an error
     Given an empty log
-    When its losses are asked for
-    Then the command ends with 1 and names the log
+    When the losses in the log are reported
+    Then the command exits with 1 and names the log
 
-  Scenario: what a hunt found is told with its days that fell short
-    Given a journal with a hunt of 4 days, one with a broken rule and one short of the gate
-    When what its hunts found is told
-    Then 4 days are counted, 1 broken and 1 short, and both are listed
+  Scenario: the report of a hunt includes days that missed the gate
+    Given a journal with a hunt of 4 days, one with a broken rule and one that missed the gate
+    When the hunts of the journal are reported
+    Then 4 days are counted, 1 with a broken rule and 1 short of the gate, and both are listed
 
   Scenario: a journal without a hunt is an error
     Given a journal with a single run
-    When what its hunts found is told
-    Then the command ends with 1 and says that there is none
+    When the hunts of the journal are reported
+    Then the command exits with 1 and reports that the journal has no hunt
