--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -3,8 +3,8 @@
 import importlib
 import pathlib
 import sys
-from .registry import EXPERIMENTS
 
+from .registry import EXPERIMENTS
 
 _NOT_EXPERIMENTS = {"__init__", "__main__", "registry", "traffic", "live"}
 
--- a/bench/clock_mutants.py
+++ b/bench/clock_mutants.py
@@ -2,14 +2,14 @@
 
 import time
 import typing as t
-from .mutant import CLOCKS
-from .mutant import Mutant
+
 from rookspring import clock
 from rookspring.relay import RelayExchange
 from rookspring_core import control_jobs
 from rookspring_core.leases import Lease
 
-
+from .mutant import CLOCKS
+from .mutant import Mutant
 
 
 def _nothing(*args: t.Any) -> None:
--- a/bench/era_mutants.py
+++ b/bench/era_mutants.py
@@ -2,8 +2,7 @@
 
 import asyncio
 import typing as t
-from .mutant import COPIES
-from .mutant import Mutant
+
 from rookspring import relay_store_loops
 from rookspring.relay_endpoint_list import EndpointList
 from rookspring.store_eras import StoreEras
@@ -13,7 +12,8 @@
 from rookspring_core.leases import Lease
 from rookspring_platform import store
 
-
+from .mutant import STORE_COPIES
+from .mutant import Mutant
 
 _real_begin_era = Lease.begin_era
 
@@ -61,25 +61,33 @@
 
 
 MUTANTS = (
-    Mutant("hears of no era", "one holder", StoreEras, "note_era", _ignore_era, COPIES),
-    Mutant("takes nobody's word",
+    Mutant("hears of no era", "one holder", StoreEras, "note_era", _ignore_era, STORE_COPIES),
+    Mutant(
+        "takes nobody's word", "one holder", StoreEras, "note_era", _trust_store_only, STORE_COPIES
+    ),
+    Mutant("counts no term", "one holder", Lease, "_absent", _never, STORE_COPIES),
+    Mutant(
+        "keeps one lease",
         "one holder",
-        StoreEras,
-        "note_era", _trust_store_only,
-        COPIES,
+        relay_store_loops,
+        "lease_name",
+        _same_lease_name,
+        STORE_COPIES,
+    ),
+    Mutant("numbers on", "one holder", leases, "EPOCHS_PER_ERA", 0, STORE_COPIES),
+    Mutant(
+        "lets the lease go", "attainment", Lease, "begin_era", _release_in_new_era, STORE_COPIES
+    ),
+    Mutant("forgets the era", "one holder", Lease, "begin_era", _nothing, STORE_COPIES),
+    Mutant(
+        "orders by version", "drain", EndpointList, "_is_outdated", _older_by_version, STORE_COPIES
     ),
-    Mutant("counts no term", "one holder", Lease, "_absent", _never, COPIES),
+    Mutant("doubts nothing", "drain", EndpointList, "_may_be_from_backup", _never, STORE_COPIES),
+    Mutant("believes a copy", "keys", Freshness, "_lacks", _never, STORE_COPIES),
+    Mutant("believes it at once", "keys", core_defaults, "REWRITE_S", 0.0, STORE_COPIES),
+    Mutant("waits on", "drain", StoreEras, "call_in_era", _wait_across_eras, STORE_COPIES),
+    Mutant("reads no era", "one holder", store, "_read_era", _nothing, STORE_COPIES),
     Mutant(
-        "keeps one lease", "one holder", relay_store_loops, "lease_name", _same_lease_name, COPIES
+        "writes its row once", "membership", StoreEras, "wait_restored", _never_ends, STORE_COPIES
     ),
-    Mutant("numbers on", "one holder", leases, "EPOCHS_PER_ERA", 0, COPIES),
-    Mutant("lets the lease go", "attainment", Lease, "begin_era", _release_in_new_era, COPIES),
-    Mutant("forgets the era", "one holder", Lease, "begin_era", _nothing, COPIES),
-    Mutant("orders by version", "drain", EndpointList, "_is_outdated", _older_by_version, COPIES),
-    Mutant("doubts nothing", "drain", EndpointList, "_may_be_from_backup", _never, COPIES),
-    Mutant("believes a copy", "keys", Freshness, "_lacks", _never, COPIES),
-    Mutant("believes it at once", "keys", core_defaults, "REWRITE_S", 0.0, COPIES),
-    Mutant("waits on", "drain", StoreEras, "call_in_era", _wait_across_eras, COPIES),
-    Mutant("reads no era", "one holder", store, "_read_era", _nothing, COPIES),
-    Mutant("writes its row once", "membership", StoreEras, "wait_restored", _never_ends, COPIES),
 )
--- a/bench/mutant.py
+++ b/bench/mutant.py
@@ -10,14 +10,14 @@
 SLOTS = ("features/slots.feature",)
 HANDOVER = ("features/lease_handover.feature",)
 RELAY = ("features/relay.feature",)
-STORE = ("features/weight_store.feature",)
+WEIGHT_STORE = ("features/weight_store.feature",)
 ADAPTERS = ("features/adapters.feature",)
 ENTRIES = ("features/entries.feature",)
 CRASHES = ("features/crashes.feature",)
-LIVES = ("features/lives.feature",)
+RESTARTS = ("features/lives.feature",)
 CLOCKS = ("features/clocks.feature",)
 RATES = ("features/rate_limits.feature", "features/rate_limits_sockets.feature")
-COPIES = ("features/store_copies_sockets.feature", "features/store_copies.feature")
+STORE_COPIES = ("features/store_copies_sockets.feature", "features/store_copies.feature")
 NOTICES = ("features/notices.feature", "features/notices_sockets.feature")
 
 
@@ -33,5 +33,5 @@
     rule: str
     target: t.Any
     attribute: str
-    wrong: t.Any
+    replacement: t.Any
     features: tuple[str, ...] = FEATURES
--- a/bench/notice_mutants.py
+++ b/bench/notice_mutants.py
@@ -1,8 +1,7 @@
 """Mutants of the handling of notices, in which endpoints report that they leave or back off."""
 
 import typing as t
-from .mutant import Mutant
-from .mutant import NOTICES
+
 from rookspring import relay_merged
 from rookspring import relay_notices
 from rookspring_core import notice_handlers
@@ -15,7 +14,8 @@
 from rookspring_core.notices import NoticeTable
 from rookspring_core.notices import RequestedBackoff
 
-
+from .mutant import NOTICES
+from .mutant import Mutant
 
 
 def _nothing(*args: t.Any) -> None:
--- a/bench/organisation_mutants.py
+++ b/bench/organisation_mutants.py
@@ -1,9 +1,7 @@
 """Mutants of decisions about organisations: expiry of keys, allotments and slots."""
 
 import typing as t
-from .mutant import Mutant
-from .mutant import ORGANISATIONS
-from .mutant import SLOTS
+
 from rookspring import relay_proofs
 from rookspring_core import allotment_checks
 from rookspring_core import keys
@@ -21,7 +19,9 @@
 from rookspring_platform import PlatformDialect
 from rookspring_platform import dialect
 
-
+from .mutant import ORGANISATIONS
+from .mutant import SLOTS
+from .mutant import Mutant
 
 _CHECK_KEY = keys.check_key
 _REQUEST_SLOT = SlotQueue.request_slot
--- a/bench/passing_mutants.py
+++ b/bench/passing_mutants.py
@@ -2,12 +2,7 @@
 
 import math
 import typing as t
-from .mutant import ADAPTERS
-from .mutant import HANDOVER
-from .mutant import Mutant
-from .mutant import RELAY
-from .mutant import SLOTS
-from .mutant import STORE
+
 from rookspring_core import attaching
 from rookspring_core import defaults
 from rookspring_core import residency
@@ -19,7 +14,12 @@
 from rookspring_core.slot_queues import SlotAnswer
 from rookspring_core.slot_queues import SlotQueue
 
-
+from .mutant import ADAPTERS
+from .mutant import HANDOVER
+from .mutant import RELAY
+from .mutant import SLOTS
+from .mutant import WEIGHT_STORE
+from .mutant import Mutant
 
 _real_refuse = SlotQueue._refuse
 _real_retry_after_s = retry_after.predict_retry_after_s
@@ -91,7 +91,12 @@
         RELAY,
     ),
     Mutant(
-        "keeps a second's loads", "CEILING", WeightStoreLimiter, "refill", _accrue_one_second, STORE
+        "keeps a second's loads",
+        "CEILING",
+        WeightStoreLimiter,
+        "refill",
+        _accrue_one_second,
+        WEIGHT_STORE,
     ),
     Mutant("refuses blindly", "callers", SlotQueue, "_refuse", _drop_blind_flag, SLOTS),
 )
--- a/bench/rate_mutants.py
+++ b/bench/rate_mutants.py
@@ -1,8 +1,7 @@
 """Mutants of the rate limiter for endpoints that limit their requests a second."""
 
 import typing as t
-from .mutant import Mutant
-from .mutant import RATES
+
 from rookspring import relay_notices
 from rookspring import relay_owners
 from rookspring_core import defaults as core_defaults
@@ -18,7 +17,8 @@
 from rookspring_core.request_rates import RateTable
 from rookspring_core.slot_queues import SlotQueue
 
-
+from .mutant import RATES
+from .mutant import Mutant
 
 _SET_ENDPOINTS = SlotQueue.set_endpoints
 _INIT_BUCKET = RateBucket.__init__
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -1,12 +1,12 @@
 """Registry of experiments, and the reports that they print and write."""
 
-import orjson
 import pathlib
 import typing as t
+
+import orjson
 from rich.console import Console
 from rich.table import Table
 
-
 REPORTS = pathlib.Path("reports")
 Experiment = t.Callable[[list[str]], int]
 EXPERIMENTS: dict[str, Experiment] = {}
--- a/bench/suspect_mutants.py
+++ b/bench/suspect_mutants.py
@@ -1,15 +1,15 @@
 """Mutants of the quarantine of requests that crash endpoints."""
 
 import typing as t
-from .mutant import CRASHES
-from .mutant import Mutant
+
 from rookspring import relay_merged
 from rookspring import relay_suspects
 from rookspring_core import suspect_handlers
 from rookspring_core.suspects import Evidence
 from rookspring_core.suspects import SuspectTable
 
-
+from .mutant import CRASHES
+from .mutant import Mutant
 
 
 def _no_effects(*args: t.Any) -> list[t.Any]:
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -4,11 +4,11 @@
 import subprocess
 import sys
 import tempfile
+
 from behave import given
 from behave import then
 from behave import when
 
-
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 OUTCOMES = {"refused": "refused-not_run", "lost": "refused-unknown", "left": "left"}
 
--- a/packages/rookspring/src/rookspring/http_client.py
+++ b/packages/rookspring/src/rookspring/http_client.py
@@ -101,7 +101,7 @@
         self.reusable = True
         self.idle_since = 0.0
         self.idle_timeout_s = defaults.ENDPOINT_IDLE_DEFAULT_S
-        self.requests_sent = 0
+        self.served = 0
 
     def connection_made(self, transport: t.Any) -> None:
         """Mark the connection as open and enable keep-alive probes on its socket."""
@@ -143,7 +143,7 @@
         self._no_body = no_body
         self._skipped = 0
         self._new_parser()
-        self.requests_sent += 1
+        self.served += 1
         self._transport.write(data)
         return self._reply
 
